--- /dev/null
+++ b/relay/retry_test.go
@@ -0,0 +1,139 @@
+package relay
+
+import (
+	"context"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/routing"
+)
+
+var update = flag.Bool("update-golden", false, "write the golden files anew; only for a rule that is meant to change")
+
+// retryCase is one combination of what decides whether a request is sent again.
+type retryCase struct {
+	route    routing.Route
+	earlier  coordination.Outcome // of the attempts before this one
+	outcome  coordination.Outcome // of the attempt that has just failed
+	begun    bool                 // the caller has the first bytes of an answer
+	sent     int                  // replicas that the request was written to
+	budget   bool                 // the retry budget has room
+	timeLeft bool
+	gone     bool // the caller left
+}
+
+// decide runs the rule on a case, in the order in which a call meets its parts.
+func (c retryCase) decide() (again bool, final coordination.Outcome) {
+	now := time.Now()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	if c.gone {
+		cancel()
+	}
+	deadline := now.Add(time.Minute)
+	if !c.timeLeft {
+		deadline = now
+	}
+	rule := routing.BudgetRule{Window: time.Minute}
+	if c.budget {
+		rule.Extra = 100
+	}
+	s := &serving{
+		Relay: New(Options{Budgets: routing.NewBudgets(rule, 1), Rule: DefaultRule()}),
+		call:  &Call{Request: routing.Request{Route: &c.route, Service: "s", Deadline: deadline}},
+		begun: c.begun, sent: c.sent, outcome: c.earlier,
+	}
+	s.note(c.outcome)
+	if !s.mayRepeat(c.outcome) || ctx.Err() != nil {
+		return false, s.outcome
+	}
+	if s.call.Deadline.Sub(now) <= s.Rule.WayBack {
+		s.expire()
+		return false, s.outcome
+	}
+	return s.allowed(now), s.outcome
+}
+
+func outcomeText(o coordination.Outcome) string {
+	switch o := o.(type) {
+	case coordination.NotRun:
+		return fmt.Sprintf("%s/%s/%s", coordination.OutcomeName(o), o.Reason, o.RetryAfter)
+	case coordination.MayHaveRun:
+		return fmt.Sprintf("%s/%s", coordination.OutcomeName(o), o.Reason)
+	}
+	return "none"
+}
+
+// retryCases returns all combinations, the caller's leaving left out.
+func retryCases() []retryCase {
+	var out []retryCase
+	both := []bool{false, true}
+	none := coordination.NotRun{Reason: coordination.ReasonNoUpstream, RetryAfter: DefaultRule().ComeBack}
+	for _, route := range []routing.Route{{Name: "once"}, {Name: "repeatable", Kind: routing.Repeatable}, {Name: "stream", Kind: routing.Stream}, {Name: "resumable", Kind: routing.Stream, Resumable: true}} {
+		for _, route.MaxAttempts = range []int{1, 2} {
+			for _, earlier := range []coordination.Outcome{none, mayHaveRun} {
+				for _, outcome := range []coordination.Outcome{coordination.NotRun{Reason: coordination.ReasonConnect}, coordination.MayHaveRun{Reason: coordination.ReasonNoAnswer}} {
+					for _, begun := range both {
+						for sent := range 3 {
+							for _, budget := range both {
+								for _, left := range both {
+									out = append(out, retryCase{route, earlier, outcome, begun, sent, budget, left, false})
+								}
+							}
+						}
+					}
+				}
+			}
+		}
+	}
+	return out
+}
+
+func (c retryCase) String() string {
+	return fmt.Sprintf("%s attempts=%d/%d earlier=%s now=%s begun=%t budget=%t time=%t",
+		c.route.Name, c.sent, c.route.MaxAttempts, outcomeText(c.earlier), outcomeText(c.outcome), c.begun, c.budget, c.timeLeft)
+}
+
+// TestNoRetryForACallerWhoLeft holds that nothing is sent for nobody.
+func TestNoRetryForACallerWhoLeft(t *testing.T) {
+	for _, c := range retryCases() {
+		c.gone = true
+		if again, _ := c.decide(); again {
+			t.Errorf("%s: sent again for a caller who left", c)
+		}
+	}
+}
+
+// TestRetryDecision holds the rule for every combination, a line each.
+func TestRetryDecision(t *testing.T) {
+	var b strings.Builder
+	for _, c := range retryCases() {
+		again, final := c.decide()
+		fmt.Fprintf(&b, "%s: again=%t final=%s\n", c, again, outcomeText(final))
+	}
+	file := filepath.Join("testdata", "golden", "retry.txt")
+	if *update {
+		if err := os.WriteFile(file, []byte(b.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	wantLines, gotLines := strings.Split(string(want), "\n"), strings.Split(b.String(), "\n")
+	if len(wantLines) != len(gotLines) {
+		t.Fatalf("%d cases, want %d", len(gotLines), len(wantLines))
+	}
+	for i := range gotLines {
+		if gotLines[i] != wantLines[i] {
+			t.Fatalf("got  %s\nwant %s", gotLines[i], wantLines[i])
+		}
+	}
+}
