--- a/cmd/hingesoak/main.go
+++ b/cmd/hingesoak/main.go
@@ -8,8 +8,6 @@
 //	hingesoak --daemon target/hingewinchd --runs 4 --at-once 2
 //	hingesoak --daemon target/hingewinchd --seed 17 --keep
 //	hingesoak --daemon target/hingewinchd --seeds internal/soak/testdata/seeds.txt
-//	hingesoak load --rate 200 --report before.json
-//	hingesoak compare before.json after.json --page compare.html
 //
 // It ends with 1 if a promise was broken; the directory of that run is kept, with
 // its report, its faults and the daemons' logs.
@@ -42,38 +40,30 @@
 )
 
 type options struct {
-	Daemon  string         `long:"daemon" default:"target/hingewinchd" description:"program of the daemon"`
-	Seed    []uint64       `long:"seed" description:"play this seed; may be given several times"`
-	Seeds   string         `long:"seeds" description:"play the seeds of a file, one a line, each with its cause"`
-	Runs    int            `long:"runs" default:"1" description:"how many fresh seeds to play when none is named"`
-	AtOnce  int            `long:"at-once" default:"1" description:"how many runs at a time"`
-	Trouble time.Duration  `long:"trouble" default:"18s" description:"time in which faults begin"`
-	Quiet   time.Duration  `long:"quiet" default:"9s" description:"time after the last fault"`
-	Daemons int            `long:"daemons" default:"10" description:"most daemons of a run"`
-	Rate    float64        `long:"faults" default:"1.2" description:"faults a second"`
-	Dir     string         `long:"dir" description:"where runs are kept (default: a temporary directory)"`
-	Load    loadCommand    `command:"load" description:"measure daemons without faults: latencies, reuse, skew"`
-	Compare compareCommand `command:"compare" description:"draw two measurements side by side"`
-
-	Keep bool `long:"keep" description:"keep the directories of runs that broke nothing, too"`
+	Daemon  string        `long:"daemon" default:"target/hingewinchd" description:"program of the daemon"`
+	Seed    []uint64      `long:"seed" description:"play this seed; may be given several times"`
+	Seeds   string        `long:"seeds" description:"play the seeds of a file, one a line, each with its cause"`
+	Runs    int           `long:"runs" default:"1" description:"how many fresh seeds to play when none is named"`
+	AtOnce  int           `long:"at-once" default:"1" description:"how many runs at a time"`
+	Trouble time.Duration `long:"trouble" default:"18s" description:"time in which faults begin"`
+	Quiet   time.Duration `long:"quiet" default:"9s" description:"time after the last fault"`
+	Daemons int           `long:"daemons" default:"10" description:"most daemons of a run"`
+	Rate    float64       `long:"faults" default:"1.2" description:"faults a second"`
+	Dir     string        `long:"dir" description:"where runs are kept (default: a temporary directory)"`
+	Keep    bool          `long:"keep" description:"keep the directories of runs that broke nothing, too"`
 }
 
 func main() { os.Exit(run()) }
 
 func run() int {
 	var o options
-	parser := flags.NewParser(&o, flags.Default)
-	parser.SubcommandsOptional = true
-	if _, err := parser.Parse(); err != nil {
+	if _, err := flags.Parse(&o); err != nil {
 		var fe *flags.Error
 		if errors.As(err, &fe) && fe.Type == flags.ErrHelp {
 			return 0
 		}
 		return exitUsage
 	}
-	if parser.Active != nil {
-		return 0
-	}
 	seeds, err := o.seeds()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "hingesoak:", err)
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -45,8 +45,6 @@
 	daemon int
 	life   int
 	uses   int
-	// patient callers never leave before their answer.
-	patient bool
 }
 
 // run sends requests until ctx ends.
@@ -136,7 +134,7 @@
 	ledger := c.site.ledger
 	ledger.Sent(*q)
 	_ = c.conn.SetDeadline(q.Deadline.Add(callerPatience))
-	if !c.patient && rand.Int64N(100) < leaveAlways+c.site.manners.leave.Load() {
+	if rand.Int64N(100) < leaveAlways+c.site.manners.leave.Load() {
 		return c.abandon(q)
 	}
 	if _, err := c.conn.Write([]byte(q.text())); err != nil {
@@ -146,9 +144,8 @@
 	if err != nil {
 		return c.failed(q, err)
 	}
-	first := time.Now()
 	body, err := io.ReadAll(resp.Body)
-	a := Answer{At: time.Now(), First: first, Status: resp.StatusCode, Seal: resp.Header.Get(headerSeal), Body: string(body), Whole: err == nil, Err: err}
+	a := Answer{At: time.Now(), Status: resp.StatusCode, Seal: resp.Header.Get(headerSeal), Body: string(body), Whole: err == nil, Err: err}
 	ledger.Answered(q.ID, a)
 	if c.uses--; err != nil || resp.Close || c.uses <= 0 {
 		c.hangUp()
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -53,7 +53,6 @@
 // Answer is what a caller got.
 type Answer struct {
 	At     time.Time // when it was over
-	First  time.Time // when its first lines came; zero: never
 	Status int       // 0: none
 	Seal   string    // the replica that vouches for it; may be empty
 	Body   string
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -73,7 +73,6 @@
 	Faults  []Fault       `json:"faults"`
 	Trouble time.Duration `json:"trouble"` // time in which faults begin
 	Quiet   time.Duration `json:"quiet"`   // time after the last fault has ended
-	Steady  bool          `json:"steady"`  // replicas do as they should, for measurements
 }
 
 // Shape bounds what is drawn.
--- a/internal/soak/replica.go
+++ b/internal/soak/replica.go
@@ -54,7 +54,6 @@
 	Service  string
 	Domain   string
 	slots    int
-	steady   bool // no slow requests, and no bad mood to begin with
 	ledger   *Ledger
 	listener net.Listener
 
@@ -66,15 +65,12 @@
 }
 
 // StartReplica listens on a loopback address.
-func StartReplica(id, service, domain string, slots int, steady bool, l *Ledger) (*Replica, error) {
+func StartReplica(id, service, domain string, slots int, l *Ledger) (*Replica, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Replica{ID: id, Service: service, Domain: domain, slots: slots, steady: steady, ledger: l, listener: listener, conns: make(map[net.Conn]struct{})}
-	if !steady {
-		r.mood = everyday
-	}
+	r := &Replica{ID: id, Service: service, Domain: domain, slots: slots, mood: everyday, ledger: l, listener: listener, conns: make(map[net.Conn]struct{})}
 	go r.accept()
 	return r, nil
 }
@@ -236,7 +232,7 @@
 
 // workOf returns how long a plain request works, or an event of a stream takes.
 func (x *exchange) workOf(pieces int) time.Duration {
-	if !x.steady && hashOf(x.id)%slowOneIn == 0 {
+	if hashOf(x.id)%slowOneIn == 0 {
 		return slowWork / time.Duration(pieces)
 	}
 	return leastWork + rand.N(mostWork-leastWork)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -59,38 +59,26 @@
 // Play plays a plan. The error tells that it could not be played; promises that
 // were broken stand in the report.
 func Play(ctx context.Context, p *Plan, o Options) (*Report, error) {
-	var report *Report
-	err := withSite(ctx, p, o, func(ctx context.Context, r *runner) error {
-		report = r.report
-		return r.play(ctx)
-	})
-	return report, err
-}
-
-// withSite starts a plan's replicas and daemons, runs something before them and
-// ends them.
-func withSite(ctx context.Context, p *Plan, o Options, run func(ctx context.Context, r *runner) error) error {
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
-		return eris.Wrap(err, "make the run's directory; check the path and rights")
+		return nil, eris.Wrap(err, "make the run's directory; check the path and rights")
 	}
 	r := &runner{plan: p, options: o, report: &Report{Plan: p}, begun: time.Now()}
 	work, end := context.WithCancel(ctx)
 	defer end()
 	r.site = newSite(NewLedger(DefaultBounds()))
-	r.site.steady = p.Steady
 	err := r.build(work)
 	if r.site.fleet != nil {
 		defer r.site.fleet.end()
 	}
 	defer end() // before the fleet's end: nothing is started again
 	if err != nil {
-		return err
+		return nil, err
 	}
 	defer r.site.close()
-	if err := run(work, r); err != nil {
-		return err
+	if err := r.play(work); err != nil {
+		return r.report, err
 	}
-	return r.write()
+	return r.report, r.write()
 }
 
 // build starts the store's doors, the replicas and the daemons.
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -49,7 +49,6 @@
 	fleet   *fleet
 	manners manners
 	domains []string
-	steady  bool // replicas do as they should
 
 	mu       sync.Mutex
 	version  int
@@ -246,7 +245,7 @@
 	if service == serviceChat {
 		slots = chatSlots
 	}
-	r, err := StartReplica(id, service, p.domain, slots, s.steady, s.ledger)
+	r, err := StartReplica(id, service, p.domain, slots, s.ledger)
 	if err != nil {
 		return err
 	}
