--- a/coordination/assemble.go
+++ b/coordination/assemble.go
@@ -73,9 +73,6 @@
 // an answer whole.
 func (a *Assembler) Whole() bool { return a.final }
 
-// Begun reports whether any chunk has been accepted.
-func (a *Assembler) Begun() bool { return a.begun }
-
 // Resumable reports whether the upstream can be asked for the rest, and after
 // which position.
 func (a *Assembler) Resumable() (stream string, after uint64, ok bool) {
--- a/daemon/bench_test.go
+++ b/daemon/bench_test.go
@@ -79,7 +79,7 @@
 		all = append(all, &running{settings: s, d: d, done: make(chan error, 1)})
 	}
 	platform.Publish(protocol.PathConfig, config(1))
-	platform.Publish(protocol.PathMembers, protocol.FormatMemberList(1, members))
+	platform.Publish(protocol.PathMembers, standin.FormatMemberList(1, members))
 	for _, r := range all {
 		go func() { r.done <- r.d.Run(ctx) }()
 	}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -189,9 +189,6 @@
 // CallerAddress returns where callers are served.
 func (d *Daemon) CallerAddress() string { return d.callers.socket.Addr().String() }
 
-// OperatorAddress returns where operators are served.
-func (d *Daemon) OperatorAddress() string { return d.operators.socket.Addr().String() }
-
 // Run serves until ctx ends, and then stops as planned: the health check fails,
 // new requests are served for the time of notice, and Run returns when the last
 // request in flight has its answer.
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -96,7 +96,7 @@
 		f.daemons = append(f.daemons, &running{settings: s})
 	}
 	f.platform.Publish(protocol.PathConfig, config(1))
-	f.platform.Publish(protocol.PathMembers, protocol.FormatMemberList(1, f.members))
+	f.platform.Publish(protocol.PathMembers, standin.FormatMemberList(1, f.members))
 	for _, r := range f.daemons {
 		r.start()
 	}
--- /dev/null
+++ b/daemon/export_test.go
@@ -0,0 +1,4 @@
+package daemon
+
+// OperatorAddress returns where operators are served.
+func (d *Daemon) OperatorAddress() string { return d.operators.socket.Addr().String() }
--- a/internal/soak/replica.go
+++ b/internal/soak/replica.go
@@ -36,7 +36,6 @@
 	Break   float64 // ends its answer half-way
 	Lose    float64 // runs and resets the connection
 	Surplus float64 // answers twice, at once or in the place of the next answer
-	Early   float64 // answers before the work is done, and goes on reading
 }
 
 // everyday is the mood of a replica that is well: now and then an answer breaks
--- a/protocol/bench_test.go
+++ b/protocol/bench_test.go
@@ -7,6 +7,7 @@
 	"testing"
 
 	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/internal/standin"
 	"hingewinch.org/hingewinch/protocol"
 	"hingewinch.org/hingewinch/state"
 )
@@ -60,7 +61,7 @@
 		}
 		members = append(members, m)
 	}
-	return protocol.FormatMemberList(state.ListRevision(revision), members)
+	return standin.FormatMemberList(state.ListRevision(revision), members)
 }
 
 func BenchmarkParseConfig(b *testing.B) {
--- a/protocol/platform.go
+++ b/protocol/platform.go
@@ -81,17 +81,3 @@
 		State:       st,
 	}, nil
 }
-
-// FormatMemberList writes a list as the platform does.
-func FormatMemberList(rev state.ListRevision, members []state.Member) []byte {
-	doc := listDocument{Revision: uint64(rev), Members: make([]memberDocument, len(members))}
-	for i, m := range members {
-		doc.Members[i] = memberDocument{
-			ID: m.ID, Kind: string(m.Kind), Group: m.Group, Domain: string(m.Domain),
-			Address: m.Address, Incarnation: uint64(m.Incarnation), State: m.State.String(),
-		}
-	}
-	// Strings and numbers only: it can't fail.
-	text, _ := json.Marshal(doc)
-	return text
-}
--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -14,6 +14,7 @@
 	"pgregory.net/rapid"
 
 	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/internal/standin"
 	"hingewinch.org/hingewinch/protocol"
 	"hingewinch.org/hingewinch/protocol/peer"
 	"hingewinch.org/hingewinch/state"
@@ -111,7 +112,7 @@
 var _ = Describe("a member list", func() {
 	It("comes back as it was written", func() {
 		members := []state.Member{{ID: "d1", Kind: state.KindDaemon, Domain: "a", Address: "127.0.0.1:1", Incarnation: 3, State: state.Leaving}}
-		l, err := protocol.ParseMemberList(protocol.FormatMemberList(7, members))
+		l, err := protocol.ParseMemberList(standin.FormatMemberList(7, members))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(l.Members).To(Equal(members))
 		Expect(l.Head.Version).To(Equal(uint64(7)))
--- a/relay/call.go
+++ b/relay/call.go
@@ -21,7 +21,6 @@
 	Header    http.Header // what is passed on to the replica
 	Body      []byte
 	Workspace routing.WorkspaceName
-	Urgency   int    // priority at the replica
 	LastSeen  string // id of the last event that the caller has; empty: from the start
 }
 
@@ -88,7 +87,6 @@
 	Events    int
 	Gone      bool // the caller left
 	View      uint64
-	Version   routing.Version
 }
 
 // Observer is told of decisions. Its methods must not block.
--- a/router/control.go
+++ b/router/control.go
@@ -19,7 +19,6 @@
 type Documents interface {
 	Config(f *feed.Feed) (feed.Item, bool)
 	ParseConfig(it feed.Item) (*routing.Table, error)
-	Replicas(f *feed.Feed, visit func(feed.Item))
 	ParseReplica(it feed.Item) (routing.Replica, error)
 	ReplicaID(key string) (routing.ReplicaID, bool)
 }
@@ -96,7 +95,7 @@
 
 	table       *routing.Table
 	tableRev    feed.Revision
-	replicas    map[string]replicaEntry
+	replicas    map[string]routing.Replica // by key of its document
 	lapses      *routing.Lapses
 	daemons     int
 	pulling     bool
@@ -119,11 +118,6 @@
 	near     bool // it stands in the own failure domain
 }
 
-type replicaEntry struct {
-	revision feed.Revision
-	replica  routing.Replica
-}
-
 // readPlan tells the store's reader what to do.
 type readPlan struct {
 	reads bool          // this daemon reads the store
@@ -210,8 +204,8 @@
 	}
 	before, known := c.replicas[it.Key]
 	if it.Gone {
-		if known && !before.replica.Draining {
-			c.lapses.Add(before.replica, now.Sub(c.troubleAt) < troubleAge, now)
+		if known && !before.Draining {
+			c.lapses.Add(before, now.Sub(c.troubleAt) < troubleAge, now)
 		}
 		delete(c.replicas, it.Key)
 		c.logReplica(id, "gone", it.Revision)
@@ -222,11 +216,11 @@
 		c.log.Bad(it.Key, err)
 		return
 	}
-	if !known || known && before.replica.Draining != r.Draining {
+	if !known || known && before.Draining != r.Draining {
 		c.logReplica(id, stateName(&r), it.Revision)
 	}
 	c.lapses.Remove(r.ID)
-	c.replicas[it.Key] = replicaEntry{revision: it.Revision, replica: r}
+	c.replicas[it.Key] = r
 }
 
 // logReplica tells of one replica, unless so many change at once that their lines
@@ -267,16 +261,16 @@
 // publish builds a view and makes it visible to traffic.
 func (c *control) publish(now time.Time) {
 	v := &routing.View{
-		Table: c.table, Revision: uint64(c.feed.Revision()), Domain: c.domain, Daemons: c.daemons, Built: now,
+		Table: c.table, Revision: uint64(c.feed.Revision()), Domain: c.domain, Daemons: c.daemons,
 		Pools: make(map[routing.ServiceName]*routing.Pool),
 	}
-	for _, e := range c.replicas {
-		p := poolOf(v, e.replica.Service)
-		if e.replica.Draining {
-			p.Leaving = append(p.Leaving, e.replica)
+	for _, r := range c.replicas {
+		p := poolOf(v, r.Service)
+		if r.Draining {
+			p.Leaving = append(p.Leaving, r)
 			continue
 		}
-		p.Ready = append(p.Ready, e.replica)
+		p.Ready = append(p.Ready, r)
 	}
 	for _, s := range c.lapses.Services() {
 		p := poolOf(v, s)
--- a/router/pause_test.go
+++ b/router/pause_test.go
@@ -71,7 +71,7 @@
 	c := &control{
 		documents: fewDocuments{}, feed: feed.New(), roster: membership.NewRoster(membership.Member{Address: "10.0.0.1:1"}, nil),
 		rng: rand.New(rand.NewPCG(1, 1)), loads: routing.NewLoads(), health: routing.NewHealth(), holders: routing.NewHolders(),
-		log: l, daemons: 1, replicas: make(map[string]replicaEntry), lapses: routing.NewLapses(),
+		log: l, daemons: 1, replicas: make(map[string]routing.Replica), lapses: routing.NewLapses(),
 	}
 	items := []feed.Item{{Key: "config", Revision: 5000}}
 	for i := range 4500 {
--- a/router/router.go
+++ b/router/router.go
@@ -146,7 +146,7 @@
 		documents: d.outside.Documents, feed: feed.New(), roster: membership.NewRoster(self, seeds), domain: s.Domain,
 		rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), loads: loads, health: health, holders: holders, budgets: budgets, log: d.Log,
 		send: d.peers.send, pull: d.peers.pull, events: make(chan event, eventQueue),
-		replicas: make(map[string]replicaEntry), lapses: routing.NewLapses(),
+		replicas: make(map[string]routing.Replica), lapses: routing.NewLapses(),
 		ahead: make(map[membership.Address]aheadPeer), daemons: 1,
 	}
 	d.control.publish(time.Now())
@@ -286,19 +286,3 @@
 	}
 	d.Log.Close()
 }
-
-// Serving names one of the daemon's listeners.
-type Serving int
-
-// The daemon's listeners.
-const (
-	ServesCallers Serving = iota
-	ServesReadiness
-	ServesOperators
-)
-
-// Address returns where a listener is served.
-func (d *Daemon) Address(s Serving) string {
-	l := [...]*listener{ServesCallers: d.callers, ServesReadiness: d.readiness, ServesOperators: d.operators}[s]
-	return l.socket.Addr().String()
-}
--- a/routing/config.go
+++ b/routing/config.go
@@ -52,11 +52,9 @@
 	Timeout      time.Duration // longest time that a request is held; 0: none
 	Aim          time.Duration // time to the answer's first part that earns full credit
 	Gap          time.Duration // longest pause between events that is still in time
-	Priority     int           // 0 is the most urgent
 	Shares       []Share
 	MaxAttempts  int // replicas that one request may be sent to
 	OpenToAll    bool
-	Affinity     bool
 	Resumable    bool
 	totalWeights int
 }
@@ -90,17 +88,13 @@
 
 // Workspace is a workspace with the keys of its callers.
 type Workspace struct {
-	Name     WorkspaceName
-	Keys     []string
-	Priority int
+	Name WorkspaceName
+	Keys []string
 }
 
-// CallerLimits bound what callers may send and how long they may idle.
+// CallerLimits bound what callers may send.
 type CallerLimits struct {
-	HeaderBytes   int
-	BodyBytes     int64
-	HeaderTimeout time.Duration
-	IdleTimeout   time.Duration
+	BodyBytes int64 // of one request; 0: not set
 }
 
 // Config is one version of the configuration.
--- a/routing/health.go
+++ b/routing/health.go
@@ -93,7 +93,6 @@
 	pause     time.Duration
 	until     time.Time
 	cause     Result
-	lastBad   time.Time
 }
 
 type peerEvidence struct {
@@ -124,7 +123,6 @@
 		return false
 	}
 	rec.bad[i]++
-	rec.lastBad = now
 	if now.Before(rec.until) || !h.speaksAgainst(key, rec, result, now) {
 		return false
 	}
--- a/routing/request.go
+++ b/routing/request.go
@@ -24,7 +24,6 @@
 	Service  ServiceName
 	Model    string
 	Prompt   []Part
-	Generate int // tokens that the caller allows to be generated
 	Arrived  time.Time
 	Deadline time.Time // the earlier of the caller's and the route's
 }
--- a/routing/view.go
+++ b/routing/view.go
@@ -5,7 +5,6 @@
 import (
 	"slices"
 	"strings"
-	"time"
 
 	"github.com/cespare/xxhash/v2"
 
@@ -20,7 +19,6 @@
 	Domain   state.FailureDomain
 	Slots    int // requests at once
 	Draining bool
-	Cold     time.Duration // how much longer it is slow from its start
 	Hash     uint64
 }
 
@@ -61,7 +59,6 @@
 	Pools    map[ServiceName]*Pool
 	Domain   state.FailureDomain // of this daemon
 	Daemons  int                 // live daemons, this one counted
-	Built    time.Time
 }
 
 // Pool returns the replicas of a service; it is never nil.
