--- a/cmd/hingectl/router.go
+++ b/cmd/hingectl/router.go
@@ -5,7 +5,7 @@
 import (
 	"fmt"
 
-	"hingewinch.org/hingewinch/router"
+	"hingewinch.org/hingewinch/daemon/routes"
 )
 
 // routerCommand groups the commands.
@@ -23,8 +23,8 @@
 	defer w.Flush()
 	fmt.Fprintln(w, "DAEMON\tDOMAIN\tREADY\tCONFIG\tREVISION\tCHANGED\tSTORE\tREADS\tDAEMONS\tREPLICAS\tUP")
 	return c.askAll(func(address string) error {
-		var a router.StatusAnswer
-		if err := ask(address, router.PathStatus, &a); err != nil {
+		var a routes.StatusAnswer
+		if err := ask(address, routes.PathStatus, &a); err != nil {
 			return err
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\t%s\t%t\t%d\t%d\t%dms\n", a.Daemon, a.Domain, readiness(&a), a.Version, a.Revision,
@@ -33,7 +33,7 @@
 	})
 }
 
-func readiness(a *router.StatusAnswer) string {
+func readiness(a *routes.StatusAnswer) string {
 	switch {
 	case a.Stopping:
 		return "stopping"
@@ -65,8 +65,8 @@
 	defer w.Flush()
 	fmt.Fprintln(w, "ADDRESS\tZONE\tLIFE\tLEAVING")
 	return c.askAll(func(address string) error {
-		var list []router.MemberAnswer
-		if err := ask(address, router.PathMembers, &list); err != nil {
+		var list []routes.MemberAnswer
+		if err := ask(address, routes.PathMembers, &list); err != nil {
 			return err
 		}
 		for _, m := range list {
@@ -87,8 +87,8 @@
 	defer w.Flush()
 	fmt.Fprintln(w, "SERVICE\tREPLICA\tZONE\tADDRESS\tSTATE\tLOAD\tFAILED\tPASSED OVER")
 	return c.askAll(func(address string) error {
-		var list []router.ReplicaAnswer
-		if err := ask(address, router.PathReplicas, &list); err != nil {
+		var list []routes.ReplicaAnswer
+		if err := ask(address, routes.PathReplicas, &list); err != nil {
 			return err
 		}
 		for _, r := range list {
--- a/cmd/hingewinchd/main.go
+++ b/cmd/hingewinchd/main.go
@@ -25,7 +25,7 @@
 	"github.com/jessevdk/go-flags"
 	"github.com/phuslu/log"
 
-	"hingewinch.org/hingewinch/daemon"
+	"hingewinch.org/hingewinch/daemon/openai"
 	"hingewinch.org/hingewinch/transport"
 )
 
@@ -60,7 +60,7 @@
 		return exitUsage
 	}
 	if o.Version {
-		fmt.Println("hingewinchd", daemon.Version)
+		fmt.Println("hingewinchd", openai.Version)
 		return 0
 	}
 	if o.Settings == "" {
@@ -73,7 +73,7 @@
 	if o.Front == frontRoutes {
 		return runRoutes(o.Settings, o.Check)
 	}
-	settings, err := daemon.LoadSettings(o.Settings)
+	settings, err := openai.LoadSettings(o.Settings)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitUsage
@@ -84,9 +84,9 @@
 	return serve(settings)
 }
 
-func serve(settings *daemon.Settings) int {
+func serve(settings *openai.Settings) int {
 	logger := &log.Logger{Level: log.ParseLevel(settings.LogLevel), Writer: &log.IOWriter{Writer: os.Stderr}}
-	d, err := daemon.New(settings, logger)
+	d, err := openai.New(settings, logger)
 	if err != nil {
 		logger.Error().Err(err).Msg(transport.PrefixDaemon + "start failed")
 		return exitFailed
--- a/cmd/hingewinchd/routes.go
+++ b/cmd/hingewinchd/routes.go
@@ -11,13 +11,13 @@
 	"reflect"
 	"syscall"
 
+	"hingewinch.org/hingewinch/daemon/routes"
 	"hingewinch.org/hingewinch/platform"
-	"hingewinch.org/hingewinch/relay"
-	"hingewinch.org/hingewinch/router"
+	"hingewinch.org/hingewinch/transport/relay"
 )
 
 func runRoutes(file string, check bool) int {
-	settings, err := router.LoadSettings(file)
+	settings, err := routes.LoadSettings(file)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitUsage
@@ -25,7 +25,7 @@
 	if check {
 		return 0
 	}
-	d, err := router.New(settings, outside(settings), os.Stdout)
+	d, err := routes.New(settings, outside(settings), os.Stdout)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitFailed
@@ -40,11 +40,11 @@
 }
 
 // outside is the users' platform.
-func outside(s *router.Settings) router.Outside {
-	return router.Outside{
+func outside(s *routes.Settings) routes.Outside {
+	return routes.Outside{
 		Store: platform.NewStore(s.Store), HistoryGone: platform.ErrHistoryGone,
 		Documents: platform.Documents{}, Codec: platform.Codec{}, ReadyPath: platform.PathReady,
-		Front: func(d *router.Daemon) http.Handler {
+		Front: func(d *routes.Daemon) http.Handler {
 			return &platform.Front{
 				View: d.View, Relay: d.Relay, Stopping: d.Stopping, Denied: d.Log.Denied, ComeBack: relay.DefaultRule().ComeBack,
 			}
@@ -55,7 +55,7 @@
 // reload checks the settings file after each SIGHUP. Addresses and identity
 // can't change while requests are served; a file that differs takes effect at
 // the next start, and the log says so.
-func reload(ctx context.Context, d *router.Daemon, file string, running *router.Settings) {
+func reload(ctx context.Context, d *routes.Daemon, file string, running *routes.Settings) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	for {
@@ -63,7 +63,7 @@
 		case <-ctx.Done():
 			return
 		case <-hangups:
-			s, err := router.LoadSettings(file)
+			s, err := routes.LoadSettings(file)
 			d.Log.Reloaded(err == nil && !reflect.DeepEqual(s, running), err)
 		}
 	}
--- a/membership/roster_test.go
+++ b/coordination/membership/roster_test.go
@@ -12,7 +12,7 @@
 	. "github.com/onsi/gomega"
 	"pgregory.net/rapid"
 
-	"hingewinch.org/hingewinch/membership"
+	"hingewinch.org/hingewinch/coordination/membership"
 	"hingewinch.org/hingewinch/state"
 )
 
--- a/routing/placement_bench_test.go
+++ b/coordination/routing/placement_bench_test.go
@@ -6,7 +6,7 @@
 
 	. "github.com/onsi/gomega"
 
-	"hingewinch.org/hingewinch/routing"
+	"hingewinch.org/hingewinch/coordination/routing"
 )
 
 // BenchmarkPlace chooses replicas in pools of several sizes, with loads of this
--- a/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 	"pgregory.net/rapid"
 
-	"hingewinch.org/hingewinch/routing"
+	"hingewinch.org/hingewinch/coordination/routing"
 	"hingewinch.org/hingewinch/state"
 )
 
--- a/daemon/bench_test.go
+++ b/daemon/openai/bench_test.go
@@ -1,4 +1,4 @@
-package daemon_test
+package openai_test
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 	. "github.com/onsi/gomega"
 	"github.com/phuslu/log"
 
-	"hingewinch.org/hingewinch/daemon"
+	"hingewinch.org/hingewinch/daemon/openai"
 	"hingewinch.org/hingewinch/internal/standin"
 	"hingewinch.org/hingewinch/protocol"
 	"hingewinch.org/hingewinch/state"
@@ -71,9 +71,9 @@
 	defer cancel()
 	for i := range n {
 		text := fmt.Sprintf("id: d%d\ndomain: %s\nplatform: %s\nlisten: {callers: %s, peers: %s, operators: %s}\nstop: {notice: 0s}\n", i, domain(i), srv.URL, freeAddress(), freeAddress(), freeAddress())
-		s, err := daemon.ParseSettings("settings", []byte(text))
+		s, err := openai.ParseSettings("settings", []byte(text))
 		Expect(err).NotTo(HaveOccurred())
-		d, err := daemon.New(s, &log.Logger{Level: log.PanicLevel, Writer: &log.IOWriter{Writer: io.Discard}})
+		d, err := openai.New(s, &log.Logger{Level: log.PanicLevel, Writer: &log.IOWriter{Writer: io.Discard}})
 		Expect(err).NotTo(HaveOccurred())
 		members = append(members, state.Member{ID: string(s.ID), Kind: state.KindDaemon, Domain: s.Domain, Address: s.Peer, Incarnation: 1, State: state.Live})
 		all = append(all, &running{settings: s, d: d, done: make(chan error, 1)})
--- a/daemon/control.go
+++ b/daemon/openai/control.go
@@ -1,7 +1,7 @@
 // This file runs the control loop: the one goroutine that owns the fleet state,
 // and the goroutines that do what it asks for.
 
-package daemon
+package openai
 
 import (
 	"context"
--- a/daemon/daemon.go
+++ b/daemon/openai/daemon.go
@@ -1,6 +1,6 @@
 // This file puts a daemon together, runs it and stops it as planned.
 
-package daemon
+package openai
 
 import (
 	"context"
--- a/daemon/daemon_test.go
+++ b/daemon/openai/daemon_test.go
@@ -1,4 +1,4 @@
-package daemon_test
+package openai_test
 
 import (
 	"context"
@@ -26,7 +26,7 @@
 	. "github.com/onsi/gomega"
 	"github.com/phuslu/log"
 
-	"hingewinch.org/hingewinch/daemon"
+	"hingewinch.org/hingewinch/daemon/openai"
 	"hingewinch.org/hingewinch/internal/standin"
 	"hingewinch.org/hingewinch/protocol"
 	"hingewinch.org/hingewinch/state"
@@ -54,8 +54,8 @@
 }
 
 type running struct {
-	settings *daemon.Settings
-	d        *daemon.Daemon
+	settings *openai.Settings
+	d        *openai.Daemon
 	stop     context.CancelFunc
 	done     chan error
 }
@@ -80,14 +80,14 @@
 	return fmt.Appendf(nil, "version: %d\nmodels: [{name: m}]\nengines: [{name: g, models: [m]}]\nworkspaces: [{name: w, keys: [%q], models: [m]}]\n", version, state.HashKey(key))
 }
 
-func newFleet(n int, tokenTime time.Duration, change func(*daemon.Settings)) *fleet {
+func newFleet(n int, tokenTime time.Duration, change func(*openai.Settings)) *fleet {
 	f := &fleet{platform: standin.NewPlatform(), engine: standin.NewEngine(standin.EngineOptions{ID: "e0", TokenTime: tokenTime, AnswerWords: 20})}
 	platform := serveHandler(f.platform)
 	f.members = append(f.members, state.Member{ID: "e0", Kind: state.KindEngine, Group: "g", Domain: "a", Address: serveHandler(f.engine), Incarnation: 1, State: state.Live})
 	for i := range n {
-		s := &daemon.Settings{}
+		s := &openai.Settings{}
 		text := fmt.Sprintf("id: d%d\ndomain: a\nplatform: http://%s\nlisten: {callers: %s, peers: %s, operators: %s}\nstop: {notice: 200ms}\n", i, platform, freeAddress(), freeAddress(), freeAddress())
-		s, err := daemon.ParseSettings("settings", []byte(text))
+		s, err := openai.ParseSettings("settings", []byte(text))
 		Expect(err).NotTo(HaveOccurred())
 		if change != nil {
 			change(s)
@@ -108,7 +108,7 @@
 
 func (r *running) start() {
 	var err error
-	r.d, err = daemon.New(r.settings, &log.Logger{Level: log.PanicLevel, Writer: &log.IOWriter{Writer: io.Discard}})
+	r.d, err = openai.New(r.settings, &log.Logger{Level: log.PanicLevel, Writer: &log.IOWriter{Writer: io.Discard}})
 	Expect(err).NotTo(HaveOccurred())
 	ctx, stop := context.WithCancel(context.Background())
 	r.stop, r.done = stop, make(chan error, 1)
@@ -188,7 +188,7 @@
 		Entry("of all, with the platform away", 3, true),
 	)
 	It("serves what comes until the balancer has noticed", func() {
-		f := newFleet(1, 0, func(s *daemon.Settings) { s.Stop.Notice = time.Second })
+		f := newFleet(1, 0, func(s *openai.Settings) { s.Stop.Notice = time.Second })
 		r := f.daemons[0]
 		r.stop()
 		Eventually(r.ready, patience, "5ms").Should(Equal(http.StatusServiceUnavailable))
@@ -220,7 +220,7 @@
 	It("say so and refuse as not-run while they know no configuration", func() {
 		platform := standin.NewPlatform()
 		text := fmt.Sprintf("id: d0\ndomain: a\nplatform: http://%s\nlisten: {callers: 127.0.0.1:0, peers: 127.0.0.1:0, operators: 127.0.0.1:0}\nstop: {notice: 0s}\n", serveHandler(platform))
-		s, err := daemon.ParseSettings("settings", []byte(text))
+		s, err := openai.ParseSettings("settings", []byte(text))
 		Expect(err).NotTo(HaveOccurred())
 		r := &running{settings: s}
 		r.start()
@@ -234,7 +234,7 @@
 		dir := GinkgoT().TempDir()
 		newAuthority(dir).sign(dir, "callers")
 		text := fmt.Sprintf("id: d0\ndomain: a\nplatform: http://%s\nlisten: {callers: 127.0.0.1:0, peers: 127.0.0.1:0, operators: 127.0.0.1:0}\nstop: {notice: 0s}\ntls: {callers: {certificate: %s/callers.pem, key: %s/callers.key}}\n", serveHandler(standin.NewPlatform()), dir, dir)
-		s, err := daemon.ParseSettings("settings", []byte(text))
+		s, err := openai.ParseSettings("settings", []byte(text))
 		Expect(err).NotTo(HaveOccurred())
 		r := &running{settings: s}
 		r.start()
@@ -256,7 +256,7 @@
 		files := transport.TLSFiles{
 			Certificate: filepath.Join(dir, "fleet.pem"), Key: filepath.Join(dir, "fleet.key"), Authority: filepath.Join(dir, "ca.pem"),
 		}
-		f := newFleet(2, 0, func(s *daemon.Settings) { s.TLS.Peers = files })
+		f := newFleet(2, 0, func(s *openai.Settings) { s.TLS.Peers = files })
 		f.platform.SetAway(true)
 		Eventually(func() int64 { return f.daemons[0].status().ListAgeMS }, patience).Should(BeNumerically(">=", 0))
 		_, err := tls.Dial("tcp", f.daemons[0].settings.Peer, &tls.Config{InsecureSkipVerify: true, MaxVersion: tls.VersionTLS12})
@@ -276,7 +276,7 @@
 
 var _ = Describe("settings", func() {
 	DescribeTable("are refused with line and remedy", func(text, want string) {
-		_, err := daemon.ParseSettings("d.yaml", []byte(text))
+		_, err := openai.ParseSettings("d.yaml", []byte(text))
 		Expect(err).To(MatchError(ContainSubstring(want)))
 	},
 		Entry("empty", "", "d.yaml:1: file is empty"),
@@ -287,11 +287,11 @@
 		Entry("a limit of zero", "id: d\nlimits: {timeout: 0s}\n", "d.yaml:2: timeout is not above 0"),
 	)
 	It("of the examples are right", func() {
-		files, err := filepath.Glob("../examples/*/hingewinchd-*.yaml")
+		files, err := filepath.Glob("../../examples/*/hingewinchd-*.yaml")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(files).NotTo(BeEmpty())
 		for _, file := range files {
-			_, err := daemon.LoadSettings(file)
+			_, err := openai.LoadSettings(file)
 			Expect(err).NotTo(HaveOccurred())
 		}
 	})
--- a/daemon/doc.go
+++ b/daemon/openai/doc.go
@@ -16,4 +16,4 @@
 //		return err
 //	}
 //	err = d.Run(ctx) // returns when ctx has ended and all requests are done
-package daemon
+package openai
--- a/daemon/documents.go
+++ b/daemon/openai/documents.go
@@ -1,7 +1,7 @@
 // This file holds the published documents' texts, so that peers can fetch the
 // difference from the content that they have.
 
-package daemon
+package openai
 
 import (
 	"sync"
--- a/daemon/reader.go
+++ b/daemon/openai/reader.go
@@ -1,6 +1,6 @@
 // This file reads the platform's documents when the control loop asks for it.
 
-package daemon
+package openai
 
 import (
 	"context"
--- a/daemon/settings.go
+++ b/daemon/openai/settings.go
@@ -1,7 +1,7 @@
 // This file defines the settings of one daemon. They are read once, at start,
 // and checked as a whole.
 
-package daemon
+package openai
 
 import (
 	"fmt"
--- a/daemon/talk.go
+++ b/daemon/openai/talk.go
@@ -1,7 +1,7 @@
 // This file carries out the exchanges and fetches that the control loop asks for,
 // one at a time with each peer, and hands back what they bring.
 
-package daemon
+package openai
 
 import (
 	"context"
--- a/router/control.go
+++ b/daemon/routes/control.go
@@ -1,7 +1,7 @@
 // This file runs the control loop: the one goroutine that owns the documents
 // and the roster, and publishes views.
 
-package router
+package routes
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 	"sync/atomic"
 	"time"
 
-	"hingewinch.org/hingewinch/feed"
-	"hingewinch.org/hingewinch/membership"
-	"hingewinch.org/hingewinch/routing"
+	"hingewinch.org/hingewinch/coordination/membership"
+	"hingewinch.org/hingewinch/coordination/routing"
 	"hingewinch.org/hingewinch/state"
+	"hingewinch.org/hingewinch/state/feed"
 )
 
 // Documents tells which of the store's documents are which.
--- a/router/doc.go
+++ b/daemon/routes/doc.go
@@ -12,4 +12,4 @@
 // One goroutine, the control loop, owns the documents and the roster. It takes
 // typed events from a channel and publishes an immutable [routing.View]. Traffic
 // reads views and never waits for the control loop.
-package router
+package routes
--- a/router/export_test.go
+++ b/daemon/routes/export_test.go
@@ -1,4 +1,4 @@
-package router
+package routes
 
 // Serving names one of the daemon's listeners.
 type Serving int
--- a/router/golden_test.go
+++ b/daemon/routes/golden_test.go
@@ -1,4 +1,4 @@
-package router
+package routes
 
 import (
 	"bytes"
@@ -15,10 +15,10 @@
 	"time"
 
 	"hingewinch.org/hingewinch/coordination"
-	"hingewinch.org/hingewinch/feed"
-	"hingewinch.org/hingewinch/membership"
-	"hingewinch.org/hingewinch/relay"
-	"hingewinch.org/hingewinch/routing"
+	"hingewinch.org/hingewinch/coordination/membership"
+	"hingewinch.org/hingewinch/coordination/routing"
+	"hingewinch.org/hingewinch/state/feed"
+	"hingewinch.org/hingewinch/transport/relay"
 )
 
 // These tests hold what other builds, scrapers and operators' scripts read, byte by
--- a/router/gossip.go
+++ b/daemon/routes/gossip.go
@@ -1,15 +1,15 @@
 // This file is the part of the control loop that deals with other daemons.
 
-package router
+package routes
 
 import (
 	"context"
 	"time"
 
 	"hingewinch.org/hingewinch/coordination"
-	"hingewinch.org/hingewinch/feed"
-	"hingewinch.org/hingewinch/membership"
-	"hingewinch.org/hingewinch/routing"
+	"hingewinch.org/hingewinch/coordination/membership"
+	"hingewinch.org/hingewinch/coordination/routing"
+	"hingewinch.org/hingewinch/state/feed"
 )
 
 // Settings of the reading of the store. In each failure domain one daemon reads.
--- a/router/log.go
+++ b/daemon/routes/log.go
@@ -3,7 +3,7 @@
 // written in the background; what does not fit is left out and counted, so that
 // logging never holds up a request.
 
-package router
+package routes
 
 import (
 	"errors"
@@ -15,12 +15,12 @@
 	"github.com/phuslu/log"
 
 	"hingewinch.org/hingewinch/coordination"
-	"hingewinch.org/hingewinch/feed"
-	"hingewinch.org/hingewinch/membership"
-	"hingewinch.org/hingewinch/relay"
-	"hingewinch.org/hingewinch/routing"
+	"hingewinch.org/hingewinch/coordination/membership"
+	"hingewinch.org/hingewinch/coordination/routing"
 	"hingewinch.org/hingewinch/state"
+	"hingewinch.org/hingewinch/state/feed"
 	"hingewinch.org/hingewinch/transport"
+	"hingewinch.org/hingewinch/transport/relay"
 )
 
 // errOlderVersion is a configuration that came later and says that it is older.
--- a/router/message.go
+++ b/daemon/routes/message.go
@@ -1,7 +1,7 @@
 // This file defines what daemons send each other. The codec is CBOR; news is
 // compressed, because a daemon that has just started is told everything.
 
-package router
+package routes
 
 import (
 	"net/netip"
@@ -11,10 +11,10 @@
 	"github.com/klauspost/compress/zstd"
 	"github.com/rotisserie/eris"
 
-	"hingewinch.org/hingewinch/feed"
-	"hingewinch.org/hingewinch/membership"
-	"hingewinch.org/hingewinch/routing"
+	"hingewinch.org/hingewinch/coordination/membership"
+	"hingewinch.org/hingewinch/coordination/routing"
 	"hingewinch.org/hingewinch/state"
+	"hingewinch.org/hingewinch/state/feed"
 )
 
 // Beat is the message that a daemon sends its peers several times a second, as
--- a/router/message_test.go
+++ b/daemon/routes/message_test.go
@@ -1,13 +1,13 @@
-package router
+package routes
 
 import (
 	"fmt"
 	"reflect"
 	"testing"
 
-	"hingewinch.org/hingewinch/feed"
-	"hingewinch.org/hingewinch/membership"
-	"hingewinch.org/hingewinch/routing"
+	"hingewinch.org/hingewinch/coordination/membership"
+	"hingewinch.org/hingewinch/coordination/routing"
+	"hingewinch.org/hingewinch/state/feed"
 )
 
 // TestBeatsOfLargeFleetsFit fills a beat with more than a datagram holds: it
--- a/router/metrics.go
+++ b/daemon/routes/metrics.go
@@ -1,6 +1,6 @@
 // This file defines the counters and histograms of a daemon.
 
-package router
+package routes
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	"github.com/rcrowley/go-metrics"
 
 	"hingewinch.org/hingewinch/coordination"
-	"hingewinch.org/hingewinch/relay"
+	"hingewinch.org/hingewinch/transport/relay"
 )
 
 // Metrics are the figures of a daemon.
--- a/router/operators.go
+++ b/daemon/routes/operators.go
@@ -1,7 +1,7 @@
 // This file serves operators: status, replicas, members and metrics, all to be
 // read only.
 
-package router
+package routes
 
 import (
 	"bytes"
@@ -9,10 +9,10 @@
 	"net/http"
 	"time"
 
-	"hingewinch.org/hingewinch/feed"
-	"hingewinch.org/hingewinch/membership"
-	"hingewinch.org/hingewinch/routing"
+	"hingewinch.org/hingewinch/coordination/membership"
+	"hingewinch.org/hingewinch/coordination/routing"
 	"hingewinch.org/hingewinch/state"
+	"hingewinch.org/hingewinch/state/feed"
 	"hingewinch.org/hingewinch/transport"
 )
 
--- a/router/pause_test.go
+++ b/daemon/routes/pause_test.go
@@ -1,4 +1,4 @@
-package router
+package routes
 
 import (
 	"bytes"
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"hingewinch.org/hingewinch/feed"
-	"hingewinch.org/hingewinch/membership"
-	"hingewinch.org/hingewinch/routing"
+	"hingewinch.org/hingewinch/coordination/membership"
+	"hingewinch.org/hingewinch/coordination/routing"
+	"hingewinch.org/hingewinch/state/feed"
 )
 
 // TestPauseEndsTheWait plays a process that stood still for some seconds: the
--- a/router/peers.go
+++ b/daemon/routes/peers.go
@@ -1,7 +1,7 @@
 // This file carries beats and news between daemons: beats as datagrams, news
 // over HTTP.
 
-package router
+package routes
 
 import (
 	"bytes"
@@ -15,8 +15,8 @@
 
 	"github.com/rotisserie/eris"
 
-	"hingewinch.org/hingewinch/feed"
-	"hingewinch.org/hingewinch/membership"
+	"hingewinch.org/hingewinch/coordination/membership"
+	"hingewinch.org/hingewinch/state/feed"
 	"hingewinch.org/hingewinch/transport"
 )
 
--- a/router/reader.go
+++ b/daemon/routes/reader.go
@@ -1,6 +1,6 @@
 // This file reads the operators' store for the control loop.
 
-package router
+package routes
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"math/rand/v2"
 	"time"
 
-	"hingewinch.org/hingewinch/feed"
+	"hingewinch.org/hingewinch/state/feed"
 	"hingewinch.org/hingewinch/transport"
 )
 
--- a/router/reader_test.go
+++ b/daemon/routes/reader_test.go
@@ -1,4 +1,4 @@
-package router
+package routes
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"hingewinch.org/hingewinch/feed"
+	"hingewinch.org/hingewinch/state/feed"
 	"hingewinch.org/hingewinch/transport"
 )
 
--- a/router/router.go
+++ b/daemon/routes/router.go
@@ -1,6 +1,6 @@
 // This file puts a daemon together, runs it and stops it as planned.
 
-package router
+package routes
 
 import (
 	"context"
@@ -18,10 +18,10 @@
 
 	"github.com/rotisserie/eris"
 
-	"hingewinch.org/hingewinch/feed"
-	"hingewinch.org/hingewinch/membership"
-	"hingewinch.org/hingewinch/relay"
-	"hingewinch.org/hingewinch/routing"
+	"hingewinch.org/hingewinch/coordination/membership"
+	"hingewinch.org/hingewinch/coordination/routing"
+	"hingewinch.org/hingewinch/state/feed"
+	"hingewinch.org/hingewinch/transport/relay"
 )
 
 // Time-outs of the servers. An answer has the deadline of its request.
--- a/router/router_test.go
+++ b/daemon/routes/router_test.go
@@ -1,4 +1,4 @@
-package router_test
+package routes_test
 
 import (
 	"bytes"
@@ -19,11 +19,11 @@
 	. "github.com/onsi/gomega"
 
 	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/daemon/routes"
 	"hingewinch.org/hingewinch/internal/standin"
 	"hingewinch.org/hingewinch/platform"
-	"hingewinch.org/hingewinch/relay"
-	"hingewinch.org/hingewinch/router"
 	"hingewinch.org/hingewinch/transport"
+	"hingewinch.org/hingewinch/transport/relay"
 )
 
 // buffer is a log that tests read while it is written.
@@ -55,8 +55,8 @@
 
 // node is one daemon.
 type node struct {
-	*router.Daemon
-	settings *router.Settings
+	*routes.Daemon
+	settings *routes.Settings
 	door     *standin.StoreDoor
 	log      *buffer
 	stop     context.CancelFunc
@@ -109,13 +109,13 @@
 	door, err := s.store.Open()
 	Expect(err).NotTo(HaveOccurred())
 	ip := fmt.Sprintf("%s.%d", s.network, 10+i)
-	settings := &router.Settings{
-		ID: "d", Listen: router.Listeners{Callers: ip + ":0", Readiness: ip + ":0", Operators: ip + ":0", Peers: fmt.Sprintf("%s:%d", ip, s.port)},
+	settings := &routes.Settings{
+		ID: "d", Listen: routes.Listeners{Callers: ip + ":0", Readiness: ip + ":0", Operators: ip + ":0", Peers: fmt.Sprintf("%s:%d", ip, s.port)},
 		Store: door.Address(), Level: "info",
 	}
 	settings.Domain = "z0"
 	settings.Stop.Grace = 2 * time.Second
-	settings.Repeat = router.RepeatSettings{Ratio: 0.2, Extra: 50, Window: 10 * time.Second}
+	settings.Repeat = routes.RepeatSettings{Ratio: 0.2, Extra: 50, Window: 10 * time.Second}
 	for _, seed := range seeds {
 		settings.Seeds = append(settings.Seeds, fmt.Sprintf("%s.%d:1", s.network, 10+seed))
 	}
@@ -127,10 +127,10 @@
 }
 
 func (n *node) run() {
-	d, err := router.New(n.settings, router.Outside{
+	d, err := routes.New(n.settings, routes.Outside{
 		Store: platform.NewStore(n.door.Address()), HistoryGone: platform.ErrHistoryGone, Documents: platform.Documents{},
 		Codec: platform.Codec{}, ReadyPath: platform.PathReady,
-		Front: func(d *router.Daemon) http.Handler {
+		Front: func(d *routes.Daemon) http.Handler {
 			return &platform.Front{View: d.View, Relay: d.Relay, Stopping: d.Stopping, Denied: d.Log.Denied, ComeBack: relay.DefaultRule().ComeBack}
 		},
 	}, n.log)
@@ -150,7 +150,7 @@
 }
 
 func (n *node) ready() bool {
-	resp, err := http.Get("http://" + n.Address(router.ServesReadiness) + platform.PathReady)
+	resp, err := http.Get("http://" + n.Address(routes.ServesReadiness) + platform.PathReady)
 	if err != nil {
 		return false
 	}
@@ -160,7 +160,7 @@
 
 // ask asks the operators' address.
 func (n *node) ask(path string, into any) {
-	resp, err := http.Get("http://" + n.Address(router.ServesOperators) + path)
+	resp, err := http.Get("http://" + n.Address(routes.ServesOperators) + path)
 	if err != nil {
 		return
 	}
@@ -168,15 +168,15 @@
 	_ = json.NewDecoder(resp.Body).Decode(into)
 }
 
-func (n *node) status() router.StatusAnswer {
-	var a router.StatusAnswer
-	n.ask(router.PathStatus, &a)
+func (n *node) status() routes.StatusAnswer {
+	var a routes.StatusAnswer
+	n.ask(routes.PathStatus, &a)
 	return a
 }
 
 // send sends a request and returns the status and who answered.
 func (n *node) send(key string) (int, string) {
-	r, _ := http.NewRequest("POST", "http://"+n.Address(router.ServesCallers)+"/p/x", strings.NewReader("body"))
+	r, _ := http.NewRequest("POST", "http://"+n.Address(routes.ServesCallers)+"/p/x", strings.NewReader("body"))
 	r.Host = "h.example"
 
 	r.Header.Set("Attempt-Id", fmt.Sprintf("id%d", n.sent.Add(1)))
@@ -507,14 +507,14 @@
 		a, b := s.start(), s.start(0)
 		Eventually(b.ready, 3*time.Second).Should(BeTrue())
 		Eventually(func() int { return b.status().Daemons }, 3*time.Second).Should(Equal(2))
-		var members []router.MemberAnswer
-		b.ask(router.PathMembers, &members)
+		var members []routes.MemberAnswer
+		b.ask(routes.PathMembers, &members)
 		Expect(members).To(HaveLen(2))
 		server.Close()
-		var replicas []router.ReplicaAnswer
-		Eventually(func() []router.ReplicaAnswer {
+		var replicas []routes.ReplicaAnswer
+		Eventually(func() []routes.ReplicaAnswer {
 			b.send("k1")
-			b.ask(router.PathReplicas, &replicas)
+			b.ask(routes.PathReplicas, &replicas)
 			return replicas
 		}, 3*time.Second).Should(ContainElement(SatisfyAll(
 			HaveField("ID", BeEquivalentTo("i1")), HaveField("PassedOver", true), HaveField("Why", "unreachable"))))
@@ -525,7 +525,7 @@
 
 	It("serves metrics as text", func() {
 		n := s.start()
-		resp, err := http.Get("http://" + n.Address(router.ServesOperators) + router.PathMetrics)
+		resp, err := http.Get("http://" + n.Address(routes.ServesOperators) + routes.PathMetrics)
 		Expect(err).NotTo(HaveOccurred())
 		defer resp.Body.Close()
 		b, _ := io.ReadAll(resp.Body)
--- a/router/settings.go
+++ b/daemon/routes/settings.go
@@ -1,6 +1,6 @@
 // This file defines the settings of a daemon and checks them as a whole.
 
-package router
+package routes
 
 import (
 	"net"
@@ -9,8 +9,8 @@
 
 	"github.com/rotisserie/eris"
 
-	"hingewinch.org/hingewinch/membership"
-	"hingewinch.org/hingewinch/routing"
+	"hingewinch.org/hingewinch/coordination/membership"
+	"hingewinch.org/hingewinch/coordination/routing"
 	"hingewinch.org/hingewinch/state"
 )
 
--- a/router/settings_test.go
+++ b/daemon/routes/settings_test.go
@@ -1,4 +1,4 @@
-package router_test
+package routes_test
 
 import (
 	"os"
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"hingewinch.org/hingewinch/router"
+	"hingewinch.org/hingewinch/daemon/routes"
 )
 
 const goodSettings = `id: "d1"
@@ -25,14 +25,14 @@
 
 var _ = Describe("Settings", func() {
 	It("reads a file and fills in what is left out", func() {
-		s, err := router.ParseSettings("f", []byte(goodSettings))
+		s, err := routes.ParseSettings("f", []byte(goodSettings))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Repeat.Ratio).To(Equal(0.2))
 		Expect(s.Level).To(Equal("info"))
 	})
 
 	DescribeTable("names file, line and remedy of what is wrong", func(from, to, want string) {
-		_, err := router.ParseSettings("f.yaml", []byte(strings.Replace(goodSettings, from, to, 1)))
+		_, err := routes.ParseSettings("f.yaml", []byte(strings.Replace(goodSettings, from, to, 1)))
 		Expect(err).To(MatchError(And(ContainSubstring("f.yaml:"), ContainSubstring(want))))
 	},
 		Entry("no id", `id: "d1"`, `id: ""`, "name this daemon"),
@@ -51,12 +51,12 @@
 	)
 
 	It("lists all problems at once", func() {
-		_, err := router.ParseSettings("f", []byte("id: \"\"\ndomain: \"\"\n"))
+		_, err := routes.ParseSettings("f", []byte("id: \"\"\ndomain: \"\"\n"))
 		Expect(strings.Count(err.Error(), "\n")).To(BeNumerically(">=", 5))
 	})
 
 	It("is what the template of the deploy file writes", func() {
-		text, err := os.ReadFile("../deploy/settings.yaml.tmpl")
+		text, err := os.ReadFile("../../deploy/settings.yaml.tmpl")
 		Expect(err).NotTo(HaveOccurred())
 		filled := strings.NewReplacer(
 			"{{node_name|json}}", `"edge-1"`, "{{zone|json}}", `"z"`, "{{listen.front|json}}", `"10.1.0.40:8227"`,
@@ -66,7 +66,7 @@
 			"{{bounds.budget_window_s}}", "10", "{{limits.memory_mb}}", "284",
 		).Replace(string(text))
 		Expect(filled).NotTo(ContainSubstring("{{"))
-		s, err := router.ParseSettings("settings.yaml", []byte(filled))
+		s, err := routes.ParseSettings("settings.yaml", []byte(filled))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Listen.Peers).To(Equal("10.1.0.40:7340"))
 		Expect(s.Repeat.Extra).To(Equal(56.0))
--- a/router/suite_test.go
+++ b/daemon/routes/suite_test.go
@@ -1,4 +1,4 @@
-package router_test
+package routes_test
 
 import (
 	"testing"
@@ -11,5 +11,5 @@
 	RegisterFailHandler(Fail)
 	suite, reporter := GinkgoConfiguration()
 	suite.RandomSeed = 1
-	RunSpecs(t, "router", suite, reporter)
+	RunSpecs(t, "routes", suite, reporter)
 }
--- a/internal/soak/planted_test.go
+++ b/internal/soak/planted_test.go
@@ -20,24 +20,6 @@
 	"testing"
 )
 
-// plant is a fault: a text of a source file and what takes its place.
-type plant struct {
-	name, promise string
-	file          string
-	text, instead string
-}
-
-var plants = []plant{
-	{"sends again what may have run", "TWICE", "relay/relay.go", "\tif coordination.MayRepeat(o) {\n\t\treturn true", "\tif o != nil {\n\t\treturn true"},
-	{"takes every third configuration not", "CONFIG", "router/control.go", "c.table, c.tableRev = t, it.Revision", "if c.table == nil || it.Revision%3 != 0 {\n\t\tc.table = t\n\t}\n\tc.tableRev = it.Revision"},
-	{"passes on an answer to another request", "MIXED", "relay/exchange.go", "if x.head.Answers == x.call.ID {", "if x.head.Answers != \"\" {"},
-	{"sends work to leaving replicas", "DRAIN", "router/control.go", "if e.replica.Draining {", "if e.replica.Draining && e.replica.ID == \"\" {"},
-	{"goes on for a caller that left", "GONE", "relay/exchange.go", "func() { _ = x.conn.Close() })", "func() {})"},
-	{"stops without waiting", "LOST", "router/router.go", "_ = d.callers.server.Shutdown(wait)", "_, _ = wait.Deadline()\n\t_ = d.callers.server.Close()"},
-	{"says not run of what may have run", "REFUSED", "platform/front.go", "status := http.StatusBadGateway", "status := http.StatusServiceUnavailable"},
-	{"takes a broken stream as whole", "ORDER", "relay/answer.go", "return x.broken(ctx, eris.Wrap(err, \"read stream\"))", "break"},
-}
-
 // seedsForEach is how many seeds may be played until a fault is found.
 const seedsForEach = 8
 
--- a/feed/feed_test.go
+++ b/state/feed/feed_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 	"pgregory.net/rapid"
 
-	"hingewinch.org/hingewinch/feed"
+	"hingewinch.org/hingewinch/state/feed"
 )
 
 func item(key string, revision feed.Revision) feed.Item {
--- a/relay/answer.go
+++ b/transport/relay/answer.go
@@ -13,7 +13,7 @@
 	"github.com/rotisserie/eris"
 
 	"hingewinch.org/hingewinch/coordination"
-	"hingewinch.org/hingewinch/routing"
+	"hingewinch.org/hingewinch/coordination/routing"
 )
 
 // Errors of answers.
--- a/relay/call.go
+++ b/transport/relay/call.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"hingewinch.org/hingewinch/coordination"
-	"hingewinch.org/hingewinch/routing"
+	"hingewinch.org/hingewinch/coordination/routing"
 	"hingewinch.org/hingewinch/state"
 )
 
--- a/relay/conn.go
+++ b/transport/relay/conn.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"hingewinch.org/hingewinch/routing"
+	"hingewinch.org/hingewinch/coordination/routing"
 )
 
 // Settings of connections.
--- a/relay/exchange.go
+++ b/transport/relay/exchange.go
@@ -17,7 +17,7 @@
 	"github.com/rotisserie/eris"
 
 	"hingewinch.org/hingewinch/coordination"
-	"hingewinch.org/hingewinch/routing"
+	"hingewinch.org/hingewinch/coordination/routing"
 )
 
 // Settings of exchanges.
--- a/relay/relay.go
+++ b/transport/relay/relay.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"hingewinch.org/hingewinch/coordination"
-	"hingewinch.org/hingewinch/routing"
+	"hingewinch.org/hingewinch/coordination/routing"
 )
 
 // Rule holds the figures of a relay.
--- a/relay/relay_test.go
+++ b/transport/relay/relay_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/gomega"
 
 	"hingewinch.org/hingewinch/coordination"
-	"hingewinch.org/hingewinch/relay"
-	"hingewinch.org/hingewinch/routing"
+	"hingewinch.org/hingewinch/coordination/routing"
+	"hingewinch.org/hingewinch/transport/relay"
 )
 
 var (
--- a/relay/replica_test.go
+++ b/transport/relay/replica_test.go
@@ -14,9 +14,9 @@
 	. "github.com/onsi/gomega"
 
 	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/coordination/routing"
 	"hingewinch.org/hingewinch/platform"
-	"hingewinch.org/hingewinch/relay"
-	"hingewinch.org/hingewinch/routing"
+	"hingewinch.org/hingewinch/transport/relay"
 )
 
 // arrival is a request as a replica read it.
--- a/relay/retry_test.go
+++ b/transport/relay/retry_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"hingewinch.org/hingewinch/coordination"
-	"hingewinch.org/hingewinch/routing"
+	"hingewinch.org/hingewinch/coordination/routing"
 )
 
 var update = flag.Bool("update-golden", false, "write the golden files anew; only for a rule that is meant to change")
