--- a/coordination/arrange_bench_test.go
+++ b/coordination/fleet/arrange_bench_test.go
@@ -1,4 +1,4 @@
-package coordination_test
+package fleet_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/coordination/fleet"
 	"hingewinch.org/hingewinch/state"
 )
 
@@ -21,15 +21,15 @@
 		}
 		members = append(members, m)
 	}
-	f := coordination.NewFleet(coordination.Self{ID: "vm-000000", Incarnation: 1, Domain: "fd-0"}, rand.New(rand.NewPCG(1, 1)))
-	f.Handle(epoch, coordination.ConfigLearned{Config: meshConfig(1, "x")})
+	f := fleet.NewFleet(fleet.Self{ID: "vm-000000", Incarnation: 1, Domain: "fd-0"}, rand.New(rand.NewPCG(1, 1)))
+	f.Handle(epoch, fleet.ConfigLearned{Config: meshConfig(1, "x")})
 	lists := make([]*state.MemberList, b.N)
 	for i := range lists {
 		lists[i] = state.NewMemberList(state.ListRevision(i+1), nil, members)
 	}
 	b.ResetTimer()
 	for i := range b.N {
-		f.Handle(epoch.Add(time.Duration(i)*time.Minute), coordination.ListLearned{List: lists[i]})
+		f.Handle(epoch.Add(time.Duration(i)*time.Minute), fleet.ListLearned{List: lists[i]})
 	}
 }
 
@@ -49,13 +49,13 @@
 		taken := epoch.Add(-time.Duration(i) * time.Minute)
 		history = append(history, state.DatedList{List: state.NewMemberList(1, nil, members), Taken: taken})
 	}
-	key := coordination.LedgerKey{Workspace: "w", Service: "gate", Key: "own"}
-	keeper, _ := coordination.KeeperOf(history[0].List, key)
+	key := fleet.LedgerKey{Workspace: "w", Service: "gate", Key: "own"}
+	keeper, _ := fleet.KeeperOf(history[0].List, key)
 	view := state.KeeperEpoch{Confirmed: epoch, Ticked: epoch, History: history}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		if coordination.MayKeep(epoch, state.DaemonID(keeper.ID), view, key, coordination.RulesOf(nil)) != nil {
+		if fleet.MayKeep(epoch, state.DaemonID(keeper.ID), view, key, fleet.RulesOf(nil)) != nil {
 			b.Fatal("the keeper may not keep")
 		}
 	}
--- a/coordination/assemble.go
+++ b/coordination/fleet/assemble.go
@@ -2,7 +2,7 @@
 // It is apart from the relay so that a property test can drive it with every
 // order of late, repeated, lost and foreign chunks.
 
-package coordination
+package fleet
 
 // Chunk is what the assembler needs to know of one event of a stream.
 type Chunk struct {
--- a/coordination/budget.go
+++ b/coordination/fleet/budget.go
@@ -1,7 +1,7 @@
 // This file defines the budget that keeps retries a fraction of the traffic, so
 // that an outage is not answered by a storm of further attempts.
 
-package coordination
+package fleet
 
 // Retry budget settings.
 const (
--- a/coordination/challenge.go
+++ b/coordination/fleet/challenge.go
@@ -4,7 +4,7 @@
 // can be trusted to say so; a challenge is made and read by one clock, the
 // keeper's own.
 
-package coordination
+package fleet
 
 import (
 	"crypto/hmac"
--- a/coordination/choose.go
+++ b/coordination/fleet/choose.go
@@ -1,9 +1,12 @@
 // This file chooses the upstream of a request. It is apart from the rest
 // because it runs for every request, on a snapshot, without allocation.
 
-package coordination
+package fleet
 
-import "hingewinch.org/hingewinch/state"
+import (
+	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/state"
+)
 
 // Choose returns the upstream for a chat: of the candidates whose gate lets the
 // chat pass, the one that ranks highest. If no gate lets it pass, the candidate
@@ -25,7 +28,7 @@
 		if widest == nil || c.Gate > widest.Gate {
 			widest = c
 		}
-		s := score(uint64(key), c.Hash)
+		s := coordination.Rank(uint64(key), c.Hash)
 		if best != nil && s <= bestScore {
 			continue
 		}
@@ -42,7 +45,7 @@
 // passes draws the thinning hash from the score by a second mix: the score's
 // own bits are large for a chat's home and would not be a fair draw.
 func passes(score uint64, g state.Gate) bool {
-	return g == state.GateFull || state.Gate(mix(score)>>48) < g
+	return g == state.GateFull || state.Gate(coordination.Scramble(score)>>48) < g
 }
 
 func avoided(avoid []state.UpstreamID, id state.UpstreamID) bool {
@@ -59,7 +62,7 @@
 	var best *state.Member
 	var bestScore uint64
 	for i := range members {
-		s := score(key, Hash(members[i].ID))
+		s := coordination.Rank(key, coordination.Hash(members[i].ID))
 		if best == nil || s > bestScore {
 			best, bestScore = &members[i], s
 		}
@@ -71,6 +74,6 @@
 // for a duty. Two daemons whose lists differ may both hold one; every duty is
 // designed so that this does no harm.
 func HoldsDuty(members []state.Member, self state.DaemonID, duty string) bool {
-	m := rankFirst(members, Hash(duty))
+	m := rankFirst(members, coordination.Hash(duty))
 	return m != nil && m.ID == string(self)
 }
--- a/coordination/decisions_test.go
+++ b/coordination/fleet/decisions_test.go
@@ -1,4 +1,4 @@
-package coordination_test
+package fleet_test
 
 import (
 	"fmt"
@@ -10,6 +10,7 @@
 	"pgregory.net/rapid"
 
 	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/coordination/fleet"
 	"hingewinch.org/hingewinch/state"
 )
 
@@ -19,13 +20,13 @@
 func TestAssembler(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const total = 12
-		var asm coordination.Assembler
-		if asm.Accept(coordination.Chunk{Stream: "s", Seq: 1}) != coordination.Forward {
+		var asm fleet.Assembler
+		if asm.Accept(fleet.Chunk{Stream: "s", Seq: 1}) != fleet.Forward {
 			t.Fatal("the first chunk was not forwarded")
 		}
 		next, forwarded := uint64(2), uint64(1)
 		for range 200 {
-			c := coordination.Chunk{Stream: "s", Seq: next}
+			c := fleet.Chunk{Stream: "s", Seq: next}
 			switch rapid.IntRange(0, 9).Draw(t, "fault") {
 			case 0: // an old chunk comes late
 				c.Seq = uint64(rapid.IntRange(1, int(next)).Draw(t, "late"))
@@ -38,18 +39,18 @@
 			}
 			c.Final = c.Seq == total
 			switch asm.Accept(c) {
-			case coordination.Forward:
+			case fleet.Forward:
 				if c.Stream != "s" || c.Seq != forwarded+1 {
 					t.Fatalf("chunk %d of %q was forwarded after %d", c.Seq, c.Stream, forwarded)
 				}
 				forwarded++
 				next = forwarded + 1
-			case coordination.Missing:
+			case fleet.Missing:
 				if _, after, ok := asm.Resumable(); ok && after != forwarded {
 					t.Fatalf("resume after %d, but %d were forwarded", after, forwarded)
 				}
 				next = forwarded + 1
-			case coordination.Drop:
+			case fleet.Drop:
 			}
 			if asm.Whole() != (forwarded == total) {
 				t.Fatalf("whole is %v after %d of %d", asm.Whole(), forwarded, total)
@@ -58,8 +59,8 @@
 	})
 }
 
-var drawReport = rapid.Custom(func(t *rapid.T) coordination.Report {
-	return coordination.Report{
+var drawReport = rapid.Custom(func(t *rapid.T) fleet.Report {
+	return fleet.Report{
 		ID:          "e",
 		Incarnation: state.Incarnation(rapid.IntRange(1, 3).Draw(t, "incarnation")),
 		State:       state.MemberState(rapid.IntRange(1, 3).Draw(t, "state")),
@@ -103,8 +104,8 @@
 		i := rapid.IntRange(0, len(p.Candidates)-1).Draw(t, "engine")
 		smaller := &state.Pool{Candidates: append(append([]state.Candidate{}, p.Candidates[:i]...), p.Candidates[i+1:]...)}
 		key := state.ChatKey(rapid.Uint64().Draw(t, "chat"))
-		before, _ := coordination.Choose(p, key, nil)
-		after, _ := coordination.Choose(smaller, key, nil)
+		before, _ := fleet.Choose(p, key, nil)
+		after, _ := fleet.Choose(smaller, key, nil)
 		if before.ID != p.Candidates[i].ID && before.ID != after.ID {
 			t.Fatal("a chat moved although its home stayed")
 		}
@@ -116,7 +117,7 @@
 		n := 0
 		const chats = 20_000
 		for k := range chats {
-			c, _ := coordination.Choose(p, state.ChatKey(coordination.Hash(fmt.Sprint(k))), nil)
+			c, _ := fleet.Choose(p, state.ChatKey(coordination.Hash(fmt.Sprint(k))), nil)
 			if c.ID == id {
 				n++
 			}
@@ -137,23 +138,17 @@
 			p.Candidates[i].Gate = 0
 		}
 		p.Candidates[1].Gate = 1
-		c, ok := coordination.Choose(p, 7, nil)
+		c, ok := fleet.Choose(p, 7, nil)
 		Expect(ok).To(BeTrue())
 		Expect(c.ID).To(Equal(state.UpstreamID("engine-1")))
 	})
 	It("says so if all are avoided", func() {
-		_, ok := coordination.Choose(poolOf(1), 7, []state.UpstreamID{"engine-0"})
+		_, ok := fleet.Choose(poolOf(1), 7, []state.UpstreamID{"engine-0"})
 		Expect(ok).To(BeFalse())
 	})
 	It("allocates nothing", func() {
 		p := poolOf(190)
-		Expect(testing.AllocsPerRun(100, func() { coordination.Choose(p, 7, nil) })).To(BeZero())
-	})
-})
-
-var _ = Describe("ChatKeyOf", func() {
-	It("differs when a byte moves between fields", func() {
-		Expect(coordination.ChatKeyOf("ab", "c", nil)).NotTo(Equal(coordination.ChatKeyOf("a", "bc", nil)))
+		Expect(testing.AllocsPerRun(100, func() { fleet.Choose(p, 7, nil) })).To(BeZero())
 	})
 })
 
@@ -161,55 +156,22 @@
 	It("narrows under load and opens again", func() {
 		g := state.GateFull
 		for range 60 {
-			g = coordination.NextGate(g, 20_000, 5_000, 1.25)
+			g = fleet.NextGate(g, 20_000, 5_000, 1.25)
 		}
 		Expect(g).To(BeNumerically("<", state.GateFull/4))
 		for range 60 {
-			g = coordination.NextGate(g, 1_000, 5_000, 1.25)
+			g = fleet.NextGate(g, 1_000, 5_000, 1.25)
 		}
 		Expect(g).To(Equal(state.GateFull))
 	})
 	It("does not gate a load that no bound could keep out", func() {
-		Expect(coordination.NextGate(state.GateFull, 1_000, 10, 1.25)).To(Equal(state.GateFull))
-	})
-})
-
-var _ = Describe("HybridClock", func() {
-	It("stamps an effect after its cause although the clock is behind", func() {
-		var ahead, behind coordination.HybridClock
-		cause := ahead.Next(epoch.Add(5 * time.Second))
-		behind.Observe(epoch, cause)
-		Expect(behind.Next(epoch).Compare(cause)).To(BeNumerically(">", 0))
-	})
-	It("is not dragged far by a wrong clock", func() {
-		var c coordination.HybridClock
-		c.Observe(epoch, coordination.Stamp{Wall: epoch.Add(24 * time.Hour).UnixNano()})
-		Expect(c.Next(epoch).Wall).To(BeNumerically("<=", epoch.Add(coordination.MaxStampLead).UnixNano()))
-	})
-	It("orders a merged time line by cause", func() {
-		var a, b coordination.HybridClock
-		first := coordination.TimelineEvent{Stamp: a.Next(epoch.Add(time.Minute)), Daemon: "a", Text: "cause"}
-		b.Observe(epoch, first.Stamp)
-		second := coordination.TimelineEvent{Stamp: b.Next(epoch), Daemon: "b", Text: "effect"}
-		merged := coordination.MergeTimelines([]coordination.TimelineEvent{second}, []coordination.TimelineEvent{first})
-		Expect(merged).To(Equal([]coordination.TimelineEvent{first, second}))
-	})
-})
-
-var _ = Describe("Ring", func() {
-	It("keeps the newest", func() {
-		r := coordination.NewRing(2)
-		for _, text := range []string{"a", "b", "c"} {
-			r.Add(coordination.TimelineEvent{Text: text})
-		}
-		Expect(r.Events()).To(HaveLen(2))
-		Expect(r.Events()[0].Text).To(Equal("b"))
+		Expect(fleet.NextGate(state.GateFull, 1_000, 10, 1.25)).To(Equal(state.GateFull))
 	})
 })
 
 var _ = Describe("RetryBudget", func() {
 	It("bounds retries to a tenth of the traffic under total outage", func() {
-		b := coordination.NewRetryBudget()
+		b := fleet.NewRetryBudget()
 		retries := 0
 		const requests = 10_000
 		for range requests {
@@ -230,18 +192,18 @@
 			p := poolOf(n)
 			b.ReportAllocs()
 			for i := range b.N {
-				coordination.Choose(p, state.ChatKey(i), nil)
+				fleet.Choose(p, state.ChatKey(i), nil)
 			}
 		})
 	}
 }
 
 func BenchmarkLedgerMemory(b *testing.B) {
-	l := coordination.NewLedger(1 << 40)
+	l := fleet.NewLedger(1 << 40)
 	b.ReportAllocs()
 	for i := range b.N {
-		k := coordination.LedgerKey{Workspace: "city-corp", Service: "gate", Key: fmt.Sprintf("hwt1.%060d.%022d", i, i)}
-		l.Begin(epoch, k, coordination.Fingerprint{}, time.Hour)
+		k := fleet.LedgerKey{Workspace: "city-corp", Service: "gate", Key: fmt.Sprintf("hwt1.%060d.%022d", i, i)}
+		l.Begin(epoch, k, fleet.Fingerprint{}, time.Hour)
 		l.Finish(k, coordination.MayHaveRun{}, nil)
 	}
 }
--- a/coordination/documents.go
+++ b/coordination/fleet/documents.go
@@ -2,11 +2,12 @@
 // publishes: the operators' file and the member list. A document is taken whole
 // and never followed by an older one.
 
-package coordination
+package fleet
 
 import (
 	"time"
 
+	"hingewinch.org/hingewinch/coordination"
 	"hingewinch.org/hingewinch/state"
 )
 
@@ -35,7 +36,7 @@
 func (f *Fleet) takeConfig(now time.Time, c *state.Config) {
 	old, head := f.configHead(), c.Head()
 	if head.Version == old.Version && head != old && !old.IsZero() {
-		f.note(EventConfigClash, head.String(), "two contents carry version %d: %v and %v; the higher digest is in force, publish a higher version", head.Version, old, head)
+		f.note(coordination.EventConfigClash, head.String(), "two contents carry version %d: %v and %v; the higher digest is in force, publish a higher version", head.Version, old, head)
 	}
 	if head.Compare(old) <= 0 {
 		return
@@ -45,7 +46,7 @@
 	}
 	f.config = c
 	f.dirty = true
-	f.note(EventConfigTaken, head.String(), "configuration %v follows %v", head, old)
+	f.note(coordination.EventConfigTaken, head.String(), "configuration %v follows %v", head, old)
 	f.settle(now)
 	f.arrange()
 	f.urgent = true
@@ -56,7 +57,7 @@
 		return
 	}
 	f.refused[ev.Head] = true
-	f.note(EventConfigRefused, ev.Head.String(), "configuration is not valid and not applied: %v", ev.Err)
+	f.note(coordination.EventConfigRefused, ev.Head.String(), "configuration is not valid and not applied: %v", ev.Err)
 }
 
 // settlePeers is how many peers are asked.
@@ -142,7 +143,7 @@
 	f.doubted = l
 	f.urgent = true
 	f.emit(HoldList{l})
-	f.note(EventListDoubted, l.Head.String(), "list %v lost most members; the last good one serves for up to %v", l.Head, doubtTime)
+	f.note(coordination.EventListDoubted, l.Head.String(), "list %v lost most members; the last good one serves for up to %v", l.Head, doubtTime)
 }
 
 func (f *Fleet) endDoubt(now time.Time) {
@@ -154,7 +155,7 @@
 
 func (f *Fleet) takeList(now time.Time, l *state.MemberList) {
 	f.notePeers(l)
-	f.note(EventListTaken, l.Head.String(), "member list %v follows %v", l.Head, f.listHead())
+	f.note(coordination.EventListTaken, l.Head.String(), "member list %v follows %v", l.Head, f.listHead())
 	f.list = l
 	f.doubted = nil
 	f.history = append([]state.DatedList{{List: l, Taken: now}}, f.history...)
--- a/coordination/event.go
+++ b/coordination/fleet/event.go
@@ -1,11 +1,12 @@
 // This file defines what a Fleet is told and what it asks for. Both are sealed:
 // a type switch over them is complete.
 
-package coordination
+package fleet
 
 import (
 	"time"
 
+	"hingewinch.org/hingewinch/coordination"
 	"hingewinch.org/hingewinch/state"
 )
 
@@ -117,7 +118,7 @@
 
 // Note is an entry for the time line.
 type Note struct {
-	Kind  EventKind
+	Kind  coordination.EventKind
 	About string
 	Text  string
 }
@@ -144,7 +145,7 @@
 	Domain      state.FailureDomain
 	Address     string // where the sender's peers reach it
 	Leaving     bool
-	Stamp       Stamp
+	Stamp       coordination.Stamp
 	Config      state.Head
 	List        state.Head
 	ListAge     time.Duration // since the platform confirmed the list; negative if never, or if it is doubted
--- a/coordination/exchange.go
+++ b/coordination/fleet/exchange.go
@@ -1,13 +1,14 @@
 // This file holds the Fleet's exchanges with its peers: whom to talk to, what
 // to tell, what to take in.
 
-package coordination
+package fleet
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
+	"hingewinch.org/hingewinch/coordination"
 	"hingewinch.org/hingewinch/state"
 )
 
@@ -217,13 +218,13 @@
 	delete(f.peerSuspects, n.Sender)
 	if f.unreachable[n.Sender] {
 		delete(f.unreachable, n.Sender)
-		f.note(EventPeerState, string(n.Sender), "peer can be reached again")
+		f.note(coordination.EventPeerState, string(n.Sender), "peer can be reached again")
 	}
 	life, leaving := f.peerLeaving[n.Sender]
 	switch {
 	case n.Leaving && life != n.Incarnation:
 		f.peerLeaving[n.Sender] = n.Incarnation
-		f.note(EventPeerState, string(n.Sender), "peer is leaving as planned")
+		f.note(coordination.EventPeerState, string(n.Sender), "peer is leaving as planned")
 		changed = true
 	case !n.Leaving && leaving && life != n.Incarnation:
 		// Leaving is final for a process; this one is its successor.
@@ -259,7 +260,7 @@
 	}
 	if !f.unreachable[id] {
 		f.unreachable[id] = true
-		f.note(EventPeerState, string(id), "peer can't be reached")
+		f.note(coordination.EventPeerState, string(id), "peer can't be reached")
 	}
 	pass := suspectTime
 	if !f.settled {
@@ -276,7 +277,7 @@
 	}
 	for _, m := range f.list.Daemons() {
 		if next.Find(m.ID) == nil {
-			f.note(EventPeerState, m.ID, "peer is gone from the list")
+			f.note(coordination.EventPeerState, m.ID, "peer is gone from the list")
 			delete(f.peerLeaving, state.DaemonID(m.ID))
 			delete(f.edges, state.DaemonID(m.ID))
 			delete(f.unreachable, state.DaemonID(m.ID))
--- a/coordination/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -2,13 +2,14 @@
 // it knows, and the dispatch of events. Documents, reports and exchanges stand
 // in files of their own.
 
-package coordination
+package fleet
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"time"
 
+	"hingewinch.org/hingewinch/coordination"
 	"hingewinch.org/hingewinch/state"
 )
 
@@ -146,7 +147,7 @@
 		f.tick(now, ev.Wall)
 	case StopBegun:
 		f.stopped = true
-		f.note(EventStopBegun, string(f.self.ID), "stop begun; no new work")
+		f.note(coordination.EventStopBegun, string(f.self.ID), "stop begun; no new work")
 		f.urgent = true
 	}
 	if f.urgent {
@@ -159,7 +160,7 @@
 
 func (f *Fleet) emit(e Effect) { f.effects = append(f.effects, e) }
 
-func (f *Fleet) note(kind EventKind, about, format string, args ...any) {
+func (f *Fleet) note(kind coordination.EventKind, about, format string, args ...any) {
 	f.emit(Note{Kind: kind, About: about, Text: fmt.Sprintf(format, args...)})
 }
 
@@ -184,7 +185,7 @@
 		Members: f.list,
 		Status:  f.statuses(),
 		Domain:  f.self.Domain,
-		Hash:    Hash,
+		Hash:    coordination.Hash,
 		Epoch:   f.epoch(),
 	}
 	if f.settled {
@@ -228,7 +229,7 @@
 	if first || (late < freezeAfter && jump < freezeAfter) {
 		return
 	}
-	f.note(EventFreeze, string(f.self.ID), "control loop was paused for about %v; list is distrusted until confirmed", max(late, jump).Round(time.Millisecond))
+	f.note(coordination.EventFreeze, string(f.self.ID), "control loop was paused for about %v; list is distrusted until confirmed", max(late, jump).Round(time.Millisecond))
 	f.confirmed = time.Time{}
 	f.paused = now
 	f.nextRead = now
--- a/coordination/fleet_test.go
+++ b/coordination/fleet/fleet_test.go
@@ -1,4 +1,4 @@
-package coordination_test
+package fleet_test
 
 import (
 	"fmt"
@@ -10,6 +10,7 @@
 	"pgregory.net/rapid"
 
 	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/coordination/fleet"
 	"hingewinch.org/hingewinch/state"
 )
 
@@ -32,7 +33,7 @@
 	for _, n := range m.nodes {
 		for _, u := range n.watched {
 			if u.ID == engine {
-				m.tell(n, coordination.UpstreamSeen{ID: state.UpstreamID(engine), Incarnation: 1, State: st, Load: load})
+				m.tell(n, fleet.UpstreamSeen{ID: state.UpstreamID(engine), Incarnation: 1, State: st, Load: load})
 			}
 		}
 	}
@@ -60,8 +61,8 @@
 	It("takes one of two contents under a version everywhere and says so", func() {
 		m := settledMesh(8, 2, 2)
 		one, two := meshConfig(2, "by one operator"), meshConfig(2, "by another")
-		m.tell(m.nodes[0], coordination.ConfigLearned{Config: one})
-		m.tell(m.nodes[7], coordination.ConfigLearned{Config: two})
+		m.tell(m.nodes[0], fleet.ConfigLearned{Config: one})
+		m.tell(m.nodes[7], fleet.ConfigLearned{Config: two})
 		m.run(5 * time.Second)
 		winner := one
 		if two.Head().Compare(one.Head()) > 0 {
@@ -110,7 +111,7 @@
 		m.run(5 * time.Second)
 		Expect(m.share(serves("e1"))).To(BeZero())
 		for _, n := range m.nodes {
-			m.tell(n, coordination.UpstreamSeen{ID: "e1", Incarnation: 2, State: state.Live})
+			m.tell(n, fleet.UpstreamSeen{ID: "e1", Incarnation: 2, State: state.Live})
 		}
 		m.run(5 * time.Second)
 		Expect(m.share(serves("e1"))).To(Equal(1.0))
@@ -227,7 +228,7 @@
 		m := settledMesh(3, 1, 9)
 		n := m.nodes[0]
 		Expect(n.watched).NotTo(BeEmpty())
-		m.tell(n, coordination.StopBegun{})
+		m.tell(n, fleet.StopBegun{})
 		m.run(2 * time.Second)
 		total := 0
 		for _, other := range m.nodes[1:] {
@@ -254,7 +255,7 @@
 			case 1:
 				m.config = meshConfig(rapid.IntRange(1, version).Draw(t, "stale"), "stale")
 			case 2:
-				m.tell(n, coordination.ConfigLearned{Config: meshConfig(version, fmt.Sprint("race ", rapid.IntRange(0, 3).Draw(t, "race")))})
+				m.tell(n, fleet.ConfigLearned{Config: meshConfig(version, fmt.Sprint("race ", rapid.IntRange(0, 3).Draw(t, "race")))})
 			case 3:
 				cut[n.self.ID] = !cut[n.self.ID]
 			case 4:
--- a/coordination/gate.go
+++ b/coordination/fleet/gate.go
@@ -2,7 +2,7 @@
 // that watches an engine runs it on each load report and publishes one number,
 // the gate: the share of the engine's home traffic that it may still take.
 
-package coordination
+package fleet
 
 import "hingewinch.org/hingewinch/state"
 
--- a/coordination/keeper.go
+++ b/coordination/fleet/keeper.go
@@ -10,11 +10,12 @@
 // window, the longest lease and a margin have passed since it ranked first. And
 // what was held up on the way, in a socket or a paused process, is refused.
 
-package coordination
+package fleet
 
 import (
 	"time"
 
+	"hingewinch.org/hingewinch/coordination"
 	"hingewinch.org/hingewinch/state"
 )
 
@@ -48,7 +49,7 @@
 
 // keyHash is the ranking hash of a key.
 func keyHash(k LedgerKey) uint64 {
-	return uint64(ChatKeyOf(k.Workspace, state.ModelID(k.Service), []byte(k.Key)))
+	return uint64(coordination.ChatKeyOf(k.Workspace, state.ModelID(k.Service), []byte(k.Key)))
 }
 
 // KeeperOf returns the keeper of a key by a member list, or false if the list
@@ -65,13 +66,13 @@
 // MayKeep decides whether self may act on a key now. It must be asked again
 // right before the first byte is written. A nil outcome means yes. No refusal
 // says not-run: another keeper may have run the key.
-func MayKeep(now time.Time, self state.DaemonID, epoch state.KeeperEpoch, k LedgerKey, r KeeperRules) Outcome {
+func MayKeep(now time.Time, self state.DaemonID, epoch state.KeeperEpoch, k LedgerKey, r KeeperRules) coordination.Outcome {
 	if epoch.Confirmed.IsZero() || now.Sub(epoch.Confirmed) > r.Lease || asleep(now, epoch) {
-		return MayHaveRun{Reason: ReasonKeeperStale, RetryAfter: time.Second}
+		return coordination.MayHaveRun{Reason: coordination.ReasonKeeperStale, RetryAfter: time.Second}
 	}
 	since, first := rankedFirstSince(self, epoch.History, k)
 	if !first {
-		return MayHaveRun{Reason: ReasonKeeperAway, RetryAfter: time.Second}
+		return coordination.MayHaveRun{Reason: coordination.ReasonKeeperAway, RetryAfter: time.Second}
 	}
 	for _, t := range []time.Time{epoch.WindowSince, epoch.Paused} {
 		// Keys of the time before were remembered for a shorter window, or
@@ -81,7 +82,7 @@
 		}
 	}
 	if left := r.QuietTime() - now.Sub(since); left > 0 {
-		return MayHaveRun{Reason: ReasonKeeperQuiet, RetryAfter: left}
+		return coordination.MayHaveRun{Reason: coordination.ReasonKeeperQuiet, RetryAfter: left}
 	}
 	return nil
 }
@@ -94,9 +95,9 @@
 
 // MayPassOn decides whether a daemon may take in a request with a caller's own
 // key and send it to the keeper. A nil outcome means yes.
-func MayPassOn(now time.Time, epoch state.KeeperEpoch) Outcome {
+func MayPassOn(now time.Time, epoch state.KeeperEpoch) coordination.Outcome {
 	if asleep(now, epoch) || (!epoch.Paused.IsZero() && now.Sub(epoch.Paused) < afterPause) {
-		return MayHaveRun{Reason: ReasonKeeperStale, RetryAfter: afterPause}
+		return coordination.MayHaveRun{Reason: coordination.ReasonKeeperStale, RetryAfter: afterPause}
 	}
 	return nil
 }
--- a/coordination/ledger.go
+++ b/coordination/fleet/ledger.go
@@ -2,12 +2,13 @@
 // requests that must not be repeated. It is the only place that gives leave to
 // start one.
 
-package coordination
+package fleet
 
 import (
 	"container/list"
 	"time"
 
+	"hingewinch.org/hingewinch/coordination"
 	"hingewinch.org/hingewinch/state"
 )
 
@@ -64,7 +65,7 @@
 	// Done is closed when the attempt has ended.
 	Done chan struct{}
 	// Outcome may be read once Done is closed.
-	Outcome Outcome
+	Outcome coordination.Outcome
 }
 
 // Replay means that the request has run; Answer is what it returned.
@@ -74,7 +75,7 @@
 type Conflict struct{}
 
 // Deny refuses the request.
-type Deny struct{ Outcome Outcome }
+type Deny struct{ Outcome coordination.Outcome }
 
 func (Start) isAdmission()    {}
 func (Wait) isAdmission()     {}
@@ -136,7 +137,7 @@
 		return l.repeat(el.Value.(*ledgerEntry), fp)
 	}
 	if l.bytes+entryOverhead > l.limit {
-		return Deny{NotRun{Reason: ReasonLedgerFull, RetryAfter: ledgerFullRetry}}
+		return Deny{coordination.NotRun{Reason: coordination.ReasonLedgerFull, RetryAfter: ledgerFullRetry}}
 	}
 	e := &ledgerEntry{key: key, fingerprint: fp, expires: now.Add(keep), first: &FirstAttempt{Done: make(chan struct{})}, running: true, bytes: entryOverhead}
 	l.entries[key] = l.insert(e)
@@ -153,7 +154,7 @@
 	case e.answer != nil:
 		return Replay{Answer: e.answer}
 	}
-	return Deny{MayHaveRun{Reason: ReasonKeyUnknownEnd, RetryAfter: unknownEndRetry}}
+	return Deny{coordination.MayHaveRun{Reason: coordination.ReasonKeyUnknownEnd, RetryAfter: unknownEndRetry}}
 }
 
 // insert keeps the order by expiry. Keys mostly come with the same window, so
@@ -170,7 +171,7 @@
 // Finish records how the request of a key ended. A request that was surely not
 // run is forgotten, so that a repeat may start it. An answer that no longer
 // fits is dropped and its key is kept: repeats are then refused, not run.
-func (l *Ledger) Finish(key LedgerKey, o Outcome, answer *StoredAnswer) {
+func (l *Ledger) Finish(key LedgerKey, o coordination.Outcome, answer *StoredAnswer) {
 	el, ok := l.entries[key]
 	if !ok {
 		return
@@ -182,11 +183,11 @@
 	e.running = false
 	e.first.Outcome = o
 	close(e.first.Done)
-	if _, notRun := o.(NotRun); notRun {
+	if _, notRun := o.(coordination.NotRun); notRun {
 		l.remove(el)
 		return
 	}
-	if _, answered := o.(Answered); answered && answer != nil && l.bytes+answer.size() <= l.limit {
+	if _, answered := o.(coordination.Answered); answered && answer != nil && l.bytes+answer.size() <= l.limit {
 		e.answer = answer
 		e.bytes += answer.size()
 		l.bytes += answer.size()
--- a/coordination/mesh_test.go
+++ b/coordination/fleet/mesh_test.go
@@ -1,4 +1,4 @@
-package coordination_test
+package fleet_test
 
 import (
 	"container/heap"
@@ -9,6 +9,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/coordination/fleet"
 	"hingewinch.org/hingewinch/protocol"
 	"hingewinch.org/hingewinch/state"
 )
@@ -34,13 +35,13 @@
 }
 
 type meshNode struct {
-	fleet    *coordination.Fleet
-	self     coordination.Self
+	fleet    *fleet.Fleet
+	self     fleet.Self
 	snapshot *state.Snapshot
 	known    []*state.Config
 	lists    []*state.MemberList
 	watched  []state.Member
-	notes    []coordination.Note
+	notes    []fleet.Note
 	served   []state.Head // configurations that traffic was given, in order
 	frozen   bool
 	held     []func()
@@ -86,7 +87,7 @@
 
 func (m *mesh) add(i int, d state.FailureDomain) *meshNode {
 	id := state.DaemonID(fmt.Sprintf("d%d", i))
-	self := coordination.Self{ID: id, Incarnation: state.Incarnation(i + 1), Domain: d, Address: "addr-" + string(id)}
+	self := fleet.Self{ID: id, Incarnation: state.Incarnation(i + 1), Domain: d, Address: "addr-" + string(id)}
 	n := &meshNode{self: self}
 	m.nodes = append(m.nodes, n)
 	m.byAddress[self.Address] = n
@@ -97,7 +98,7 @@
 // restart gives a node a new process that knows nothing.
 func (m *mesh) restart(n *meshNode) {
 	n.self.Incarnation += 1000
-	n.fleet = coordination.NewFleet(n.self, rand.New(rand.NewPCG(uint64(n.self.Incarnation), 3)))
+	n.fleet = fleet.NewFleet(n.self, rand.New(rand.NewPCG(uint64(n.self.Incarnation), 3)))
 	n.snapshot, n.known, n.lists, n.served = nil, nil, nil, nil
 }
 
@@ -109,13 +110,13 @@
 // start lets every node tick, each at a phase of its own.
 func (m *mesh) start() {
 	for _, n := range m.nodes {
-		m.at(time.Duration(m.rng.Int64N(int64(coordination.TickInterval))), func() { m.tick(n) })
+		m.at(time.Duration(m.rng.Int64N(int64(fleet.TickInterval))), func() { m.tick(n) })
 	}
 }
 
 func (m *mesh) tick(n *meshNode) {
-	m.tell(n, coordination.Tick{Wall: m.now})
-	m.at(coordination.TickInterval, func() { m.tick(n) })
+	m.tell(n, fleet.Tick{Wall: m.now})
+	m.at(fleet.TickInterval, func() { m.tick(n) })
 }
 
 // run lets time pass.
@@ -130,9 +131,9 @@
 }
 
 // tell hands an event to a node; a frozen one gets it when it wakes.
-func (m *mesh) tell(n *meshNode, ev coordination.Event) {
+func (m *mesh) tell(n *meshNode, ev fleet.Event) {
 	if n.frozen {
-		if _, isTick := ev.(coordination.Tick); !isTick {
+		if _, isTick := ev.(fleet.Tick); !isTick {
 			n.held = append(n.held, func() { m.tell(n, ev) })
 		}
 		return
@@ -151,43 +152,43 @@
 	}
 }
 
-func (m *mesh) carryOut(n *meshNode, eff coordination.Effect) {
+func (m *mesh) carryOut(n *meshNode, eff fleet.Effect) {
 	switch eff := eff.(type) {
-	case coordination.Publish:
+	case fleet.Publish:
 		n.snapshot = eff.Snapshot
 		if c := eff.Snapshot.Config; c != nil {
 			n.served = append(n.served, c.Head())
 		}
-	case coordination.SendNews:
+	case fleet.SendNews:
 		m.exchange(n, eff)
-	case coordination.FetchConfig:
-		m.fetch(n, eff.Peer, func(p *meshNode) coordination.Event {
+	case fleet.FetchConfig:
+		m.fetch(n, eff.Peer, func(p *meshNode) fleet.Event {
 			if len(p.known) == 0 {
 				return nil
 			}
-			return coordination.ConfigLearned{Config: p.known[len(p.known)-1]}
+			return fleet.ConfigLearned{Config: p.known[len(p.known)-1]}
 		})
-	case coordination.FetchList:
-		m.fetch(n, eff.Peer, func(p *meshNode) coordination.Event {
+	case fleet.FetchList:
+		m.fetch(n, eff.Peer, func(p *meshNode) fleet.Event {
 			if len(p.lists) == 0 {
 				return nil
 			}
-			return coordination.ListLearned{List: p.lists[len(p.lists)-1]}
+			return fleet.ListLearned{List: p.lists[len(p.lists)-1]}
 		})
-	case coordination.ReadPlatform:
+	case fleet.ReadPlatform:
 		m.readPlatform(n)
-	case coordination.HoldList:
+	case fleet.HoldList:
 		n.lists = append(n.lists, eff.List)
-	case coordination.WatchUpstreams:
+	case fleet.WatchUpstreams:
 		n.watched = eff.Upstreams
-	case coordination.Note:
+	case fleet.Note:
 		n.notes = append(n.notes, eff)
 		n.remember(eff)
 	}
 }
 
 // remember keeps what was taken, in its order, for fetches and checks.
-func (n *meshNode) remember(note coordination.Note) {
+func (n *meshNode) remember(note fleet.Note) {
 	switch note.Kind {
 	case coordination.EventConfigTaken:
 		n.known = append(n.known, configByHead[note.About])
@@ -203,27 +204,27 @@
 
 func (m *mesh) lost(from, to *meshNode) bool { return to == nil || (m.cut != nil && m.cut(from, to)) }
 
-func (m *mesh) exchange(n *meshNode, eff coordination.SendNews) {
+func (m *mesh) exchange(n *meshNode, eff fleet.SendNews) {
 	asked := m.now
 	p := m.byAddress[eff.Peer.Address]
 	n.count(eff.News)
 	if m.lost(n, p) {
-		m.at(coordination.TickInterval, func() { m.tell(n, coordination.PeerFailed{ID: state.DaemonID(eff.Peer.ID)}) })
+		m.at(fleet.TickInterval, func() { m.tell(n, fleet.PeerFailed{ID: state.DaemonID(eff.Peer.ID)}) })
 		return
 	}
 	m.at(m.delay, func() { m.answer(n, p, eff.News, asked) })
 }
 
-func (m *mesh) answer(n, p *meshNode, news coordination.News, asked time.Time) {
+func (m *mesh) answer(n, p *meshNode, news fleet.News, asked time.Time) {
 	if p.frozen {
 		p.held = append(p.held, func() { m.answer(n, p, news, asked) })
 		return
 	}
-	for _, eff := range p.fleet.Handle(m.now, coordination.NewsReceived{News: news}) {
-		if r, ok := eff.(coordination.Reply); ok {
+	for _, eff := range p.fleet.Handle(m.now, fleet.NewsReceived{News: news}) {
+		if r, ok := eff.(fleet.Reply); ok {
 			p.count(r.News)
 			if !m.lost(p, n) {
-				m.at(m.delay, func() { m.tell(n, coordination.NewsReceived{News: r.News, Asked: asked}) })
+				m.at(m.delay, func() { m.tell(n, fleet.NewsReceived{News: r.News, Asked: asked}) })
 			}
 			continue
 		}
@@ -231,12 +232,12 @@
 	}
 }
 
-func (n *meshNode) count(news coordination.News) {
+func (n *meshNode) count(news fleet.News) {
 	n.sent++
 	n.bytes += proto.Size(protocol.EncodeNews(news))
 }
 
-func (m *mesh) fetch(n *meshNode, from state.Member, get func(*meshNode) coordination.Event) {
+func (m *mesh) fetch(n *meshNode, from state.Member, get func(*meshNode) fleet.Event) {
 	p := m.byAddress[from.Address]
 	if m.lost(n, p) || p.frozen {
 		return
@@ -256,10 +257,10 @@
 	asked := m.now
 	m.at(2*m.delay, func() {
 		if m.config != nil {
-			m.tell(n, coordination.ConfigLearned{Config: m.config})
+			m.tell(n, fleet.ConfigLearned{Config: m.config})
 		}
 		if m.list != nil {
-			m.tell(n, coordination.ListLearned{List: m.list, Asked: asked})
+			m.tell(n, fleet.ListLearned{List: m.list, Asked: asked})
 		}
 	})
 }
--- a/coordination/once_test.go
+++ b/coordination/fleet/once_test.go
@@ -1,4 +1,4 @@
-package coordination_test
+package fleet_test
 
 import (
 	"math/rand/v2"
@@ -10,6 +10,7 @@
 	"pgregory.net/rapid"
 
 	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/coordination/fleet"
 	"hingewinch.org/hingewinch/state"
 )
 
@@ -92,64 +93,64 @@
 }
 
 var _ = Describe("Ledger", func() {
-	key := coordination.LedgerKey{Workspace: "w", Service: "s", Key: "k"}
-	var l *coordination.Ledger
-	BeforeEach(func() { l = coordination.NewLedger(10_000) })
-	begin := func(at time.Duration) coordination.Admission {
-		return l.Begin(epoch.Add(at), key, coordination.Fingerprint{1}, time.Minute)
+	key := fleet.LedgerKey{Workspace: "w", Service: "s", Key: "k"}
+	var l *fleet.Ledger
+	BeforeEach(func() { l = fleet.NewLedger(10_000) })
+	begin := func(at time.Duration) fleet.Admission {
+		return l.Begin(epoch.Add(at), key, fleet.Fingerprint{1}, time.Minute)
 	}
 
 	It("starts a key once and lets repeats wait, then replays", func() {
-		Expect(begin(0)).To(Equal(coordination.Start{}))
-		wait, ok := begin(time.Second).(coordination.Wait)
+		Expect(begin(0)).To(Equal(fleet.Start{}))
+		wait, ok := begin(time.Second).(fleet.Wait)
 		Expect(ok).To(BeTrue())
-		answer := &coordination.StoredAnswer{Status: 201, Body: []byte("pass")}
+		answer := &fleet.StoredAnswer{Status: 201, Body: []byte("pass")}
 		l.Finish(key, coordination.Answered{Status: 201}, answer)
 		Expect(wait.First.Done).To(BeClosed())
-		Expect(begin(2 * time.Second)).To(Equal(coordination.Replay{Answer: answer}))
+		Expect(begin(2 * time.Second)).To(Equal(fleet.Replay{Answer: answer}))
 	})
 	It("refuses another request under the key", func() {
 		begin(0)
-		Expect(l.Begin(epoch, key, coordination.Fingerprint{2}, time.Minute)).To(Equal(coordination.Conflict{}))
+		Expect(l.Begin(epoch, key, fleet.Fingerprint{2}, time.Minute)).To(Equal(fleet.Conflict{}))
 	})
 	It("lets a key start again only after it was surely not run", func() {
 		begin(0)
 		l.Finish(key, coordination.NotRun{}, nil)
-		Expect(begin(0)).To(Equal(coordination.Start{}))
+		Expect(begin(0)).To(Equal(fleet.Start{}))
 		l.Finish(key, coordination.MayHaveRun{}, nil)
-		Expect(begin(0)).To(BeAssignableToTypeOf(coordination.Deny{}))
+		Expect(begin(0)).To(BeAssignableToTypeOf(fleet.Deny{}))
 	})
 	It("tells those who wait that the first was not run, and starts none of them", func() {
 		begin(0)
-		wait := begin(0).(coordination.Wait)
+		wait := begin(0).(fleet.Wait)
 		l.Finish(key, coordination.NotRun{Reason: coordination.ReasonConnect}, nil)
 		Expect(wait.First.Done).To(BeClosed())
 		Expect(wait.First.Outcome).To(Equal(coordination.NotRun{Reason: coordination.ReasonConnect}))
 	})
 	It("keeps a key that is still running beyond its window", func() {
 		begin(0)
-		Expect(begin(3 * time.Minute)).To(BeAssignableToTypeOf(coordination.Wait{}))
+		Expect(begin(3 * time.Minute)).To(BeAssignableToTypeOf(fleet.Wait{}))
 	})
 	It("refuses new keys when it is full and forgets none", func() {
 		for i := range 100 {
-			k := coordination.LedgerKey{Key: string(rune('a' + i))}
-			if l.Begin(epoch, k, coordination.Fingerprint{}, time.Minute) == (coordination.Start{}) {
+			k := fleet.LedgerKey{Key: string(rune('a' + i))}
+			if l.Begin(epoch, k, fleet.Fingerprint{}, time.Minute) == (fleet.Start{}) {
 				l.Finish(k, coordination.MayHaveRun{}, nil)
 			}
 		}
 		Expect(l.Bytes()).To(BeNumerically("<=", 10_000))
 		Expect(l.Len()).To(BeNumerically("<", 100))
-		Expect(begin(0)).To(Equal(coordination.Deny{Outcome: coordination.NotRun{Reason: coordination.ReasonLedgerFull, RetryAfter: 2 * time.Second}}))
-		Expect(begin(2 * time.Minute)).To(Equal(coordination.Start{}))
+		Expect(begin(0)).To(Equal(fleet.Deny{Outcome: coordination.NotRun{Reason: coordination.ReasonLedgerFull, RetryAfter: 2 * time.Second}}))
+		Expect(begin(2 * time.Minute)).To(Equal(fleet.Start{}))
 	})
 })
 
 var _ = Describe("Ticket", func() {
-	issuer := coordination.NewTicketIssuer("d1", 7, []byte("secret"))
+	issuer := fleet.NewTicketIssuer("d1", 7, []byte("secret"))
 	ticket := issuer.Issue("w", "gate", time.Minute, "nonce")
 
-	admit := func(i *coordination.TicketIssuer, w state.WorkspaceID, age time.Duration) (coordination.Outcome, error) {
-		t, err := coordination.ParseTicket(ticket)
+	admit := func(i *fleet.TicketIssuer, w state.WorkspaceID, age time.Duration) (coordination.Outcome, error) {
+		t, err := fleet.ParseTicket(ticket)
 		Expect(err).NotTo(HaveOccurred())
 		_, refusal, err := i.Admit(t, w, "gate", age)
 		return refusal, err
@@ -160,16 +161,16 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 	It("is refused by another life, as may-have-run", func() {
-		refusal, _ := admit(coordination.NewTicketIssuer("d1", 8, []byte("secret")), "w", time.Second)
+		refusal, _ := admit(fleet.NewTicketIssuer("d1", 8, []byte("secret")), "w", time.Second)
 		Expect(refusal).To(BeAssignableToTypeOf(coordination.MayHaveRun{}))
 	})
 	It("is refused by a life of the same number with another secret", func() {
-		_, err := admit(coordination.NewTicketIssuer("d1", 7, []byte("other")), "w", time.Second)
-		Expect(err).To(MatchError(coordination.ErrTicketForged))
+		_, err := admit(fleet.NewTicketIssuer("d1", 7, []byte("other")), "w", time.Second)
+		Expect(err).To(MatchError(fleet.ErrTicketForged))
 	})
 	It("is refused in another workspace", func() {
 		_, err := admit(issuer, "w2", time.Second)
-		Expect(err).To(MatchError(coordination.ErrTicketForged))
+		Expect(err).To(MatchError(fleet.ErrTicketForged))
 	})
 	It("is refused when it has expired", func() {
 		refusal, _ := admit(issuer, "w", time.Minute)
@@ -182,7 +183,7 @@
 	f.Add("hwt1..")
 	f.Add("key")
 	f.Fuzz(func(t *testing.T, key string) {
-		ticket, err := coordination.ParseTicket(key)
+		ticket, err := fleet.ParseTicket(key)
 		if err == nil && ticket.Expires < 0 {
 			t.Fatalf("ticket %q expires before it begins", key)
 		}
--- a/coordination/once_world_test.go
+++ b/coordination/fleet/once_world_test.go
@@ -1,4 +1,4 @@
-package coordination_test
+package fleet_test
 
 import (
 	"fmt"
@@ -6,6 +6,7 @@
 	"time"
 
 	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/coordination/fleet"
 	"hingewinch.org/hingewinch/state"
 )
 
@@ -25,7 +26,7 @@
 // paused, restarted and cut off, clocks drift. The decisions are the product's.
 type onceWorld struct {
 	way     way
-	rules   coordination.KeeperRules
+	rules   fleet.KeeperRules
 	now     time.Time // true time
 	rev     state.ListRevision
 	listed  map[int]bool // daemons of the published list
@@ -46,8 +47,8 @@
 	frozen  bool
 	cut     bool // learns no lists
 	epoch   state.KeeperEpoch
-	ledger  *coordination.Ledger
-	issuer  *coordination.TicketIssuer
+	ledger  *fleet.Ledger
+	issuer  *fleet.TicketIssuer
 	life    state.Incarnation
 	started time.Time // own clock
 }
@@ -56,13 +57,13 @@
 type onceForward struct {
 	to        *onceDaemon
 	life      state.Incarnation
-	key       coordination.LedgerKey
+	key       fleet.LedgerKey
 	challenge string
 }
 
 type onceAttempt struct {
 	d   *onceDaemon
-	key coordination.LedgerKey
+	key fleet.LedgerKey
 }
 
 func daemonID(n int) state.DaemonID { return state.DaemonID(fmt.Sprintf("d%d", n)) }
@@ -70,7 +71,7 @@
 func newOnceWorld(w way, n int, rng *rand.Rand) *onceWorld {
 	ow := &onceWorld{
 		way:    w,
-		rules:  coordination.KeeperRules{Window: 2 * time.Minute, Lease: 20 * time.Second},
+		rules:  fleet.KeeperRules{Window: 2 * time.Minute, Lease: 20 * time.Second},
 		now:    epoch,
 		listed: make(map[int]bool),
 		runs:   make(map[string]int),
@@ -100,8 +101,8 @@
 	ow.lives++
 	d := ow.daemons[n]
 	*d = onceDaemon{n: n, born: ow.now, rate: 0.995 + 0.01*rng.Float64(), life: state.Incarnation(ow.lives)}
-	d.ledger = coordination.NewLedger(1 << 20)
-	d.issuer = coordination.NewTicketIssuer(daemonID(n), d.life, fmt.Appendf(nil, "secret %d", ow.lives))
+	d.ledger = fleet.NewLedger(1 << 20)
+	d.issuer = fleet.NewTicketIssuer(daemonID(n), d.life, fmt.Appendf(nil, "secret %d", ow.lives))
 	d.started = ow.clock(d)
 	ow.pending = removeOf(ow.pending, d)
 	ow.learn(d)
@@ -166,9 +167,9 @@
 		return
 	}
 	ow.asked++
-	k := coordination.LedgerKey{Workspace: "w", Service: "s", Key: key}
+	k := fleet.LedgerKey{Workspace: "w", Service: "s", Key: key}
 	d := ow.keeper(k, via)
-	if d == nil || (ow.way == wayKeeper && coordination.MayPassOn(ow.clock(via), via.epoch) != nil) {
+	if d == nil || (ow.way == wayKeeper && fleet.MayPassOn(ow.clock(via), via.epoch) != nil) {
 		ow.refused++
 		return
 	}
@@ -195,18 +196,18 @@
 	}
 }
 
-func (ow *onceWorld) keeper(k coordination.LedgerKey, via *onceDaemon) *onceDaemon {
+func (ow *onceWorld) keeper(k fleet.LedgerKey, via *onceDaemon) *onceDaemon {
 	if ow.way == wayLocal {
 		return via
 	}
 	id := ""
 	if ow.way == wayTicket {
-		t, err := coordination.ParseTicket(k.Key)
+		t, err := fleet.ParseTicket(k.Key)
 		if err != nil {
 			return nil
 		}
 		id = string(t.Daemon)
-	} else if m, ok := coordination.KeeperOf(via.epoch.History[0].List, k); ok {
+	} else if m, ok := fleet.KeeperOf(via.epoch.History[0].List, k); ok {
 		id = m.ID
 	}
 	for _, d := range ow.daemons {
@@ -219,38 +220,38 @@
 
 // decide asks the daemon's rules and ledger; a request that may start waits for
 // its first byte.
-func (ow *onceWorld) decide(d *onceDaemon, k coordination.LedgerKey) bool {
+func (ow *onceWorld) decide(d *onceDaemon, k fleet.LedgerKey) bool {
 	if !ow.may(d, k) {
 		return false
 	}
 	now := ow.clock(d)
-	switch d.ledger.Begin(now, k, coordination.Fingerprint{}, ow.rules.QuietTime()).(type) {
-	case coordination.Start:
+	switch d.ledger.Begin(now, k, fleet.Fingerprint{}, ow.rules.QuietTime()).(type) {
+	case fleet.Start:
 		ow.pending = append(ow.pending, &onceAttempt{d, k})
 		return true
-	case coordination.Wait, coordination.Replay:
+	case fleet.Wait, fleet.Replay:
 		return true
 	}
 	return false
 }
 
-func (ow *onceWorld) may(d *onceDaemon, k coordination.LedgerKey) bool {
+func (ow *onceWorld) may(d *onceDaemon, k fleet.LedgerKey) bool {
 	now := ow.clock(d)
 	epoch := d.epoch
 	switch ow.way {
 	case wayLocal:
 		return true
 	case wayTicket:
-		t, _ := coordination.ParseTicket(k.Key)
+		t, _ := fleet.ParseTicket(k.Key)
 		_, refusal, err := d.issuer.Admit(t, k.Workspace, k.Service, now.Sub(d.started))
 		return err == nil && refusal == nil
 	case wayNoQuiet:
-		m, ok := coordination.KeeperOf(epoch.History[0].List, k)
+		m, ok := fleet.KeeperOf(epoch.History[0].List, k)
 		return ok && m.ID == string(daemonID(d.n)) && now.Sub(epoch.Confirmed) <= ow.rules.Lease
 	case wayNoLease:
 		epoch.Confirmed = now
 	}
-	return coordination.MayKeep(now, daemonID(d.n), epoch, k, ow.rules) == nil
+	return fleet.MayKeep(now, daemonID(d.n), epoch, k, ow.rules) == nil
 }
 
 // firstByte lets one waiting attempt write, unless its daemon may not any more.
@@ -270,7 +271,7 @@
 		a.d.ledger.Finish(a.key, coordination.MayHaveRun{}, nil)
 		return
 	}
-	a.d.ledger.Finish(a.key, coordination.Answered{}, &coordination.StoredAnswer{Status: 200})
+	a.d.ledger.Finish(a.key, coordination.Answered{}, &fleet.StoredAnswer{Status: 200})
 }
 
 // newKey returns a key as a caller of this way would get it.
--- a/coordination/overlay.go
+++ b/coordination/fleet/overlay.go
@@ -8,11 +8,12 @@
 // rings hold the own failure domain only and one the own region, so that a part
 // that is cut off stays joined within itself.
 
-package coordination
+package fleet
 
 import (
 	"strconv"
 
+	"hingewinch.org/hingewinch/coordination"
 	"hingewinch.org/hingewinch/state"
 )
 
@@ -33,7 +34,7 @@
 func neighbours(self Self, daemons []state.Member, region func(state.FailureDomain) state.RegionID, usable func(*state.Member) bool) []state.Member {
 	var out []state.Member
 	for i, r := range rings {
-		salt := Hash("ring" + strconv.Itoa(i))
+		salt := coordination.Hash("ring" + strconv.Itoa(i))
 		m := successor(self, daemons, salt, func(m *state.Member) bool {
 			return usable(m) && onRing(r, self, m, region) && !holds(out, m.ID)
 		})
@@ -65,7 +66,7 @@
 
 // successor returns the daemon that follows self on the ring of a salt.
 func successor(self Self, daemons []state.Member, salt uint64, allowed func(*state.Member) bool) *state.Member {
-	own := score(salt, Hash(string(self.ID)))
+	own := coordination.Rank(salt, coordination.Hash(string(self.ID)))
 	var best *state.Member
 	var bestDistance uint64
 	for i := range daemons {
@@ -74,7 +75,7 @@
 			continue
 		}
 		// The difference wraps around, as the ring does.
-		distance := score(salt, Hash(m.ID)) - own
+		distance := coordination.Rank(salt, coordination.Hash(m.ID)) - own
 		if best == nil || distance < bestDistance {
 			best, bestDistance = m, distance
 		}
--- a/coordination/report.go
+++ b/coordination/fleet/report.go
@@ -2,7 +2,7 @@
 // their merge. The merge is commutative, idempotent and monotone, so late,
 // repeated and reordered news do no harm.
 
-package coordination
+package fleet
 
 import "hingewinch.org/hingewinch/state"
 
--- a/coordination/reports.go
+++ b/coordination/fleet/reports.go
@@ -1,12 +1,13 @@
 // This file holds the Fleet's knowledge of single upstreams: which of them it
 // watches, what it reports of them and what it heard.
 
-package coordination
+package fleet
 
 import (
 	"math"
 	"sort"
 
+	"hingewinch.org/hingewinch/coordination"
 	"hingewinch.org/hingewinch/state"
 )
 
@@ -133,7 +134,7 @@
 	}
 	f.urgent = true
 	f.dirty = true
-	f.note(EventUpstreamState, string(next.ID), "upstream is %v (incarnation %d)", next.State, next.Incarnation)
+	f.note(coordination.EventUpstreamState, string(next.ID), "upstream is %v (incarnation %d)", next.State, next.Incarnation)
 }
 
 // dropReports forgets upstreams that the list no longer names.
--- a/coordination/ticket.go
+++ b/coordination/fleet/ticket.go
@@ -1,7 +1,7 @@
 // This file defines tickets: keys that name the one daemon life that may run
 // them. They make at-most-once hold without any shared state, list or clock.
 
-package coordination
+package fleet
 
 import (
 	"crypto/hmac"
@@ -12,6 +12,7 @@
 	"strings"
 	"time"
 
+	"hingewinch.org/hingewinch/coordination"
 	"hingewinch.org/hingewinch/state"
 )
 
@@ -126,15 +127,15 @@
 // age is the time since the daemon's start. A nil outcome with a nil error means
 // yes; left is then how long the ledger must at least remember the ticket. An
 // expired ticket is refused for good: its entry may have been forgotten.
-func (i *TicketIssuer) Admit(t Ticket, w state.WorkspaceID, s state.ServiceID, age time.Duration) (left time.Duration, refusal Outcome, err error) {
+func (i *TicketIssuer) Admit(t Ticket, w state.WorkspaceID, s state.ServiceID, age time.Duration) (left time.Duration, refusal coordination.Outcome, err error) {
 	if t.Daemon != i.daemon || t.Incarnation != i.incarnation {
-		return 0, MayHaveRun{Reason: ReasonTicketSpent, RetryAfter: unknownEndRetry}, nil
+		return 0, coordination.MayHaveRun{Reason: coordination.ReasonTicketSpent, RetryAfter: unknownEndRetry}, nil
 	}
 	if !hmac.Equal([]byte(t.mac), []byte(i.sign(t, w, s))) {
 		return 0, nil, ErrTicketForged
 	}
 	if age >= t.Expires {
-		return 0, MayHaveRun{Reason: ReasonTicketExpired, RetryAfter: unknownEndRetry}, nil
+		return 0, coordination.MayHaveRun{Reason: coordination.ReasonTicketExpired, RetryAfter: unknownEndRetry}, nil
 	}
 	return t.Expires - age, nil, nil
 }
--- a/coordination/hash.go
+++ b/coordination/hash.go
@@ -25,14 +25,13 @@
 	return x
 }
 
-// score ranks a candidate for a key. The candidate with the highest score is
-// the key's home (rendezvous hashing): when a candidate joins or leaves, only
-// the keys that it wins or had won move.
-func score(key, candidate uint64) uint64 { return mix(key ^ candidate) }
-
-// Rank scores a candidate for a key; the candidate with the highest rank is the
-// key's home. Both are hashes.
-func Rank(key, candidate uint64) uint64 { return score(key, candidate) }
+// Rank scores a candidate for a key; both are hashes. The candidate with the
+// highest rank is the key's home (rendezvous hashing): when a candidate joins or
+// leaves, only the keys that it wins or had won move.
+func Rank(key, candidate uint64) uint64 { return mix(key ^ candidate) }
+
+// Scramble spreads a draw over all bits.
+func Scramble(draw uint64) uint64 { return mix(draw) }
 
 // ChatKeyOf returns the placement key of a chat. The workspace and the model,
 // which may be an adapter, are part of it, because neither a cache nor an
--- a/coordination/routing/config.go
+++ b/coordination/routing/config.go
@@ -10,6 +10,8 @@
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/rotisserie/eris"
+
+	"hingewinch.org/hingewinch/coordination"
 )
 
 type (
@@ -68,7 +70,7 @@
 	if len(r.Shares) == 1 || r.totalWeights == 0 {
 		return r.Shares[0].Service
 	}
-	point := int(scramble(draw) % uint64(r.totalWeights))
+	point := int(coordination.Scramble(draw) % uint64(r.totalWeights))
 	for _, s := range r.Shares {
 		if point < s.Weight {
 			return s.Service
--- a/coordination/routing/placement.go
+++ b/coordination/routing/placement.go
@@ -13,6 +13,7 @@
 	"slices"
 	"time"
 
+	"hingewinch.org/hingewinch/coordination"
 	"hingewinch.org/hingewinch/state"
 )
 
@@ -114,7 +115,7 @@
 func (c *candidates) rank(key uint64) {
 	c.ranks = make([]uint64, len(c.ready))
 	for i := range c.ready {
-		c.ranks[i] = rank(key, &c.ready[i])
+		c.ranks[i] = coordination.Rank(key, c.ready[i].Hash)
 	}
 }
 
@@ -281,7 +282,7 @@
 			cost += p.Rule.FarCost
 		}
 		// Ties are broken by a draw, or every daemon would send to the same one.
-		cost += float64(rank(draw, replica)>>56) / 256 / 16
+		cost += float64(coordination.Rank(draw, replica.Hash)>>56) / 256 / 16
 		if best == none || cost < bestCost {
 			best, bestCost = i, cost
 		}
--- a/coordination/suite_test.go
+++ b/coordination/suite_test.go
@@ -1,7 +1,6 @@
 package coordination_test
 
 import (
-	"flag"
 	"testing"
 	"time"
 
@@ -9,14 +8,6 @@
 	. "github.com/onsi/gomega"
 )
 
-// rapid draws from a fixed seed, so that each run has the same verdict; the flag
-// -rapid.seed on the command line still takes precedence.
-func init() {
-	if err := flag.Set("rapid.seed", "1"); err != nil {
-		panic(err)
-	}
-}
-
 func TestCoordination(t *testing.T) {
 	RegisterFailHandler(Fail)
 	suite, reporter := GinkgoConfiguration()
--- a/daemon/openai/control.go
+++ b/daemon/openai/control.go
@@ -14,6 +14,7 @@
 	"github.com/phuslu/log"
 
 	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/coordination/fleet"
 	"hingewinch.org/hingewinch/protocol/peer"
 	"hingewinch.org/hingewinch/state"
 	"hingewinch.org/hingewinch/transport"
@@ -27,8 +28,8 @@
 
 // control runs the control loop of a daemon.
 type control struct {
-	fleet    *coordination.Fleet
-	events   chan coordination.Event
+	fleet    *fleet.Fleet
+	events   chan fleet.Event
 	converse chan conversation
 	done     chan struct{}
 	snapshot atomic.Pointer[state.Snapshot]
@@ -48,14 +49,14 @@
 
 // conversation is an exchange that a peer began.
 type conversation struct {
-	news  coordination.News
-	reply chan coordination.News
+	news  fleet.News
+	reply chan fleet.News
 }
 
-func newControl(self coordination.Self, rng *rand.Rand) *control {
+func newControl(self fleet.Self, rng *rand.Rand) *control {
 	c := &control{
-		fleet:     coordination.NewFleet(self, rng),
-		events:    make(chan coordination.Event, eventQueue),
+		fleet:     fleet.NewFleet(self, rng),
+		events:    make(chan fleet.Event, eventQueue),
 		converse:  make(chan conversation),
 		done:      make(chan struct{}),
 		documents: newDocuments(),
@@ -71,7 +72,7 @@
 func (c *control) Snapshot() *state.Snapshot { return c.snapshot.Load() }
 
 // tell hands an event to the loop.
-func (c *control) tell(ev coordination.Event) {
+func (c *control) tell(ev fleet.Event) {
 	select {
 	case c.events <- ev:
 	case <-c.done:
@@ -80,7 +81,7 @@
 
 // hint hands an event to the loop if it has room. Traffic uses it: a request
 // must not wait for the control loop.
-func (c *control) hint(ev coordination.Event) {
+func (c *control) hint(ev fleet.Event) {
 	select {
 	case c.events <- ev:
 	default:
@@ -90,27 +91,27 @@
 var errStopped = errors.New("daemon has stopped")
 
 // Converse answers a peer's news.
-func (c *control) Converse(ctx context.Context, n coordination.News) (coordination.News, error) {
-	conv := conversation{news: n, reply: make(chan coordination.News, 1)}
+func (c *control) Converse(ctx context.Context, n fleet.News) (fleet.News, error) {
+	conv := conversation{news: n, reply: make(chan fleet.News, 1)}
 	select {
 	case c.converse <- conv:
 	case <-ctx.Done():
-		return coordination.News{}, ctx.Err()
+		return fleet.News{}, ctx.Err()
 	case <-c.done:
-		return coordination.News{}, errStopped
+		return fleet.News{}, errStopped
 	}
 	select {
 	case answer := <-conv.reply:
 		return answer, nil
 	case <-ctx.Done():
-		return coordination.News{}, ctx.Err()
+		return fleet.News{}, ctx.Err()
 	}
 }
 
 // run is the control loop. It returns when ctx ends.
 func (c *control) run(ctx context.Context) {
 	defer close(c.done)
-	ticker := time.NewTicker(coordination.TickInterval)
+	ticker := time.NewTicker(fleet.TickInterval)
 	defer ticker.Stop()
 	c.handle(ctx, tick(), nil)
 	for {
@@ -120,7 +121,7 @@
 		case ev := <-c.events:
 			c.handle(ctx, ev, nil)
 		case conv := <-c.converse:
-			c.handle(ctx, coordination.NewsReceived{News: conv.news}, conv.reply)
+			c.handle(ctx, fleet.NewsReceived{News: conv.news}, conv.reply)
 		case <-ticker.C:
 			c.handle(ctx, tick(), nil)
 		}
@@ -128,33 +129,33 @@
 }
 
 // tick strips the monotonic reading, since the loop compares the two clocks.
-func tick() coordination.Event { return coordination.Tick{Wall: time.Now().Round(0)} }
+func tick() fleet.Event { return fleet.Tick{Wall: time.Now().Round(0)} }
 
-func (c *control) handle(ctx context.Context, ev coordination.Event, reply chan<- coordination.News) {
+func (c *control) handle(ctx context.Context, ev fleet.Event, reply chan<- fleet.News) {
 	for _, eff := range c.fleet.Handle(time.Now(), ev) {
 		switch eff := eff.(type) {
-		case coordination.Publish:
+		case fleet.Publish:
 			c.snapshot.Store(eff.Snapshot)
 			c.hold(eff.Snapshot)
-		case coordination.Reply:
+		case fleet.Reply:
 			if reply != nil {
 				reply <- eff.News
 			}
-		case coordination.SendNews:
+		case fleet.SendNews:
 			c.exchange(ctx, eff)
-		case coordination.FetchConfig:
+		case fleet.FetchConfig:
 			c.fetch(ctx, eff.Peer, peer.DocumentKind_DOCUMENT_KIND_CONFIG)
-		case coordination.FetchList:
+		case fleet.FetchList:
 			c.fetch(ctx, eff.Peer, peer.DocumentKind_DOCUMENT_KIND_LIST)
-		case coordination.HoldList:
+		case fleet.HoldList:
 			c.documents.put(peer.DocumentKind_DOCUMENT_KIND_LIST, eff.List.Head, eff.List.Text)
-		case coordination.WatchUpstreams:
+		case fleet.WatchUpstreams:
 			c.watcher.Set(eff.Upstreams)
-		case coordination.ReadPlatform:
+		case fleet.ReadPlatform:
 			for _, r := range c.readers {
 				r.ask()
 			}
-		case coordination.Note:
+		case fleet.Note:
 			c.recorder.Record(eff.Kind, eff.About, "", "%s", eff.Text)
 		}
 	}
--- a/daemon/openai/daemon.go
+++ b/daemon/openai/daemon.go
@@ -19,6 +19,7 @@
 	"github.com/rotisserie/eris"
 
 	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/coordination/fleet"
 	"hingewinch.org/hingewinch/protocol"
 	"hingewinch.org/hingewinch/protocol/peer"
 	"hingewinch.org/hingewinch/state"
@@ -134,7 +135,7 @@
 
 func (d *Daemon) wire(logger *log.Logger) error {
 	s := d.settings
-	self := coordination.Self{ID: s.ID, Incarnation: d.life, Domain: s.Domain, Address: s.Peer, Seeds: s.Seeds}
+	self := fleet.Self{ID: s.ID, Incarnation: d.life, Domain: s.Domain, Address: s.Peer, Seeds: s.Seeds}
 	seed, secret, err := randomSeed()
 	if err != nil {
 		return err
@@ -233,7 +234,7 @@
 func (d *Daemon) stop() {
 	d.draining.Store(true)
 	d.gateway.Drain()
-	d.control.tell(coordination.StopBegun{})
+	d.control.tell(fleet.StopBegun{})
 	time.Sleep(d.settings.Stop.Notice)
 	// No time limit: what is in flight ends in peace.
 	_ = d.callers.server.Shutdown(context.Background())
--- a/daemon/openai/reader.go
+++ b/daemon/openai/reader.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/coordination/fleet"
 	"hingewinch.org/hingewinch/protocol/peer"
 	"hingewinch.org/hingewinch/state"
 	"hingewinch.org/hingewinch/transport"
@@ -59,7 +60,7 @@
 	case err != nil:
 		return
 	case text == nil && d.kind == peer.DocumentKind_DOCUMENT_KIND_LIST:
-		c.tell(coordination.ListConfirmed{Head: d.last, Asked: heldUntil(asked, time.Now())})
+		c.tell(fleet.ListConfirmed{Head: d.last, Asked: heldUntil(asked, time.Now())})
 		return
 	case text == nil:
 		return
--- a/daemon/openai/talk.go
+++ b/daemon/openai/talk.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/coordination/fleet"
 	"hingewinch.org/hingewinch/protocol"
 	"hingewinch.org/hingewinch/protocol/peer"
 	"hingewinch.org/hingewinch/state"
@@ -15,12 +16,12 @@
 )
 
 // talk is an exchange under way, with the news to be told after it.
-type talk struct{ next *coordination.SendNews }
+type talk struct{ next *fleet.SendNews }
 
 // exchange begins an exchange. While one with the peer is under way the newest
 // news waits for it: a peer that hangs must not gather goroutines, and urgent
 // news must not be lost.
-func (c *control) exchange(ctx context.Context, eff coordination.SendNews) {
+func (c *control) exchange(ctx context.Context, eff fleet.SendNews) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if t := c.talking[eff.Peer.Address]; t != nil {
@@ -37,7 +38,7 @@
 }
 
 // endTalk returns the news that has waited, or nil.
-func (c *control) endTalk(t *talk, address string) *coordination.SendNews {
+func (c *control) endTalk(t *talk, address string) *fleet.SendNews {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	next := t.next
@@ -48,7 +49,7 @@
 	return next
 }
 
-func (c *control) exchangeOnce(ctx context.Context, eff coordination.SendNews) {
+func (c *control) exchangeOnce(ctx context.Context, eff fleet.SendNews) {
 	asked := time.Now()
 	news, err := c.peers.Exchange(ctx, eff.Peer.Address, eff.News)
 	if ctx.Err() != nil {
@@ -56,10 +57,10 @@
 	}
 	if err != nil {
 		c.logger.Debug().Str("peer", eff.Peer.ID).Err(err).Msg(transport.PrefixPeers + "exchange failed")
-		c.tell(coordination.PeerFailed{ID: state.DaemonID(eff.Peer.ID)})
+		c.tell(fleet.PeerFailed{ID: state.DaemonID(eff.Peer.ID)})
 		return
 	}
-	c.tell(coordination.NewsReceived{News: news, Asked: asked})
+	c.tell(fleet.NewsReceived{News: news, Asked: asked})
 }
 
 // claimFetch marks a fetch as under way; it is false if one already is.
@@ -102,10 +103,10 @@
 	if kind == peer.DocumentKind_DOCUMENT_KIND_CONFIG {
 		cfg, err := state.ParseConfig(configName, text)
 		if err != nil {
-			c.tell(coordination.ConfigRefused{Head: head, Err: err})
+			c.tell(fleet.ConfigRefused{Head: head, Err: err})
 			return state.Head{}
 		}
-		c.tell(coordination.ConfigLearned{Config: cfg})
+		c.tell(fleet.ConfigLearned{Config: cfg})
 		return cfg.Head()
 	}
 	list, err := protocol.ParseMemberList(text)
@@ -113,6 +114,6 @@
 		c.recorder.Record(coordination.EventPlatform, "member list", "", "member list is refused: %v", err)
 		return state.Head{}
 	}
-	c.tell(coordination.ListLearned{List: list, Asked: asked})
+	c.tell(fleet.ListLearned{List: list, Asked: asked})
 	return list.Head
 }
--- a/protocol/news.go
+++ b/protocol/news.go
@@ -8,12 +8,13 @@
 	"time"
 
 	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/coordination/fleet"
 	"hingewinch.org/hingewinch/protocol/peer"
 	"hingewinch.org/hingewinch/state"
 )
 
 // EncodeNews returns the message of news.
-func EncodeNews(n coordination.News) *peer.News {
+func EncodeNews(n fleet.News) *peer.News {
 	out := &peer.News{
 		Sender:       string(n.Sender),
 		Incarnation:  uint64(n.Incarnation),
@@ -46,8 +47,8 @@
 const maxListAge = 24 * time.Hour
 
 // DecodeNews returns the news of a message.
-func DecodeNews(m *peer.News) coordination.News {
-	out := coordination.News{
+func DecodeNews(m *peer.News) fleet.News {
+	out := fleet.News{
 		Sender:      state.DaemonID(m.GetSender()),
 		Incarnation: state.Incarnation(m.GetIncarnation()),
 		Domain:      state.FailureDomain(m.GetDomain()),
@@ -72,12 +73,12 @@
 	return out
 }
 
-func decodeReport(r *peer.Report) (coordination.Report, bool) {
+func decodeReport(r *peer.Report) (fleet.Report, bool) {
 	st := state.MemberState(min(r.GetState(), 255))
 	if r.GetId() == "" || st < state.Live || st > state.Gone {
-		return coordination.Report{}, false
+		return fleet.Report{}, false
 	}
-	return coordination.Report{
+	return fleet.Report{
 		ID:          state.UpstreamID(r.GetId()),
 		Incarnation: state.Incarnation(r.GetIncarnation()),
 		State:       st,
--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -14,6 +14,7 @@
 	"pgregory.net/rapid"
 
 	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/coordination/fleet"
 	"hingewinch.org/hingewinch/internal/standin"
 	"hingewinch.org/hingewinch/protocol"
 	"hingewinch.org/hingewinch/protocol/peer"
@@ -131,12 +132,12 @@
 // TestNewsSurvivesTheWire checks that what is sent is what is read.
 func TestNewsSurvivesTheWire(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := coordination.News{
+		n := fleet.News{
 			Sender: "d1", Incarnation: 7, Domain: "a", Address: "h:1", Leaving: rapid.Bool().Draw(t, "leaving"),
 			Stamp:  coordination.Stamp{Wall: rapid.Int64().Draw(t, "wall"), Counter: rapid.Uint32().Draw(t, "counter")},
 			Config: state.HeadOf(rapid.Uint64().Draw(t, "version"), []byte("c")), ListAge: -1,
 			Upto: rapid.Uint64().Draw(t, "upto"), Ack: rapid.Uint64().Draw(t, "ack"), AckLife: 3,
-			Reports: []coordination.Report{{ID: "e", Incarnation: 1, State: state.Leaving, Load: 5, Gate: state.Gate(rapid.Uint16().Draw(t, "gate")), Seq: 9}},
+			Reports: []fleet.Report{{ID: "e", Incarnation: 1, State: state.Leaving, Load: 5, Gate: state.Gate(rapid.Uint16().Draw(t, "gate")), Seq: 9}},
 		}
 		got := protocol.DecodeNews(protocol.EncodeNews(n))
 		if fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", n) {
--- a/transport/attempts.go
+++ b/transport/attempts.go
@@ -10,6 +10,7 @@
 	"sync"
 
 	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/coordination/fleet"
 	"hingewinch.org/hingewinch/state"
 )
 
@@ -19,12 +20,12 @@
 // retries is a retry budget for many goroutines.
 type retries struct {
 	mu      sync.Mutex
-	budget  *coordination.RetryBudget
+	budget  *fleet.RetryBudget
 	metrics *Metrics
 }
 
 func newRetries(m *Metrics) *retries {
-	return &retries{budget: coordination.NewRetryBudget(), metrics: m}
+	return &retries{budget: fleet.NewRetryBudget(), metrics: m}
 }
 
 // earn counts a first attempt.
@@ -64,7 +65,7 @@
 	var last coordination.Outcome = coordination.NotRun{Reason: coordination.ReasonNoUpstream, RetryAfter: defaultRetryTime}
 	a.retries.earn()
 	for n := range maxAttempts {
-		c, ok := coordination.Choose(a.pool, a.key, avoid)
+		c, ok := fleet.Choose(a.pool, a.key, avoid)
 		if !ok || (n > 0 && !a.retries.spend()) {
 			break
 		}
--- a/transport/bench_test.go
+++ b/transport/bench_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/coordination/fleet"
 	"hingewinch.org/hingewinch/internal/standin"
 	"hingewinch.org/hingewinch/protocol"
 	"hingewinch.org/hingewinch/transport"
@@ -216,9 +216,9 @@
 	defer m.Close()
 	meter := &transport.Meter{Sent: m.ControlSent, Read: m.ControlRead}
 	peers := transport.NewPeers(nil, meter, rec, m, nil)
-	news := coordination.News{Sender: "gj-ahd-a-0007", Incarnation: 1 << 60, Domain: "ahd-a", Address: "10.0.1.11:8081", ListAge: time.Second}
+	news := fleet.News{Sender: "gj-ahd-a-0007", Incarnation: 1 << 60, Domain: "ahd-a", Address: "10.0.1.11:8081", ListAge: time.Second}
 	news.Config.Version, news.List.Version = 5000, 9000
-	server := &transport.PeerServer{Recorder: rec, Converse: func(context.Context, coordination.News) (coordination.News, error) { return news, nil }}
+	server := &transport.PeerServer{Recorder: rec, Converse: func(context.Context, fleet.News) (fleet.News, error) { return news, nil }}
 	srv := httptest.NewServer(server.Handler())
 	defer srv.Close()
 	begun := cpuTime()
--- a/transport/gateway.go
+++ b/transport/gateway.go
@@ -20,6 +20,7 @@
 	"time"
 
 	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/coordination/fleet"
 	"hingewinch.org/hingewinch/protocol"
 	"hingewinch.org/hingewinch/state"
 )
@@ -60,7 +61,7 @@
 type GatewayOptions struct {
 	Daemon    state.DaemonID
 	Snapshot  func() *state.Snapshot
-	Tell      func(coordination.Event) // hands an event to the control loop; must not block
+	Tell      func(fleet.Event) // hands an event to the control loop; must not block
 	Upstreams *Upstreams
 	Once      *OnceRunner
 	Recorder  *Recorder
--- a/transport/once.go
+++ b/transport/once.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/coordination/fleet"
 	"hingewinch.org/hingewinch/protocol"
 	"hingewinch.org/hingewinch/state"
 )
@@ -30,12 +31,12 @@
 	Body      []byte
 }
 
-func (r *OnceRequest) ledgerKey() coordination.LedgerKey {
-	return coordination.LedgerKey{Workspace: r.Workspace, Service: r.Service, Key: r.Key}
+func (r *OnceRequest) ledgerKey() fleet.LedgerKey {
+	return fleet.LedgerKey{Workspace: r.Workspace, Service: r.Service, Key: r.Key}
 }
 
 // fingerprint tells a repeat from another request under the same key.
-func (r *OnceRequest) fingerprint() coordination.Fingerprint {
+func (r *OnceRequest) fingerprint() fleet.Fingerprint {
 	h := sha256.New()
 	for _, field := range [][]byte{[]byte(r.Method), []byte(r.Target), r.Body} {
 		var n [8]byte
@@ -43,7 +44,7 @@
 		h.Write(n[:])
 		h.Write(field)
 	}
-	return coordination.Fingerprint(h.Sum(nil))
+	return fleet.Fingerprint(h.Sum(nil))
 }
 
 // OnceResult is how a request with a key ended. Its kinds are [OnceAnswer],
@@ -52,7 +53,7 @@
 
 // OnceAnswer is the service's answer.
 type OnceAnswer struct {
-	Answer   *coordination.StoredAnswer
+	Answer   *fleet.StoredAnswer
 	Replayed bool
 }
 
@@ -103,12 +104,12 @@
 // OnceRunner is safe for use by many goroutines.
 type OnceRunner struct {
 	OnceOptions
-	issuer  *coordination.TicketIssuer
+	issuer  *fleet.TicketIssuer
 	started time.Time
 	retries *retries
 
 	mu     sync.Mutex
-	ledger *coordination.Ledger
+	ledger *fleet.Ledger
 }
 
 // NewOnceRunner returns the runner of one daemon life.
@@ -118,10 +119,10 @@
 	}
 	return &OnceRunner{
 		OnceOptions: o,
-		issuer:      coordination.NewTicketIssuer(o.Self, o.Incarnation, o.Secret),
+		issuer:      fleet.NewTicketIssuer(o.Self, o.Incarnation, o.Secret),
 		started:     o.Now(),
 		retries:     newRetries(o.Metrics),
-		ledger:      coordination.NewLedger(o.LedgerBytes),
+		ledger:      fleet.NewLedger(o.LedgerBytes),
 	}
 }
 
@@ -133,14 +134,14 @@
 
 func (o *OnceRunner) age() time.Duration { return o.Now().Sub(o.started) }
 
-func (o *OnceRunner) rules() coordination.KeeperRules {
-	return coordination.RulesOf(o.Snapshot().Config)
+func (o *OnceRunner) rules() fleet.KeeperRules {
+	return fleet.RulesOf(o.Snapshot().Config)
 }
 
 // Run runs a request at its keeper, wherever that is.
 func (o *OnceRunner) Run(ctx context.Context, r *OnceRequest) OnceResult {
-	if !coordination.IsTicket(r.Key) {
-		if refusal := coordination.MayPassOn(o.Now(), o.Snapshot().Epoch); refusal != nil {
+	if !fleet.IsTicket(r.Key) {
+		if refusal := fleet.MayPassOn(o.Now(), o.Snapshot().Epoch); refusal != nil {
 			return OnceRefusal{refusal}
 		}
 	}
@@ -157,14 +158,14 @@
 // keeper finds the daemon that may run the request.
 func (o *OnceRunner) keeper(r *OnceRequest) (state.Member, OnceResult) {
 	list := o.Snapshot().Members
-	if !coordination.IsTicket(r.Key) {
-		m, ok := coordination.KeeperOf(list, r.ledgerKey())
+	if !fleet.IsTicket(r.Key) {
+		m, ok := fleet.KeeperOf(list, r.ledgerKey())
 		if !ok {
 			return m, OnceRefusal{coordination.MayHaveRun{Reason: coordination.ReasonKeeperAway, RetryAfter: defaultRetryTime}}
 		}
 		return m, nil
 	}
-	t, err := coordination.ParseTicket(r.Key)
+	t, err := fleet.ParseTicket(r.Key)
 	if err != nil {
 		return state.Member{}, OnceConflict{err}
 	}
@@ -182,7 +183,7 @@
 // key must show a fresh challenge: one that was held up on the way may be older
 // than the window, and nothing else in it can tell.
 func (o *OnceRunner) RunForPeer(ctx context.Context, r *OnceRequest, challenge string) OnceResult {
-	if !coordination.IsTicket(r.Key) && !o.issuer.Fresh(challenge, o.age()) {
+	if !fleet.IsTicket(r.Key) && !o.issuer.Fresh(challenge, o.age()) {
 		return OnceChallenge{o.issuer.Challenge(o.age())}
 	}
 	return o.RunHere(ctx, r)
@@ -197,15 +198,15 @@
 	}
 	for {
 		switch a := o.begin(r, keep).(type) {
-		case coordination.Start:
+		case fleet.Start:
 			return o.start(ctx, r, permit)
-		case coordination.Replay:
+		case fleet.Replay:
 			return OnceAnswer{Answer: a.Answer, Replayed: true}
-		case coordination.Conflict:
+		case fleet.Conflict:
 			return OnceConflict{errKeyReused}
-		case coordination.Deny:
+		case fleet.Deny:
 			return OnceRefusal{a.Outcome}
-		case coordination.Wait:
+		case fleet.Wait:
 			select {
 			case <-a.First.Done:
 				if notRun, ok := a.First.Outcome.(coordination.NotRun); ok {
@@ -222,7 +223,7 @@
 // key must be remembered, permit the check to be made again right before the
 // first byte; a ticket needs none, since no other process can ever run it.
 func (o *OnceRunner) mayRun(r *OnceRequest) (keep time.Duration, permit func() error, result OnceResult) {
-	if coordination.IsTicket(r.Key) {
+	if fleet.IsTicket(r.Key) {
 		keep, result = o.admitTicket(r)
 		return keep, nil, result
 	}
@@ -239,7 +240,7 @@
 }
 
 func (o *OnceRunner) admitTicket(r *OnceRequest) (time.Duration, OnceResult) {
-	t, err := coordination.ParseTicket(r.Key)
+	t, err := fleet.ParseTicket(r.Key)
 	if err != nil {
 		return 0, OnceConflict{err}
 	}
@@ -257,10 +258,10 @@
 var errNoLongerKeeper = errors.New("daemon no longer keeps the key")
 
 func (o *OnceRunner) mayKeep(r *OnceRequest) coordination.Outcome {
-	return coordination.MayKeep(o.Now(), o.Self, o.Snapshot().Epoch, r.ledgerKey(), o.rules())
+	return fleet.MayKeep(o.Now(), o.Self, o.Snapshot().Epoch, r.ledgerKey(), o.rules())
 }
 
-func (o *OnceRunner) begin(r *OnceRequest, keep time.Duration) coordination.Admission {
+func (o *OnceRunner) begin(r *OnceRequest, keep time.Duration) fleet.Admission {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	a := o.ledger.Begin(o.Now(), r.ledgerKey(), r.fingerprint(), keep)
@@ -269,7 +270,7 @@
 	return a
 }
 
-func (o *OnceRunner) finish(r *OnceRequest, out coordination.Outcome, answer *coordination.StoredAnswer) {
+func (o *OnceRunner) finish(r *OnceRequest, out coordination.Outcome, answer *fleet.StoredAnswer) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.ledger.Finish(r.ledgerKey(), out, answer)
@@ -308,7 +309,7 @@
 	return defaultOnceTimeout
 }
 
-func (o *OnceRunner) send(ctx context.Context, r *OnceRequest, permit func() error) (coordination.Outcome, *coordination.StoredAnswer) {
+func (o *OnceRunner) send(ctx context.Context, r *OnceRequest, permit func() error) (coordination.Outcome, *fleet.StoredAnswer) {
 	a := &attempts{
 		upstreams: o.Upstreams,
 		retries:   o.retries,
@@ -328,12 +329,12 @@
 	return o.store(resp)
 }
 
-func (o *OnceRunner) store(resp *http.Response) (coordination.Outcome, *coordination.StoredAnswer) {
+func (o *OnceRunner) store(resp *http.Response) (coordination.Outcome, *fleet.StoredAnswer) {
 	defer resp.Body.Close()
 	body, err := protocol.ReadBounded(resp.Body, resp.ContentLength, o.AnswerBytes)
 	if err != nil {
 		return coordination.MayHaveRun{Reason: coordination.ReasonBrokenAnswer, RetryAfter: defaultRetryTime}, nil
 	}
-	answer := &coordination.StoredAnswer{Status: resp.StatusCode, Header: protocol.ReturnHeader(resp.Header), Body: body}
+	answer := &fleet.StoredAnswer{Status: resp.StatusCode, Header: protocol.ReturnHeader(resp.Header), Body: body}
 	return coordination.Answered{Status: resp.StatusCode}, answer
 }
--- a/transport/operator.go
+++ b/transport/operator.go
@@ -12,6 +12,7 @@
 	"github.com/rotisserie/eris"
 
 	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/coordination/fleet"
 	"hingewinch.org/hingewinch/protocol"
 	"hingewinch.org/hingewinch/state"
 )
@@ -140,7 +141,7 @@
 	}
 	w, m, chat := ctx.URLParam("workspace"), ctx.URLParam("model"), ctx.URLParam("chat")
 	key := coordination.ChatKeyOf(state.WorkspaceID(w), state.ModelID(m), []byte(chat))
-	c, ok := coordination.Choose(s.Model(state.ModelID(m)), key, nil)
+	c, ok := fleet.Choose(s.Model(state.ModelID(m)), key, nil)
 	if !ok {
 		ctx.StopWithText(http.StatusNotFound, "no engine serves model %q; check the name with hingectl engines", m)
 		return
--- a/transport/peers.go
+++ b/transport/peers.go
@@ -15,6 +15,7 @@
 	"github.com/twitchtv/twirp"
 
 	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/coordination/fleet"
 	"hingewinch.org/hingewinch/protocol"
 	"hingewinch.org/hingewinch/protocol/peer"
 	"hingewinch.org/hingewinch/state"
@@ -58,7 +59,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	d := c.kept[address]
-	if time.Since(d.taken) > coordination.ChallengeLife/2 {
+	if time.Since(d.taken) > fleet.ChallengeLife/2 {
 		delete(c.kept, address)
 		return ""
 	}
@@ -113,7 +114,7 @@
 }
 
 // Exchange tells news to a peer and returns the peer's.
-func (p *Peers) Exchange(ctx context.Context, address string, n coordination.News) (coordination.News, error) {
+func (p *Peers) Exchange(ctx context.Context, address string, n fleet.News) (fleet.News, error) {
 	ctx, cancel := context.WithTimeout(ctx, PeerTimeout)
 	defer cancel()
 	p.metrics.Exchanges.Inc(1)
@@ -121,7 +122,7 @@
 	answer, err := p.to(address, p.client).Exchange(ctx, protocol.EncodeNews(n))
 	if err != nil {
 		p.metrics.ExchangeFails.Inc(1)
-		return coordination.News{}, eris.Wrapf(err, "exchange with %s", address)
+		return fleet.News{}, eris.Wrapf(err, "exchange with %s", address)
 	}
 	news := protocol.DecodeNews(answer)
 	p.recorder.Observe(news.Stamp)
@@ -198,21 +199,21 @@
 	reason := coordination.Reason(m.GetReason())
 	switch m.GetOutcome() {
 	case peer.RunOutcome_RUN_OUTCOME_ANSWERED:
-		answer := &coordination.StoredAnswer{Status: int(m.GetStatus()), Header: decodeHeader(m.GetHeader()), Body: m.GetBody()}
+		answer := &fleet.StoredAnswer{Status: int(m.GetStatus()), Header: decodeHeader(m.GetHeader()), Body: m.GetBody()}
 		return OnceAnswer{Answer: answer, Replayed: m.GetReplayed()}
 	case peer.RunOutcome_RUN_OUTCOME_NOT_RUN:
 		return OnceRefusal{coordination.NotRun{Reason: reason, RetryAfter: retry}}
 	case peer.RunOutcome_RUN_OUTCOME_CONFLICT:
 		return OnceConflict{errKeyReused}
 	case peer.RunOutcome_RUN_OUTCOME_FORGED:
-		return OnceConflict{coordination.ErrTicketForged}
+		return OnceConflict{fleet.ErrTicketForged}
 	}
 	return OnceRefusal{coordination.MayHaveRun{Reason: reason, RetryAfter: retry}}
 }
 
 // PeerServer serves other daemons.
 type PeerServer struct {
-	Converse  func(ctx context.Context, n coordination.News) (coordination.News, error)
+	Converse  func(ctx context.Context, n fleet.News) (fleet.News, error)
 	Documents Documents
 	Once      *OnceRunner
 	Recorder  *Recorder
@@ -316,7 +317,7 @@
 			Header: encodeHeader(r.Answer.Header), Body: r.Answer.Body, Replayed: r.Replayed,
 		}
 	case OnceConflict:
-		if r.Err == coordination.ErrTicketForged {
+		if r.Err == fleet.ErrTicketForged {
 			return &peer.RunResponse{Outcome: peer.RunOutcome_RUN_OUTCOME_FORGED}
 		}
 		return &peer.RunResponse{Outcome: peer.RunOutcome_RUN_OUTCOME_CONFLICT}
--- a/transport/relay.go
+++ b/transport/relay.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/coordination/fleet"
 	"hingewinch.org/hingewinch/protocol"
 	"hingewinch.org/hingewinch/state"
 )
@@ -27,7 +28,7 @@
 	g        *Gateway
 	c        *call
 	engine   *state.Candidate
-	asm      coordination.Assembler
+	asm      fleet.Assembler
 	sent     bool
 	deadline time.Time // of the caller's connection
 	out      *http.ResponseController
@@ -98,12 +99,12 @@
 			return broken(err)
 		}
 		idle.Reset(s.g.Limits.StreamIdle)
-		switch s.asm.Accept(coordination.Chunk{Stream: id, Seq: ev.Seq, Final: ev.IsEnd()}) {
-		case coordination.Drop:
+		switch s.asm.Accept(fleet.Chunk{Stream: id, Seq: ev.Seq, Final: ev.IsEnd()}) {
+		case fleet.Drop:
 			continue
-		case coordination.Missing:
+		case fleet.Missing:
 			return errors.New("events are missing in the stream")
-		case coordination.Forward:
+		case fleet.Forward:
 		}
 		if err := s.forward(&ev); err != nil {
 			return err
--- a/transport/suite_test.go
+++ b/transport/suite_test.go
@@ -16,6 +16,7 @@
 	. "github.com/onsi/gomega"
 
 	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/coordination/fleet"
 	"hingewinch.org/hingewinch/internal/standin"
 	"hingewinch.org/hingewinch/protocol"
 	"hingewinch.org/hingewinch/state"
@@ -98,7 +99,7 @@
 	rec := transport.NewRecorder("d1", nil)
 	get := func() *state.Snapshot { return f.snapshot }
 	f.handler = transport.NewGateway(transport.GatewayOptions{
-		Daemon: "d1", Snapshot: get, Tell: func(coordination.Event) {}, Upstreams: up,
+		Daemon: "d1", Snapshot: get, Tell: func(fleet.Event) {}, Upstreams: up,
 		Once: transport.NewOnceRunner(transport.OnceOptions{
 			Self: "d1", Incarnation: 1, Secret: []byte("s"), Snapshot: get, Upstreams: up,
 			Recorder: rec, Metrics: f.metrics, LedgerBytes: 1 << 20, AnswerBytes: 1 << 20,
--- a/transport/waiting_test.go
+++ b/transport/waiting_test.go
@@ -6,6 +6,7 @@
 	"testing/synctest"
 
 	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/coordination/fleet"
 	"hingewinch.org/hingewinch/state"
 )
 
@@ -27,7 +28,7 @@
 		})
 		ticket, life := o.Issue("w", "gate")
 		r := &OnceRequest{Workspace: "w", Service: "gate", Key: ticket}
-		if _, ok := o.begin(r, life).(coordination.Start); !ok {
+		if _, ok := o.begin(r, life).(fleet.Start); !ok {
 			t.Fatal("the first attempt was not started")
 		}
 		results := make(chan OnceResult, 5)
--- a/transport/watch.go
+++ b/transport/watch.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/coordination/fleet"
 	"hingewinch.org/hingewinch/protocol"
 	"hingewinch.org/hingewinch/state"
 )
@@ -27,7 +27,7 @@
 type Watcher struct {
 	ctx       context.Context
 	upstreams *Upstreams
-	tell      func(coordination.Event)
+	tell      func(fleet.Event)
 
 	mu      sync.Mutex
 	running map[state.UpstreamID]*watch
@@ -41,7 +41,7 @@
 
 // NewWatcher returns a watcher that works until ctx ends. up should count its
 // bytes as control traffic.
-func NewWatcher(ctx context.Context, up *Upstreams, tell func(coordination.Event)) *Watcher {
+func NewWatcher(ctx context.Context, up *Upstreams, tell func(fleet.Event)) *Watcher {
 	return &Watcher{ctx: ctx, upstreams: up, tell: tell, running: make(map[state.UpstreamID]*watch)}
 }
 
@@ -86,14 +86,14 @@
 			seq = next
 			w.tell(ev)
 		case ctx.Err() == nil:
-			w.tell(coordination.UpstreamFailed{ID: id})
+			w.tell(fleet.UpstreamFailed{ID: id})
 			pause, seq = watchBackoff, 0
 		}
 		sleep(ctx, pause)
 	}
 }
 
-func (w *Watcher) ask(ctx context.Context, id state.UpstreamID, address string, seq uint64) (ev coordination.UpstreamSeen, next uint64, err error) {
+func (w *Watcher) ask(ctx context.Context, id state.UpstreamID, address string, seq uint64) (ev fleet.UpstreamSeen, next uint64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	resp, _, err := w.upstreams.Send(ctx, UpstreamRequest{
