--- a/cmd/hingectl/daemons.go
+++ b/cmd/hingectl/daemons.go
@@ -16,6 +16,7 @@
 
 	"hingewinch.org/hingewinch/coordination"
 	"hingewinch.org/hingewinch/transport"
+	"hingewinch.org/hingewinch/transport/gateway"
 )
 
 const operatorTimeout = 5 * time.Second
@@ -65,8 +66,8 @@
 	defer w.Flush()
 	fmt.Fprintln(w, "DAEMON\tDOMAIN\tCONFIG\tLIST\tLIST AGE\tREQUESTS\tSTREAMS\tSTATE")
 	return c.askAll(func(address string) error {
-		var a transport.StatusAnswer
-		if err := ask(address, transport.PathStatus, &a); err != nil {
+		var a gateway.StatusAnswer
+		if err := ask(address, gateway.PathStatus, &a); err != nil {
 			return err
 		}
 		st := "serving"
@@ -86,8 +87,8 @@
 	defer w.Flush()
 	fmt.Fprintln(w, "POOL\tUPSTREAM\tDOMAIN\tADDRESS\tGATE\tLOAD")
 	return c.askAll(func(address string) error {
-		var list []transport.EngineAnswer
-		if err := ask(address, transport.PathEngines, &list); err != nil {
+		var list []gateway.EngineAnswer
+		if err := ask(address, gateway.PathEngines, &list); err != nil {
 			return err
 		}
 		for _, e := range list {
@@ -114,8 +115,8 @@
 	return c.askAll(func(address string) error {
 		for _, chat := range c.Args.Chats {
 			q := url.Values{"workspace": {c.Workspace}, "model": {c.Model}, "chat": {chat}}
-			var a transport.PlaceAnswer
-			if err := ask(address, transport.PathPlace+"?"+q.Encode(), &a); err != nil {
+			var a gateway.PlaceAnswer
+			if err := ask(address, gateway.PathPlace+"?"+q.Encode(), &a); err != nil {
 				return err
 			}
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", address, chat, a.Upstream, a.Address)
--- a/cmd/hingectl/requests.go
+++ b/cmd/hingectl/requests.go
@@ -17,7 +17,7 @@
 	"github.com/rotisserie/eris"
 
 	"hingewinch.org/hingewinch/protocol"
-	"hingewinch.org/hingewinch/transport"
+	"hingewinch.org/hingewinch/transport/gateway"
 )
 
 type callerOptions struct {
@@ -26,8 +26,8 @@
 	Timeout  time.Duration `long:"timeout" default:"60s" description:"time for the whole command"`
 }
 
-func (o *callerOptions) request(ctx context.Context, gateway, method, path string, body []byte) (*http.Request, error) {
-	req, err := http.NewRequestWithContext(ctx, method, strings.TrimSuffix(gateway, "/")+path, bytes.NewReader(body))
+func (o *callerOptions) request(ctx context.Context, base, method, path string, body []byte) (*http.Request, error) {
+	req, err := http.NewRequestWithContext(ctx, method, strings.TrimSuffix(base, "/")+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, eris.Wrap(err, "build request; check the gateway URL")
 	}
@@ -172,7 +172,7 @@
 	}
 	var last error
 	for _, g := range c.Gateways {
-		req, err := c.request(ctx, g, http.MethodPost, transport.PathTickets, body)
+		req, err := c.request(ctx, g, http.MethodPost, gateway.PathTickets, body)
 		if err != nil {
 			return "", err
 		}
@@ -186,7 +186,7 @@
 			last = refusal(resp)
 			continue
 		}
-		var a transport.TicketAnswer
+		var a gateway.TicketAnswer
 		err = json.NewDecoder(resp.Body).Decode(&a)
 		return a.Ticket, eris.Wrap(err, "read ticket")
 	}
@@ -194,8 +194,8 @@
 }
 
 // attempt sends the request once; done is false if it may be sent again.
-func (c *onceCommand) attempt(ctx context.Context, gateway, ticket string) (done bool, err error) {
-	req, err := c.request(ctx, gateway, c.Method, transport.PathServices+c.Service+c.Path, []byte(c.Args.Body))
+func (c *onceCommand) attempt(ctx context.Context, base, ticket string) (done bool, err error) {
+	req, err := c.request(ctx, base, c.Method, gateway.PathServices+c.Service+c.Path, []byte(c.Args.Body))
 	if err != nil {
 		return true, err
 	}
--- a/cmd/hingestandin/load.go
+++ b/cmd/hingestandin/load.go
@@ -19,7 +19,7 @@
 
 	"hingewinch.org/hingewinch/internal/standin"
 	"hingewinch.org/hingewinch/protocol"
-	"hingewinch.org/hingewinch/transport"
+	"hingewinch.org/hingewinch/transport/gateway"
 )
 
 type loadCommand struct {
@@ -224,7 +224,7 @@
 func (c *loadCommand) ready() string {
 	for range 20 {
 		g := c.Gateways[rand.IntN(len(c.Gateways))]
-		resp, err := http.Get(g + transport.PathReady)
+		resp, err := http.Get(g + gateway.PathReady)
 		if err != nil {
 			continue
 		}
@@ -299,7 +299,7 @@
 		return
 	}
 	for range 2 {
-		resp, err := c.post(transport.PathServices+c.Service+"/passes", body, ticket)
+		resp, err := c.post(gateway.PathServices+c.Service+"/passes", body, ticket)
 		if err != nil {
 			t.problem(err.Error())
 			continue
@@ -314,12 +314,12 @@
 
 func (c *loadCommand) ticket(t *tally) (string, bool) {
 	for end := time.Now().Add(c.Patience); time.Now().Before(end); time.Sleep(time.Second) {
-		resp, err := c.post(transport.PathTickets, fmt.Appendf(nil, `{"service": %q}`, c.Service), "")
+		resp, err := c.post(gateway.PathTickets, fmt.Appendf(nil, `{"service": %q}`, c.Service), "")
 		if err != nil {
 			t.problem(err.Error())
 			continue
 		}
-		var a transport.TicketAnswer
+		var a gateway.TicketAnswer
 		err = json.NewDecoder(resp.Body).Decode(&a)
 		resp.Body.Close()
 		if err == nil && a.Ticket != "" {
--- a/daemon/openai/bench_test.go
+++ b/daemon/openai/bench_test.go
@@ -19,12 +19,12 @@
 	"hingewinch.org/hingewinch/internal/standin"
 	"hingewinch.org/hingewinch/protocol"
 	"hingewinch.org/hingewinch/state"
-	"hingewinch.org/hingewinch/transport"
+	"hingewinch.org/hingewinch/transport/gateway"
 )
 
 // metric reads one metric of a daemon.
 func (r *running) metric(name string) float64 {
-	resp, err := http.Get("http://" + r.d.OperatorAddress() + transport.PathMetrics)
+	resp, err := http.Get("http://" + r.d.OperatorAddress() + gateway.PathMetrics)
 	if err != nil {
 		return 0
 	}
--- a/daemon/openai/control.go
+++ b/daemon/openai/control.go
@@ -18,6 +18,7 @@
 	"hingewinch.org/hingewinch/protocol/peer"
 	"hingewinch.org/hingewinch/state"
 	"hingewinch.org/hingewinch/transport"
+	"hingewinch.org/hingewinch/transport/gateway"
 )
 
 // eventQueue is how many events may wait for the control loop.
@@ -35,10 +36,10 @@
 	snapshot atomic.Pointer[state.Snapshot]
 
 	documents *documents
-	peers     *transport.Peers
+	peers     *gateway.Peers
 	recorder  *transport.Recorder
 	logger    *log.Logger
-	watcher   *transport.Watcher
+	watcher   *gateway.Watcher
 	readers   map[peer.DocumentKind]*documentReader
 
 	mu       sync.Mutex
--- a/daemon/openai/daemon.go
+++ b/daemon/openai/daemon.go
@@ -24,6 +24,7 @@
 	"hingewinch.org/hingewinch/protocol/peer"
 	"hingewinch.org/hingewinch/state"
 	"hingewinch.org/hingewinch/transport"
+	"hingewinch.org/hingewinch/transport/gateway"
 )
 
 // Version is the release, set by the linker.
@@ -43,11 +44,11 @@
 	settings  *Settings
 	life      state.Incarnation
 	control   *control
-	gateway   *transport.Gateway
+	gateway   *gateway.Gateway
 	recorder  *transport.Recorder
-	metrics   *transport.Metrics
-	upstreams *transport.Upstreams
-	meter     *transport.Meter
+	metrics   *gateway.Metrics
+	upstreams *gateway.Upstreams
+	meter     *gateway.Meter
 	draining  atomic.Bool
 
 	callers, peers, operators *listener
@@ -62,10 +63,10 @@
 // New opens the listeners and puts the parts together. Nothing is served before
 // Run.
 func New(s *Settings, logger *log.Logger) (*Daemon, error) {
-	d := &Daemon{settings: s, life: state.Incarnation(time.Now().UnixNano()), metrics: transport.NewMetrics()}
+	d := &Daemon{settings: s, life: state.Incarnation(time.Now().UnixNano()), metrics: gateway.NewMetrics()}
 	d.recorder = transport.NewRecorder(s.ID, logger)
-	d.upstreams = transport.NewUpstreams(transport.UpstreamOptions{AnswerTimeout: s.Limits.FirstByte})
-	d.meter = &transport.Meter{Sent: d.metrics.ControlSent, Read: d.metrics.ControlRead}
+	d.upstreams = gateway.NewUpstreams(gateway.UpstreamOptions{AnswerTimeout: s.Limits.FirstByte})
+	d.meter = &gateway.Meter{Sent: d.metrics.ControlSent, Read: d.metrics.ControlRead}
 	if err := d.listen(logger); err != nil {
 		d.close()
 		return nil, err
@@ -104,7 +105,7 @@
 	return transport.ServerTLS(files)
 }
 
-func open(address string, tlsConfig *tls.Config, meter *transport.Meter, logger *log.Logger) (*listener, error) {
+func open(address string, tlsConfig *tls.Config, meter *gateway.Meter, logger *log.Logger) (*listener, error) {
 	socket, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, eris.Wrapf(err, "listen on %s; check that the address is this VM's and free", address)
@@ -148,23 +149,23 @@
 			return err
 		}
 	}
-	d.control.peers = transport.NewPeers(peerTLS, d.meter, d.recorder, d.metrics, nil)
-	platform := transport.NewPlatform(s.Platform, d.meter, d.metrics)
+	d.control.peers = gateway.NewPeers(peerTLS, d.meter, d.recorder, d.metrics, nil)
+	platform := gateway.NewPlatform(s.Platform, d.meter, d.metrics)
 	d.control.addReader(peer.DocumentKind_DOCUMENT_KIND_CONFIG, platform.Reader(protocol.PathConfig))
 	d.control.addReader(peer.DocumentKind_DOCUMENT_KIND_LIST, platform.Reader(protocol.PathMembers))
-	once := transport.NewOnceRunner(transport.OnceOptions{
+	once := gateway.NewOnceRunner(gateway.OnceOptions{
 		Self: s.ID, Incarnation: d.life, Secret: secret, Snapshot: d.control.Snapshot, Upstreams: d.upstreams,
 		Forwarder: d.control.peers, Recorder: d.recorder, Metrics: d.metrics,
 		LedgerBytes: s.Limits.LedgerBytes, AnswerBytes: s.Limits.AnswerBytes,
 	})
-	d.gateway = transport.NewGateway(transport.GatewayOptions{
+	d.gateway = gateway.NewGateway(gateway.GatewayOptions{
 		Daemon: s.ID, Snapshot: d.control.Snapshot, Tell: d.control.hint, Upstreams: d.upstreams, Once: once,
 		Recorder: d.recorder, Metrics: d.metrics, Limits: s.limits(),
 	})
 	d.callers.server.Handler = d.gateway
-	server := &transport.PeerServer{Converse: d.control.Converse, Documents: d.control.documents, Once: once, Recorder: d.recorder}
+	server := &gateway.PeerServer{Converse: d.control.Converse, Documents: d.control.documents, Once: once, Recorder: d.recorder}
 	d.peers.server.Handler = server.Handler()
-	op := &transport.Operator{
+	op := &gateway.Operator{
 		Self: s.ID, Incarnation: d.life, Domain: s.Domain, Version: Version,
 		Snapshot: d.control.Snapshot, Recorder: d.recorder, Metrics: d.metrics, Draining: d.draining.Load,
 	}
@@ -172,8 +173,8 @@
 	return err
 }
 
-func (s *Settings) limits() transport.Limits {
-	l := transport.DefaultLimits()
+func (s *Settings) limits() gateway.Limits {
+	l := gateway.DefaultLimits()
 	l.BodyBytes, l.AnswerBytes = s.Limits.BodyBytes, s.Limits.AnswerBytes
 	l.Timeout, l.StreamIdle, l.CallerStall = s.Limits.Timeout, s.Limits.StreamIdle, s.Limits.CallerStall
 	return l
@@ -196,9 +197,9 @@
 func (d *Daemon) Run(ctx context.Context) error {
 	work, endWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer endWork()
-	probes := transport.NewUpstreams(transport.UpstreamOptions{Dial: d.meter.Dial(nil)})
+	probes := gateway.NewUpstreams(gateway.UpstreamOptions{Dial: d.meter.Dial(nil)})
 	defer probes.Close()
-	d.control.watcher = transport.NewWatcher(work, probes, d.control.tell)
+	d.control.watcher = gateway.NewWatcher(work, probes, d.control.tell)
 	var wg sync.WaitGroup
 	wg.Go(func() { d.control.run(work) })
 	for _, r := range d.control.readers {
--- a/daemon/openai/daemon_test.go
+++ b/daemon/openai/daemon_test.go
@@ -31,6 +31,7 @@
 	"hingewinch.org/hingewinch/protocol"
 	"hingewinch.org/hingewinch/state"
 	"hingewinch.org/hingewinch/transport"
+	"hingewinch.org/hingewinch/transport/gateway"
 )
 
 func TestDaemon(t *testing.T) {
@@ -119,7 +120,7 @@
 func (r *running) url(path string) string { return "http://" + r.d.CallerAddress() + path }
 
 func (r *running) ready() int {
-	resp, err := http.Get(r.url(transport.PathReady))
+	resp, err := http.Get(r.url(gateway.PathReady))
 	if err != nil {
 		return 0
 	}
@@ -131,9 +132,9 @@
 	Eventually(r.ready, patience, "20ms").Should(Equal(http.StatusOK))
 }
 
-func (r *running) status() transport.StatusAnswer {
-	var a transport.StatusAnswer
-	resp, err := http.Get("http://" + r.d.OperatorAddress() + transport.PathStatus)
+func (r *running) status() gateway.StatusAnswer {
+	var a gateway.StatusAnswer
+	resp, err := http.Get("http://" + r.d.OperatorAddress() + gateway.PathStatus)
 	if err != nil {
 		return a
 	}
@@ -240,7 +241,7 @@
 		r.start()
 		client := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{InsecureSkipVerify: true}}}
 		Eventually(func() int {
-			resp, err := client.Get("https://" + r.d.CallerAddress() + transport.PathReady)
+			resp, err := client.Get("https://" + r.d.CallerAddress() + gateway.PathReady)
 			if err != nil {
 				return 0
 			}
--- a/daemon/openai/documents.go
+++ b/daemon/openai/documents.go
@@ -8,7 +8,7 @@
 
 	"hingewinch.org/hingewinch/protocol/peer"
 	"hingewinch.org/hingewinch/state"
-	"hingewinch.org/hingewinch/transport"
+	"hingewinch.org/hingewinch/transport/gateway"
 )
 
 // documentsKept is how many contents of each kind are held. A peer that is
@@ -26,7 +26,7 @@
 	kept map[peer.DocumentKind][]document // newest first
 }
 
-var _ transport.Documents = (*documents)(nil)
+var _ gateway.Documents = (*documents)(nil)
 
 func newDocuments() *documents {
 	return &documents{kept: make(map[peer.DocumentKind][]document)}
--- a/daemon/openai/reader.go
+++ b/daemon/openai/reader.go
@@ -10,20 +10,20 @@
 	"hingewinch.org/hingewinch/coordination/fleet"
 	"hingewinch.org/hingewinch/protocol/peer"
 	"hingewinch.org/hingewinch/state"
-	"hingewinch.org/hingewinch/transport"
+	"hingewinch.org/hingewinch/transport/gateway"
 )
 
 // documentReader reads one document of the platform when it is asked to. While
 // a call waits at the platform further requests fall together.
 type documentReader struct {
 	kind   peer.DocumentKind
-	reader *transport.PlatformReader
+	reader *gateway.PlatformReader
 	wake   chan struct{}
 	last   state.Head // of the document that was read last
 	failed bool
 }
 
-func (c *control) addReader(kind peer.DocumentKind, r *transport.PlatformReader) {
+func (c *control) addReader(kind peer.DocumentKind, r *gateway.PlatformReader) {
 	c.readers[kind] = &documentReader{kind: kind, reader: r, wake: make(chan struct{}, 1)}
 }
 
@@ -73,10 +73,10 @@
 // A tenth is taken off for clocks that run apart; an answer that came early is
 // about the moment of the question alone.
 func heldUntil(asked, answered time.Time) time.Time {
-	if answered.Sub(asked) < transport.PlatformWait {
+	if answered.Sub(asked) < gateway.PlatformWait {
 		return asked
 	}
-	return asked.Add(transport.PlatformWait * 9 / 10)
+	return asked.Add(gateway.PlatformWait * 9 / 10)
 }
 
 func (c *control) notePlatform(failed bool, err error) {
--- a/daemon/openai/settings.go
+++ b/daemon/openai/settings.go
@@ -14,6 +14,7 @@
 
 	"hingewinch.org/hingewinch/state"
 	"hingewinch.org/hingewinch/transport"
+	"hingewinch.org/hingewinch/transport/gateway"
 )
 
 // Settings are a daemon's settings file.
@@ -71,7 +72,7 @@
 )
 
 func defaultSettings() Settings {
-	l := transport.DefaultLimits()
+	l := gateway.DefaultLimits()
 	return Settings{
 		Stop:     StopSettings{Notice: defaultNotice},
 		LogLevel: defaultLogLevel,
--- a/daemon/routes/peers.go
+++ b/daemon/routes/peers.go
@@ -27,7 +27,7 @@
 
 // pullPatience bounds a peer's silence. What a daemon that has just started is
 // told may take seconds on a small link.
-var pullPatience = transport.Patience{Answer: 600 * time.Millisecond, Piece: 400 * time.Millisecond}
+var pullPatience = transport.Timeouts{FirstByte: 600 * time.Millisecond, Idle: 400 * time.Millisecond}
 
 // peers is the daemon's socket for beats and its client for news.
 type peers struct {
--- a/daemon/routes/reader.go
+++ b/daemon/routes/reader.go
@@ -15,10 +15,10 @@
 // Store is where the documents come from.
 type Store interface {
 	// List reads a page of the documents whose keys come after one.
-	List(ctx context.Context, after string, p transport.Patience) (feed.Page, error)
+	List(ctx context.Context, after string, p transport.Timeouts) (feed.Page, error)
 	// Watch waits for changes after a revision, and returns the revision to go
 	// on from. Its patience includes the wait.
-	Watch(ctx context.Context, after feed.Revision, wait time.Duration, p transport.Patience) ([]feed.Item, feed.Revision, error)
+	Watch(ctx context.Context, after feed.Revision, wait time.Duration, p transport.Timeouts) ([]feed.Item, feed.Revision, error)
 	// Forget closes connections that may have died.
 	Forget()
 }
@@ -113,7 +113,7 @@
 	l := r.partial
 	for {
 		r.calls()
-		page, err := r.store.List(ctx, l.next, transport.Patience{Answer: listPatience, Piece: piecePatience})
+		page, err := r.store.List(ctx, l.next, transport.Timeouts{FirstByte: listPatience, Idle: piecePatience})
 		if err != nil {
 			return err
 		}
@@ -137,7 +137,7 @@
 	r.calls()
 	// Daemons must not ask in step.
 	wait = wait*3/4 + rand.N(wait/2)
-	items, at, err := r.store.Watch(ctx, r.after, wait, transport.Patience{Answer: wait + watchSlack, Piece: piecePatience})
+	items, at, err := r.store.Watch(ctx, r.after, wait, transport.Timeouts{FirstByte: wait + watchSlack, Idle: piecePatience})
 	if err != nil {
 		return err
 	}
--- a/daemon/routes/reader_test.go
+++ b/daemon/routes/reader_test.go
@@ -20,7 +20,7 @@
 
 var errCrowded = errors.New("too many calls")
 
-func (s *crowdedStore) List(_ context.Context, after string, _ transport.Patience) (feed.Page, error) {
+func (s *crowdedStore) List(_ context.Context, after string, _ transport.Timeouts) (feed.Page, error) {
 	if s.calls++; s.calls%3 == 0 {
 		return feed.Page{}, errCrowded
 	}
@@ -38,7 +38,7 @@
 	return p, nil
 }
 
-func (s *crowdedStore) Watch(ctx context.Context, after feed.Revision, _ time.Duration, _ transport.Patience) ([]feed.Item, feed.Revision, error) {
+func (s *crowdedStore) Watch(ctx context.Context, after feed.Revision, _ time.Duration, _ transport.Timeouts) ([]feed.Item, feed.Revision, error) {
 	select {
 	case s.watched <- after:
 	default:
--- a/transport/doc.go
+++ b/transport/doc.go
@@ -1,18 +1,15 @@
-// Package transport holds everything that talks over a network: the servers
-// towards callers, peers and operators, and the clients towards engines,
-// services, peers and the platform. It decides nothing that another daemon
-// would have to agree with; those decisions are in the coordination package.
+// Package transport holds what every part that talks over a network shares:
+// mutual TLS between processes, calls bounded by the other side's silence, and
+// the recorder behind the time line. The parts themselves stand below it: relay
+// carries requests of the front end in production to replicas, gateway serves
+// the OpenAI front end.
 //
-// Traffic reads one immutable snapshot per request and takes no lock of the
-// control loop. What traffic learns goes to the control loop as an event.
+// It decides nothing; decisions are in coordination.
 //
 // # Usage
 //
-//	up := transport.NewUpstreams(transport.UpstreamOptions{})
-//	gw := transport.NewGateway(transport.GatewayOptions{
-//		Snapshot:  control.Snapshot,
-//		Upstreams: up,
-//		...
+//	t := transport.Timeouts{FirstByte: time.Second, Idle: 500 * time.Millisecond}
+//	err := transport.Fetch(client, req, t, func(resp *http.Response) error {
+//		return json.NewDecoder(resp.Body).Decode(&v)
 //	})
-//	http.Serve(listener, gw)
 package transport
--- a/transport/patience_test.go
+++ b/transport/fetch_test.go
@@ -13,7 +13,7 @@
 )
 
 var _ = Describe("Fetch", func() {
-	patience := transport.Patience{Answer: 150 * time.Millisecond, Piece: 150 * time.Millisecond}
+	timeouts := transport.Timeouts{FirstByte: 150 * time.Millisecond, Idle: 150 * time.Millisecond}
 
 	// fetch asks a server that waits, then writes pieces with pauses between.
 	fetch := func(wait, gap time.Duration, pieces int) (int, error) {
@@ -32,7 +32,7 @@
 		req, err := http.NewRequest(http.MethodGet, server.URL, nil)
 		Expect(err).NotTo(HaveOccurred())
 		n := 0
-		err = transport.Fetch(server.Client(), req, patience, func(resp *http.Response) error {
+		err = transport.Fetch(server.Client(), req, timeouts, func(resp *http.Response) error {
 			b, err := io.ReadAll(resp.Body)
 			n = len(b)
 			return err
--- a/transport/attempt_test.go
+++ b/transport/gateway/attempt_test.go
@@ -1,4 +1,4 @@
-package transport
+package gateway
 
 import (
 	"errors"
--- a/transport/attempts.go
+++ b/transport/gateway/attempts.go
@@ -2,7 +2,7 @@
 // every attempt before was surely not run. It is the only place that sends a
 // request again.
 
-package transport
+package gateway
 
 import (
 	"context"
--- a/transport/bench_test.go
+++ b/transport/gateway/bench_test.go
@@ -1,4 +1,4 @@
-package transport_test
+package gateway_test
 
 import (
 	"bytes"
@@ -19,6 +19,7 @@
 	"hingewinch.org/hingewinch/internal/standin"
 	"hingewinch.org/hingewinch/protocol"
 	"hingewinch.org/hingewinch/transport"
+	"hingewinch.org/hingewinch/transport/gateway"
 )
 
 // tokensEngine answers at once with n tokens, or holds the stream open after
@@ -212,13 +213,13 @@
 // BenchmarkExchange measures one exchange of news between two daemons on the
 // wire: bytes with HTTP framing, and processor time of both sides.
 func BenchmarkExchange(b *testing.B) {
-	rec, m := transport.NewRecorder("d0", nil), transport.NewMetrics()
+	rec, m := transport.NewRecorder("d0", nil), gateway.NewMetrics()
 	defer m.Close()
-	meter := &transport.Meter{Sent: m.ControlSent, Read: m.ControlRead}
-	peers := transport.NewPeers(nil, meter, rec, m, nil)
+	meter := &gateway.Meter{Sent: m.ControlSent, Read: m.ControlRead}
+	peers := gateway.NewPeers(nil, meter, rec, m, nil)
 	news := fleet.News{Sender: "gj-ahd-a-0007", Incarnation: 1 << 60, Domain: "ahd-a", Address: "10.0.1.11:8081", ListAge: time.Second}
 	news.Config.Version, news.List.Version = 5000, 9000
-	server := &transport.PeerServer{Recorder: rec, Converse: func(context.Context, fleet.News) (fleet.News, error) { return news, nil }}
+	server := &gateway.PeerServer{Recorder: rec, Converse: func(context.Context, fleet.News) (fleet.News, error) { return news, nil }}
 	srv := httptest.NewServer(server.Handler())
 	defer srv.Close()
 	begun := cpuTime()
--- a/transport/chat.go
+++ b/transport/gateway/chat.go
@@ -1,7 +1,7 @@
 // This file serves chat completions: it places a chat, sends it and returns the
 // whole answer or says that there is none.
 
-package transport
+package gateway
 
 import (
 	"context"
--- a/transport/evidence.go
+++ b/transport/gateway/evidence.go
@@ -5,7 +5,7 @@
 // and something still may be. An attempt that is sealed can write nothing any
 // more.
 
-package transport
+package gateway
 
 import (
 	"errors"
--- a/transport/evidence_test.go
+++ b/transport/gateway/evidence_test.go
@@ -1,4 +1,4 @@
-package transport_test
+package gateway_test
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 	. "github.com/onsi/gomega"
 
 	"hingewinch.org/hingewinch/coordination"
-	"hingewinch.org/hingewinch/transport"
+	"hingewinch.org/hingewinch/transport/gateway"
 )
 
 // rawServer accepts connections and does with each what serve says. It counts
@@ -77,12 +77,12 @@
 	_ = c.(*net.TCPConn).SetLinger(0)
 }
 
-func post(address string) transport.UpstreamRequest {
-	return transport.UpstreamRequest{Method: http.MethodPost, Address: address, Target: "/passes", Header: http.Header{}, Body: []byte("0123456789")}
+func post(address string) gateway.UpstreamRequest {
+	return gateway.UpstreamRequest{Method: http.MethodPost, Address: address, Target: "/passes", Header: http.Header{}, Body: []byte("0123456789")}
 }
 
 var _ = Describe("the outcome of an attempt", func() {
-	var up *transport.Upstreams
+	var up *gateway.Upstreams
 	send := func(ctx context.Context, address string) coordination.Outcome {
 		resp, outcome, _ := up.Send(ctx, post(address))
 		if resp == nil {
@@ -96,7 +96,7 @@
 		return coordination.Answered{Status: resp.StatusCode}
 	}
 	BeforeEach(func() {
-		up = transport.NewUpstreams(transport.UpstreamOptions{})
+		up = gateway.NewUpstreams(gateway.UpstreamOptions{})
 		DeferCleanup(up.Close)
 	})
 
@@ -149,7 +149,7 @@
 			_, _ = c.Read(make([]byte, 4096))
 			_, _ = io.WriteString(c, "this is not TLS")
 		})
-		up = transport.NewUpstreams(transport.UpstreamOptions{TLS: &tls.Config{InsecureSkipVerify: true}})
+		up = gateway.NewUpstreams(gateway.UpstreamOptions{TLS: &tls.Config{InsecureSkipVerify: true}})
 		Expect(send(context.Background(), s.Addr().String())).To(BeAssignableToTypeOf(coordination.NotRun{}))
 	})
 	It("is not-run when the permit is refused at the first byte", func() {
@@ -168,7 +168,7 @@
 		for i := range 1000 {
 			var written atomic.Int64
 			ctx, cancel := context.WithCancel(context.Background())
-			up = transport.NewUpstreams(transport.UpstreamOptions{Dial: func(context.Context, string, string) (net.Conn, error) {
+			up = gateway.NewUpstreams(gateway.UpstreamOptions{Dial: func(context.Context, string, string) (net.Conn, error) {
 				client, server := net.Pipe()
 				go func() { _, _ = io.Copy(io.Discard, server) }()
 				conn := &countedConn{Conn: client, written: &written}
--- a/transport/gateway.go
+++ b/transport/gateway/gateway.go
@@ -2,7 +2,7 @@
 // and the shape of refusals. Chats and plain services stand in files of their
 // own.
 
-package transport
+package gateway
 
 import (
 	"context"
@@ -23,6 +23,7 @@
 	"hingewinch.org/hingewinch/coordination/fleet"
 	"hingewinch.org/hingewinch/protocol"
 	"hingewinch.org/hingewinch/state"
+	"hingewinch.org/hingewinch/transport"
 )
 
 // Paths of the gateway beside those of the OpenAI protocol.
@@ -64,7 +65,7 @@
 	Tell      func(fleet.Event) // hands an event to the control loop; must not block
 	Upstreams *Upstreams
 	Once      *OnceRunner
-	Recorder  *Recorder
+	Recorder  *transport.Recorder
 	Metrics   *Metrics
 	Limits    Limits
 }
--- a/transport/gateway_test.go
+++ b/transport/gateway/gateway_test.go
@@ -1,4 +1,4 @@
-package transport_test
+package gateway_test
 
 import (
 	"bufio"
@@ -20,12 +20,13 @@
 	"hingewinch.org/hingewinch/protocol"
 	"hingewinch.org/hingewinch/state"
 	"hingewinch.org/hingewinch/transport"
+	"hingewinch.org/hingewinch/transport/gateway"
 )
 
 var _ = Describe("a wrong request", func() {
 	var f *fixture
 	BeforeEach(func() {
-		f = newFixture(GinkgoTB(), fixtureOptions{limits: func(l *transport.Limits) { l.BodyBytes = 1000 }})
+		f = newFixture(GinkgoTB(), fixtureOptions{limits: func(l *gateway.Limits) { l.BodyBytes = 1000 }})
 	})
 	DescribeTable("gets a clear refusal and reaches no upstream", func(method, path, key, body string, status int, remedy string) {
 		resp, err := f.do(context.Background(), method, path, []byte(body), map[string]string{"Authorization": key})
@@ -62,7 +63,7 @@
 
 var _ = Describe("a caller who sends a body too slowly", func() {
 	It("is refused as not-run, and holds nothing for long", func() {
-		f := newFixture(GinkgoTB(), fixtureOptions{limits: func(l *transport.Limits) { l.CallerStall = 50 * time.Millisecond }})
+		f := newFixture(GinkgoTB(), fixtureOptions{limits: func(l *gateway.Limits) { l.CallerStall = 50 * time.Millisecond }})
 		c, err := net.Dial("tcp", f.gateway.Listener.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
 		defer c.Close()
@@ -74,7 +75,7 @@
 		Expect(resp.Header.Get(protocol.HeaderOutcome)).To(Equal("not-run"))
 	})
 	It("gets an answer to a later request on the same connection", func() {
-		f := newFixture(GinkgoTB(), fixtureOptions{limits: func(l *transport.Limits) { l.CallerStall = 50 * time.Millisecond }})
+		f := newFixture(GinkgoTB(), fixtureOptions{limits: func(l *gateway.Limits) { l.CallerStall = 50 * time.Millisecond }})
 		client := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
 		for range 3 {
 			for _, body := range []string{string(chatJSON(false, "x")), "{"} {
@@ -92,7 +93,7 @@
 	It("does not lose a stream that lasts longer than the limit", func() {
 		f := newFixture(GinkgoTB(), fixtureOptions{
 			engine: standin.EngineOptions{TokenTime: 20 * time.Millisecond},
-			limits: func(l *transport.Limits) { l.CallerStall = 50 * time.Millisecond },
+			limits: func(l *gateway.Limits) { l.CallerStall = 50 * time.Millisecond },
 		})
 		Expect(f.chat(true, "x").whole).To(BeTrue())
 	})
@@ -116,7 +117,7 @@
 		})
 		f := newFixture(GinkgoTB(), fixtureOptions{
 			extra:  []http.Handler{silent},
-			limits: func(l *transport.Limits) { l.StreamIdle = 100 * time.Millisecond },
+			limits: func(l *gateway.Limits) { l.StreamIdle = 100 * time.Millisecond },
 		})
 		f.engines[0].SetFaults(standin.Faults{Refuse: true})
 		r := f.chat(true, "x")
@@ -172,7 +173,7 @@
 
 // onceNode is one daemon as far as requests with keys go, with a peer server.
 type onceNode struct {
-	runner *transport.OnceRunner
+	runner *gateway.OnceRunner
 	server *httptest.Server
 	member state.Member
 }
@@ -209,14 +210,14 @@
 }
 
 func (f *onceFleet) start(id state.DaemonID, life state.Incarnation) *onceNode {
-	rec, m := transport.NewRecorder(id, nil), transport.NewMetrics()
-	up := transport.NewUpstreams(transport.UpstreamOptions{})
-	peers := transport.NewPeers(nil, &transport.Meter{Sent: m.ControlSent, Read: m.ControlRead}, rec, m, nil)
-	runner := transport.NewOnceRunner(transport.OnceOptions{
+	rec, m := transport.NewRecorder(id, nil), gateway.NewMetrics()
+	up := gateway.NewUpstreams(gateway.UpstreamOptions{})
+	peers := gateway.NewPeers(nil, &gateway.Meter{Sent: m.ControlSent, Read: m.ControlRead}, rec, m, nil)
+	runner := gateway.NewOnceRunner(gateway.OnceOptions{
 		Self: id, Incarnation: life, Secret: fmt.Append(nil, id, life), Snapshot: f.snapshot.Load, Upstreams: up,
 		Forwarder: peers, Recorder: rec, Metrics: m, LedgerBytes: 1 << 20, AnswerBytes: 1 << 20,
 	})
-	server := httptest.NewServer((&transport.PeerServer{Once: runner, Recorder: rec}).Handler())
+	server := httptest.NewServer((&gateway.PeerServer{Once: runner, Recorder: rec}).Handler())
 	DeferCleanup(func() {
 		server.Close()
 		up.Close()
@@ -225,17 +226,17 @@
 	return &onceNode{runner, server, state.Member{ID: string(id), Kind: state.KindDaemon, Domain: "a", Address: server.Listener.Addr().String(), State: state.Live}}
 }
 
-func (f *onceFleet) run(n int, key, body string) transport.OnceResult {
+func (f *onceFleet) run(n int, key, body string) gateway.OnceResult {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	return f.nodes[n].runner.Run(ctx, &transport.OnceRequest{
+	return f.nodes[n].runner.Run(ctx, &gateway.OnceRequest{
 		ID: "r", Workspace: "w", Service: "gate", Key: key, Method: "POST", Target: "/passes",
 		Header: http.Header{"Idempotency-Key": {key}}, Body: []byte(body),
 	})
 }
 
-func refusalOf(r transport.OnceResult) coordination.Outcome {
-	refusal, ok := r.(transport.OnceRefusal)
+func refusalOf(r gateway.OnceResult) coordination.Outcome {
+	refusal, ok := r.(gateway.OnceRefusal)
 	Expect(ok).To(BeTrue(), "%T", r)
 	return refusal.Outcome
 }
@@ -246,7 +247,7 @@
 		ticket, _ := f.nodes[0].runner.Issue("w", "gate")
 		for _, key := range []string{ticket, "own-1", "own-2", "own-3"} {
 			for i := range 9 {
-				answer, ok := f.run(i%3, key, "pass").(transport.OnceAnswer)
+				answer, ok := f.run(i%3, key, "pass").(gateway.OnceAnswer)
 				Expect(ok).To(BeTrue())
 				Expect(answer.Replayed).To(Equal(i > 0))
 				Expect(string(answer.Answer.Body)).To(ContainSubstring("run=1"))
@@ -257,12 +258,12 @@
 	It("runs once when all daemons get it at the same time", func() {
 		f := newOnceFleet(3)
 		f.service.SetFaults(standin.ServiceFaults{Delay: 20 * time.Millisecond})
-		done := make(chan transport.OnceResult)
+		done := make(chan gateway.OnceResult)
 		for i := range 30 {
 			go func() { done <- f.run(i%3, "own", "pass") }()
 		}
 		for range 30 {
-			Expect(<-done).To(BeAssignableToTypeOf(transport.OnceAnswer{}))
+			Expect(<-done).To(BeAssignableToTypeOf(gateway.OnceAnswer{}))
 		}
 		Expect(f.service.Runs()["own"]).To(Equal(1))
 	})
@@ -281,12 +282,12 @@
 		ticket, _ := f.nodes[0].runner.Issue("w", "gate")
 		Expect(refusalOf(f.run(1, ticket, "pass"))).To(BeAssignableToTypeOf(coordination.NotRun{}))
 		f.service.SetFaults(standin.ServiceFaults{})
-		Expect(f.run(1, ticket, "pass")).To(BeAssignableToTypeOf(transport.OnceAnswer{}))
+		Expect(f.run(1, ticket, "pass")).To(BeAssignableToTypeOf(gateway.OnceAnswer{}))
 	})
 	It("is never called not-run when its keeper can't be reached", func() {
 		f := newOnceFleet(2)
 		ticket, _ := f.nodes[0].runner.Issue("w", "gate")
-		Expect(f.run(1, ticket, "pass")).To(BeAssignableToTypeOf(transport.OnceAnswer{}))
+		Expect(f.run(1, ticket, "pass")).To(BeAssignableToTypeOf(gateway.OnceAnswer{}))
 		f.nodes[0].server.Close()
 		Expect(refusalOf(f.run(1, ticket, "pass"))).To(BeAssignableToTypeOf(coordination.MayHaveRun{}))
 	})
@@ -300,7 +301,7 @@
 	It("can't be used for another body", func() {
 		f := newOnceFleet(2)
 		f.run(0, "own", "pass 1")
-		Expect(f.run(1, "own", "pass 2")).To(BeAssignableToTypeOf(transport.OnceConflict{}))
+		Expect(f.run(1, "own", "pass 2")).To(BeAssignableToTypeOf(gateway.OnceConflict{}))
 	})
 	It("is refused when the list is stale", func() {
 		f := newOnceFleet(2)
@@ -310,12 +311,12 @@
 		f.snapshot.Store(s.WithEpoch(epoch))
 		Expect(refusalOf(f.run(0, "own", "pass"))).To(BeAssignableToTypeOf(coordination.MayHaveRun{}))
 		ticket, _ := f.nodes[0].runner.Issue("w", "gate")
-		Expect(f.run(1, ticket, "pass")).To(BeAssignableToTypeOf(transport.OnceAnswer{}))
+		Expect(f.run(1, ticket, "pass")).To(BeAssignableToTypeOf(gateway.OnceAnswer{}))
 	})
 	It("asks a peer for a fresh challenge before it takes a caller's own key", func() {
 		f := newOnceFleet(2)
-		r := &transport.OnceRequest{Workspace: "w", Service: "gate", Key: "own", Method: "POST", Target: "/passes", Header: http.Header{}}
-		Expect(f.nodes[0].runner.RunForPeer(context.Background(), r, "")).To(BeAssignableToTypeOf(transport.OnceChallenge{}))
+		r := &gateway.OnceRequest{Workspace: "w", Service: "gate", Key: "own", Method: "POST", Target: "/passes", Header: http.Header{}}
+		Expect(f.nodes[0].runner.RunForPeer(context.Background(), r, "")).To(BeAssignableToTypeOf(gateway.OnceChallenge{}))
 		Expect(f.service.Runs()).To(BeEmpty())
 	})
 })
--- a/transport/golden_test.go
+++ b/transport/gateway/golden_test.go
@@ -1,4 +1,4 @@
-package transport_test
+package gateway_test
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"path/filepath"
 	"testing"
 
-	"hingewinch.org/hingewinch/transport"
+	"hingewinch.org/hingewinch/transport/gateway"
 )
 
 var update = flag.Bool("update-golden", false, "write the golden files anew; only for a form that is new")
@@ -16,11 +16,11 @@
 // TestPublishedNamesAreKept holds the names on the metrics address and the fields
 // of the operators' answers.
 func TestPublishedNamesAreKept(t *testing.T) {
-	m := transport.NewMetrics()
+	m := gateway.NewMetrics()
 	defer m.Close()
 	var got bytes.Buffer
 	m.WriteText(&got)
-	for _, a := range []any{transport.StatusAnswer{}, transport.EngineAnswer{}, transport.PlaceAnswer{}} {
+	for _, a := range []any{gateway.StatusAnswer{}, gateway.EngineAnswer{}, gateway.PlaceAnswer{}} {
 		text, err := json.Marshal(a)
 		if err != nil {
 			t.Fatal(err)
--- a/transport/meter.go
+++ b/transport/gateway/meter.go
@@ -1,7 +1,7 @@
 // This file counts the bytes of control traffic on its connections, TLS and
 // HTTP framing included.
 
-package transport
+package gateway
 
 import (
 	"context"
--- a/transport/metrics.go
+++ b/transport/gateway/metrics.go
@@ -1,7 +1,7 @@
 // This file defines the metrics of a daemon and writes them in the text form
 // that scrapers read.
 
-package transport
+package gateway
 
 import (
 	"fmt"
--- a/transport/once.go
+++ b/transport/gateway/once.go
@@ -2,7 +2,7 @@
 // coordination package decides; this file carries its decisions out, here or at
 // the daemon that keeps the key.
 
-package transport
+package gateway
 
 import (
 	"context"
@@ -17,6 +17,7 @@
 	"hingewinch.org/hingewinch/coordination/fleet"
 	"hingewinch.org/hingewinch/protocol"
 	"hingewinch.org/hingewinch/state"
+	"hingewinch.org/hingewinch/transport"
 )
 
 // OnceRequest is a request that must not be repeated, with its key.
@@ -94,7 +95,7 @@
 	Snapshot    func() *state.Snapshot
 	Upstreams   *Upstreams
 	Forwarder   OnceForwarder
-	Recorder    *Recorder
+	Recorder    *transport.Recorder
 	Metrics     *Metrics
 	LedgerBytes int
 	AnswerBytes int64
--- a/transport/operator.go
+++ b/transport/gateway/operator.go
@@ -1,7 +1,7 @@
 // This file serves operators on a listener of their own: status, upstreams,
 // time line and metrics, all to be read only.
 
-package transport
+package gateway
 
 import (
 	"bytes"
@@ -15,15 +15,15 @@
 	"hingewinch.org/hingewinch/coordination/fleet"
 	"hingewinch.org/hingewinch/protocol"
 	"hingewinch.org/hingewinch/state"
+	"hingewinch.org/hingewinch/transport"
 )
 
 // Paths of the operators' listener.
 const (
-	PathStatus   = "/status"
-	PathEngines  = "/engines"
-	PathPlace    = "/chats/place"
-	PathTimeline = "/timeline"
-	PathMetrics  = "/metrics"
+	PathStatus  = "/status"
+	PathEngines = "/engines"
+	PathPlace   = "/chats/place"
+	PathMetrics = "/metrics"
 )
 
 // StatusAnswer is the answer to GET /status.
@@ -63,7 +63,7 @@
 	Domain      state.FailureDomain
 	Version     string
 	Snapshot    func() *state.Snapshot
-	Recorder    *Recorder
+	Recorder    *transport.Recorder
 	Metrics     *Metrics
 	Draining    func() bool
 }
@@ -75,7 +75,7 @@
 	app.Get(PathStatus, func(ctx iris.Context) { _ = ctx.JSON(o.status()) })
 	app.Get(PathEngines, func(ctx iris.Context) { _ = ctx.JSON(o.engines()) })
 	app.Get(PathPlace, o.place)
-	app.Get(PathTimeline, func(ctx iris.Context) { _ = ctx.JSON(o.Recorder.Events()) })
+	app.Get(transport.PathTimeline, func(ctx iris.Context) { _ = ctx.JSON(o.Recorder.Events()) })
 	app.Get(PathMetrics, func(ctx iris.Context) {
 		var buf bytes.Buffer
 		o.Metrics.WriteText(&buf)
--- a/transport/peers.go
+++ b/transport/gateway/peers.go
@@ -1,7 +1,7 @@
 // This file carries exchanges, documents and requests between daemons, by
 // twirp. It is both the client and the server.
 
-package transport
+package gateway
 
 import (
 	"context"
@@ -19,6 +19,7 @@
 	"hingewinch.org/hingewinch/protocol"
 	"hingewinch.org/hingewinch/protocol/peer"
 	"hingewinch.org/hingewinch/state"
+	"hingewinch.org/hingewinch/transport"
 )
 
 // PeerTimeout bounds an exchange. A peer that takes longer counts as out of
@@ -37,7 +38,7 @@
 	client   peer.HTTPClient
 	once     peer.HTTPClient
 	scheme   string
-	recorder *Recorder
+	recorder *transport.Recorder
 	metrics  *Metrics
 
 	challenges challengeCache
@@ -77,7 +78,7 @@
 
 // NewPeers returns a client. tlsConfig is nil for plain connections; meter
 // counts the bytes.
-func NewPeers(tlsConfig *tls.Config, meter *Meter, rec *Recorder, m *Metrics, dial func(ctx context.Context, network, address string) (net.Conn, error)) *Peers {
+func NewPeers(tlsConfig *tls.Config, meter *Meter, rec *transport.Recorder, m *Metrics, dial func(ctx context.Context, network, address string) (net.Conn, error)) *Peers {
 	opts := UpstreamOptions{TLS: tlsConfig, Dial: meter.Dial(dial)}
 	p := &Peers{scheme: "http", recorder: rec, metrics: m}
 	if tlsConfig != nil {
@@ -216,7 +217,7 @@
 	Converse  func(ctx context.Context, n fleet.News) (fleet.News, error)
 	Documents Documents
 	Once      *OnceRunner
-	Recorder  *Recorder
+	Recorder  *transport.Recorder
 
 	packed packedDocuments
 }
--- a/transport/plain.go
+++ b/transport/gateway/plain.go
@@ -1,7 +1,7 @@
 // This file serves plain services and the tickets for requests that must not be
 // repeated.
 
-package transport
+package gateway
 
 import (
 	"encoding/json"
--- a/transport/platform.go
+++ b/transport/gateway/platform.go
@@ -1,7 +1,7 @@
 // This file reads what the platform publishes. It is the one place to change
 // for another platform's transport; the shapes stand in the protocol package.
 
-package transport
+package gateway
 
 import (
 	"context"
--- a/transport/relay.go
+++ b/transport/gateway/relay.go
@@ -3,7 +3,7 @@
 // that can't be finished ends in an explicit error, and the connection is
 // broken so that not even a caller who skips the error takes it as whole.
 
-package transport
+package gateway
 
 import (
 	"bytes"
--- a/transport/relay_test.go
+++ b/transport/gateway/relay_test.go
@@ -1,4 +1,4 @@
-package transport_test
+package gateway_test
 
 import (
 	"context"
--- a/transport/upstream.go
+++ b/transport/gateway/upstream.go
@@ -2,7 +2,7 @@
 // repeats a request by itself when its body can be replayed; here it can't, so
 // that whether a request is sent again is this project's decision alone.
 
-package transport
+package gateway
 
 import (
 	"bytes"
--- a/transport/waiting_test.go
+++ b/transport/gateway/waiting_test.go
@@ -1,4 +1,4 @@
-package transport
+package gateway
 
 import (
 	"context"
@@ -8,6 +8,7 @@
 	"hingewinch.org/hingewinch/coordination"
 	"hingewinch.org/hingewinch/coordination/fleet"
 	"hingewinch.org/hingewinch/state"
+	"hingewinch.org/hingewinch/transport"
 )
 
 // TestWaitersAreToldNotRun lets repeats wait for a first attempt that was surely
@@ -24,7 +25,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		o := NewOnceRunner(OnceOptions{
 			Self: "d0", Incarnation: 1, Secret: []byte("s"), Snapshot: func() *state.Snapshot { return snapshot },
-			Recorder: NewRecorder("d0", nil), Metrics: m, LedgerBytes: 1 << 20,
+			Recorder: transport.NewRecorder("d0", nil), Metrics: m, LedgerBytes: 1 << 20,
 		})
 		ticket, life := o.Issue("w", "gate")
 		r := &OnceRequest{Workspace: "w", Service: "gate", Key: ticket}
--- a/transport/watch.go
+++ b/transport/gateway/watch.go
@@ -1,7 +1,7 @@
 // This file watches upstreams: one goroutine for each asks it for its state and
 // hands what it says to the control loop.
 
-package transport
+package gateway
 
 import (
 	"context"
--- a/transport/recorder.go
+++ b/transport/recorder.go
@@ -14,6 +14,9 @@
 	"hingewinch.org/hingewinch/state"
 )
 
+// PathTimeline is where the operators' listeners serve a daemon's events.
+const PathTimeline = "/timeline"
+
 // ringSize is how many events a daemon keeps.
 const ringSize = 4096
 
