--- a/transport/relay/conn.go
+++ b/transport/relay/pool.go
@@ -1,5 +1,5 @@
-// This file keeps connections to replicas. A connection belongs to one replica's
-// life and not to an address, because addresses move to other services.
+// This file keeps connections to replicas. A connection belongs to one replica and
+// not to an address, because addresses move to other services.
 
 package relay
 
@@ -15,16 +15,19 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// Settings of connections.
 const (
+	// dialTimeout bounds the connection to a replica: links take milliseconds, and
+	// one packet may be lost. Chosen, not measured.
 	dialTimeout     = 400 * time.Millisecond
-	readBufferBytes = 4 << 10
+	readBufferBytes = 4 << 10 // a header and some events fit
 	// idleShare is the part of the replica's own idle time for which a
 	// connection is kept, so that it is not used while the replica closes it.
+	// Chosen, not measured.
 	idleShare = 0.7
-	// idleDefault is kept where the replica names no time.
+	// idleDefault holds where the replica names no time. Chosen, not measured.
 	idleDefault = 20 * time.Second
-	// idlePerReplica bounds the idle connections to one replica.
+	// idlePerReplica bounds the idle connections to one replica. Chosen, not
+	// measured.
 	idlePerReplica = 32
 )
 
@@ -34,11 +37,12 @@
 	reader  *bufio.Reader
 	replica routing.ReplicaID
 	reused  bool
-	idle    time.Duration // how long it may rest
-	resting time.Time     // since when it rests
+	// maxIdle is how long it may be idle; below 0: it must not be used again.
+	maxIdle   time.Duration
+	idleSince time.Time
 }
 
-// clean reports whether a connection that rested is still open and nothing has
+// clean reports whether a connection that was idle is still open and nothing has
 // arrived on it. Bytes that came meanwhile belong to no request.
 func (c *conn) clean() bool {
 	if c.reader.Buffered() > 0 {
@@ -83,8 +87,8 @@
 // get returns a connection to a replica: the one that was used last, or a new
 // one. What is newest is the least likely to be closed, and the others grow old
 // and are closed, so that their number follows the need.
-// At most so many connections are open to a replica at a time; 0 is no bound.
-func (p *Pool) get(ctx context.Context, r *routing.Replica, most int, now time.Time) (*conn, error) {
+// At most limit connections are open to a replica at a time; 0 is no bound.
+func (p *Pool) get(ctx context.Context, r *routing.Replica, limit int, now time.Time) (*conn, error) {
 	for {
 		c := p.take(r.ID, now)
 		if c == nil {
@@ -96,7 +100,7 @@
 		}
 		p.discard(c)
 	}
-	if !p.reserve(r.ID, most) {
+	if !p.reserve(r.ID, limit) {
 		return nil, errFull
 	}
 	raw, err := p.dialer.DialContext(ctx, "tcp4", r.Address)
@@ -104,17 +108,17 @@
 		p.release(r.ID)
 		return nil, err
 	}
-	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferBytes), replica: r.ID, idle: idleDefault}, nil
+	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferBytes), replica: r.ID, maxIdle: idleDefault}, nil
 }
 
 // errFull means that this daemon has its share of a replica's connections.
 var errFull = errors.New("all connections that this daemon may open to the replica are in use")
 
 // reserve counts a connection before it is opened, if there may be one more.
-func (p *Pool) reserve(id routing.ReplicaID, most int) bool {
+func (p *Pool) reserve(id routing.ReplicaID, limit int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if most > 0 && p.count[id] >= most {
+	if limit > 0 && p.count[id] >= limit {
 		return false
 	}
 	p.count[id]++
@@ -142,8 +146,8 @@
 	}
 	c := list[len(list)-1]
 	p.idle[id] = list[:len(list)-1]
-	if now.Sub(c.resting) > c.idle {
-		// All that rested longer are too old as well.
+	if now.Sub(c.idleSince) > c.maxIdle {
+		// All that were idle for longer are too old as well.
 		for _, old := range p.idle[id] {
 			p.closeLocked(old)
 		}
@@ -157,7 +161,7 @@
 // put gives back a connection whose answer was whole.
 func (p *Pool) put(c *conn, now time.Time) {
 	_ = c.SetDeadline(time.Time{})
-	c.resting = now
+	c.idleSince = now
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.idle[c.replica]) >= idlePerReplica {
@@ -179,14 +183,14 @@
 	p.releaseLocked(c.replica)
 }
 
-// Sweep closes connections that rested too long, or whose replica is gone.
+// Sweep closes connections that were idle for too long, or whose replica is gone.
 func (p *Pool) Sweep(known func(routing.ReplicaID) bool, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if known(id) && now.Sub(c.resting) <= c.idle {
+			if known(id) && now.Sub(c.idleSince) <= c.maxIdle {
 				kept = append(kept, c)
 				continue
 			}
@@ -200,7 +204,7 @@
 	}
 }
 
-// Idle returns the number of connections that rest.
+// Idle returns the number of idle connections.
 func (p *Pool) Idle() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/transport/relay/relay_test.go
+++ b/transport/relay/relay_test.go
@@ -14,10 +14,10 @@
 )
 
 var (
-	once       = routing.Route{Kind: routing.Once, MaxAttempts: 3}
-	repeatable = routing.Route{Kind: routing.Repeatable, MaxAttempts: 3}
-	stream     = routing.Route{Kind: routing.Stream, MaxAttempts: 2, Gap: 100 * time.Millisecond}
-	resumable  = routing.Route{Kind: routing.Stream, Resumable: true, MaxAttempts: 2, Gap: 100 * time.Millisecond}
+	once       = routing.Route{Kind: routing.AtMostOnce, MaxAttempts: 3}
+	repeatable = routing.Route{Kind: routing.Idempotent, MaxAttempts: 3}
+	stream     = routing.Route{Kind: routing.Stream, MaxAttempts: 2, EventTarget: 100 * time.Millisecond}
+	resumable  = routing.Route{Kind: routing.Stream, Resumable: true, MaxAttempts: 2, EventTarget: 100 * time.Millisecond}
 )
 
 func good(a *arrival) bool { return answer(a, 200, sealed, "fine "+a.id()) }
@@ -182,8 +182,8 @@
 		w := newWorld(once, startReplica("r1", shared), startReplica("r2", shared))
 		to, s := w.serve(w.call("a", "POST", "x"))
 		Expect(to.status).To(Equal(200))
-		Expect(s.Trials).To(HaveLen(2))
-		Expect(s.Trials[0].Replica).NotTo(Equal(s.Trials[1].Replica))
+		Expect(s.Attempts).To(HaveLen(2))
+		Expect(s.Attempts[0].Replica).NotTo(Equal(s.Attempts[1].Replica))
 	},
 		Entry("a refusal", func(a *arrival) bool { return answer(a, 503, "Not-Executed: 1\r\n", "") }),
 		Entry("another replica at the address", func(a *arrival) bool { return answer(a, 421, "Replica-Id: other\r\n", "") }),
@@ -221,7 +221,7 @@
 		w := newWorld(repeatable, startReplica("r1", script), startReplica("r2", script), startReplica("r3", script), startReplica("r4", script))
 		to, s := w.serve(w.call("a", "GET", ""))
 		Expect(to.status).To(Equal(200))
-		Expect(s.Trials).To(HaveLen(3))
+		Expect(s.Attempts).To(HaveLen(3))
 	})
 
 	It("sends a repeatable request to no more replicas than the route allows", func() {
@@ -229,7 +229,7 @@
 		w := newWorld(repeatable, startReplica("r1", script), startReplica("r2", script), startReplica("r3", script), startReplica("r4", script))
 		to, s := w.serve(w.call("a", "GET", ""))
 		Expect(to.refusal).To(beMayHaveRun())
-		Expect(s.Trials).To(HaveLen(3))
+		Expect(s.Attempts).To(HaveLen(3))
 	})
 
 	It("leaves a silent replica where the request is repeatable", func() {
@@ -315,6 +315,28 @@
 		Eventually(r.closed, time.Second).Should(Receive())
 		Expect((<-done).Gone).To(BeTrue())
 	})
+
+	It("sends nothing again for a caller who left", func() {
+		a, b := startReplica("a", nil), startReplica("b", nil)
+		reading := make(chan struct{}, 2)
+		scripts.Lock()
+		for _, r := range []*replica{a, b} {
+			r.script = func(x *arrival) bool {
+				reading <- struct{}{}
+				_, _ = x.reader.ReadByte()
+				return false
+			}
+		}
+		scripts.Unlock()
+		w := newWorld(repeatable, a, b)
+		ctx, leave := context.WithCancel(context.Background())
+		done := make(chan *relay.Summary)
+		go func() { done <- w.relay.Serve(ctx, w.call("a", "POST", "x"), &caller{}) }()
+		<-reading
+		leave()
+		Expect((<-done).Attempts).To(HaveLen(1))
+		Expect(a.count() + b.count()).To(Equal(1))
+	})
 })
 
 var _ = Describe("Relay of streams", func() {
@@ -396,9 +418,9 @@
 		to, s := w.serve(w.call("a", "POST", "x"))
 		Expect(string(to.body)).To(Equal(whole))
 		Expect(to.broken).To(BeFalse())
-		Expect(s.Trials).To(HaveLen(2))
+		Expect(s.Attempts).To(HaveLen(2))
 		second := r1
-		if s.Trials[1].Replica == "r2" {
+		if s.Attempts[1].Replica == "r2" {
 			second = r2
 		}
 		Expect(second.arrival(0).request.Header.Get("Last-Event-Id")).To(Equal("1"))
@@ -445,7 +467,7 @@
 		})
 		w := newWorld(resumable, r)
 		c := w.call("a", "POST", "x")
-		c.LastSeen = "7"
+		c.LastEvent = "7"
 		to, _ := w.serve(c)
 		Expect(r.arrival(0).request.Header.Get("Last-Event-Id")).To(Equal("7"))
 		Expect(string(to.body)).To(Equal(event(8)))
--- a/transport/relay/replica_test.go
+++ b/transport/relay/replica_test.go
@@ -187,7 +187,7 @@
 }
 
 func (c *caller) Refuse(o coordination.Outcome) { c.refusal = o }
-func (c *caller) Break()                        { c.broken = true }
+func (c *caller) Abort()                        { c.broken = true }
 
 // nobody is an observer that counts what it is told.
 type nobody struct {
@@ -197,7 +197,7 @@
 
 func (n *nobody) Finished(*relay.Call, *relay.Summary) {}
 
-func (n *nobody) PassedOver(r *routing.Replica, _ *relay.Call, _ error) {
+func (n *nobody) Ejected(r *routing.Replica, _ *relay.Call, _ error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.passedOver = append(n.passedOver, r.ID)
@@ -215,8 +215,8 @@
 	route.Name, route.Host, route.Prefix = "r", "h", "/"
 	route.Shares = []routing.Share{{Service: "s", Weight: 1}}
 	route.MaxAttempts = max(route.MaxAttempts, 1)
-	if route.Aim == 0 {
-		route.Aim = 200 * time.Millisecond
+	if route.FirstByteTarget == 0 {
+		route.FirstByteTarget = 200 * time.Millisecond
 	}
 	t, err := routing.NewTable(&routing.Config{Version: 1, Routes: []routing.Route{route}, Services: []routing.Service{{Name: "s"}}})
 	Expect(err).NotTo(HaveOccurred())
@@ -229,9 +229,9 @@
 	w.view = &routing.View{Table: t, Domain: "z", Pools: map[routing.ServiceName]*routing.Pool{"s": pool}}
 	w.relay = relay.New(relay.Options{
 		View:    func() *routing.View { return w.view },
-		Placer:  &routing.Placer{Rule: routing.DefaultPlacementRule(), Loads: routing.NewLoads(), Health: routing.NewHealth()},
-		Budgets: routing.NewBudgets(routing.BudgetRule{Ratio: 0.2, Extra: 1000, Window: 10 * time.Second}, 1),
-		Codec:   platform.Codec{}, Observer: w.seen, Pool: relay.NewPool(), Rule: relay.DefaultRule(),
+		Placer:  &routing.Placer{Loads: routing.NewLoads(), Health: routing.NewHealth()},
+		Budgets: routing.NewRetryBudgets(routing.RetryRule{Ratio: 0.2, Extra: 1000, Window: 10 * time.Second}, 1),
+		Codec:   platform.Codec{}, Observer: w.seen, Pool: relay.NewPool(),
 	})
 	return w
 }
