--- a/cmd/hingectl/main.go
+++ b/cmd/hingectl/main.go
@@ -25,7 +25,7 @@
 
 	"github.com/jessevdk/go-flags"
 
-	"hingewinch.org/hingewinch/daemon/openai"
+	"hingewinch.org/hingewinch/daemon"
 )
 
 // Exit codes.
@@ -63,7 +63,7 @@
 func run() int {
 	var o options
 	o.Version = func() {
-		fmt.Println("hingectl", openai.Version)
+		fmt.Println("hingectl", daemon.Version)
 		os.Exit(0)
 	}
 	_, err := flags.NewParser(&o, flags.HelpFlag|flags.PassDoubleDash).Parse()
--- a/cmd/hingewinchd/main.go
+++ b/cmd/hingewinchd/main.go
@@ -25,6 +25,7 @@
 	"github.com/jessevdk/go-flags"
 	"github.com/phuslu/log"
 
+	"hingewinch.org/hingewinch/daemon"
 	"hingewinch.org/hingewinch/daemon/openai"
 	"hingewinch.org/hingewinch/transport"
 )
@@ -60,7 +61,7 @@
 		return exitUsage
 	}
 	if o.Version {
-		fmt.Println("hingewinchd", openai.Version)
+		fmt.Println("hingewinchd", daemon.Version)
 		return 0
 	}
 	if o.Settings == "" {
--- a/daemon/openai/daemon.go
+++ b/daemon/openai/daemon.go
@@ -9,8 +9,6 @@
 	"encoding/binary"
 	stdlog "log"
 	"math/rand/v2"
-	"net"
-	"net/http"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -20,6 +18,7 @@
 
 	"hingewinch.org/hingewinch/coordination"
 	"hingewinch.org/hingewinch/coordination/fleet"
+	"hingewinch.org/hingewinch/daemon"
 	"hingewinch.org/hingewinch/protocol"
 	"hingewinch.org/hingewinch/protocol/peer"
 	"hingewinch.org/hingewinch/state"
@@ -27,17 +26,11 @@
 	"hingewinch.org/hingewinch/transport/gateway"
 )
 
-// Version is the release, set by the linker.
-var Version = "dev"
+// serverLimits are those of all listeners. Chosen, not measured.
+var serverLimits = daemon.Limits{ReadHeader: 10 * time.Second, Idle: 2 * time.Minute, HeaderBytes: 32 << 10}
 
-// Time-outs of the servers. There is none for writing a whole answer: a stream
-// may take long, and each write has a deadline of its own.
-const (
-	readHeaderTimeout = 10 * time.Second
-	callerIdleTimeout = 2 * time.Minute
-	maxCallerHeader   = 32 << 10
-	secretBytes       = 32
-)
+// secretBytes is the length of the secret that signs tickets.
+const secretBytes = 32
 
 // Daemon is one running daemon.
 type Daemon struct {
@@ -51,13 +44,7 @@
 	meter     *gateway.Meter
 	draining  atomic.Bool
 
-	callers, peers, operators *listener
-}
-
-// listener is one server on its socket.
-type listener struct {
-	server *http.Server
-	socket net.Listener
+	callers, peers, operators *daemon.Listener
 }
 
 // New opens the listeners and puts the parts together. Nothing is served before
@@ -105,24 +92,18 @@
 	return transport.ServerTLS(files)
 }
 
-func open(address string, tlsConfig *tls.Config, meter *gateway.Meter, logger *log.Logger) (*listener, error) {
-	socket, err := net.Listen("tcp", address)
+func open(address string, tlsConfig *tls.Config, meter *gateway.Meter, logger *log.Logger) (*daemon.Listener, error) {
+	l, err := daemon.Listen("tcp", address, serverLimits, stdlog.New(serverLog{logger}, "", 0))
 	if err != nil {
-		return nil, eris.Wrapf(err, "listen on %s; check that the address is this VM's and free", address)
+		return nil, err
 	}
 	if meter != nil {
-		socket = meter.Listener(socket)
+		l.Socket = meter.Listener(l.Socket)
 	}
 	if tlsConfig != nil {
-		socket = tls.NewListener(socket, tlsConfig)
+		l.Socket = tls.NewListener(l.Socket, tlsConfig)
 	}
-	server := &http.Server{
-		ReadHeaderTimeout: readHeaderTimeout,
-		IdleTimeout:       callerIdleTimeout,
-		MaxHeaderBytes:    maxCallerHeader,
-		ErrorLog:          stdlog.New(serverLog{logger}, "", 0),
-	}
-	return &listener{server: server, socket: socket}, nil
+	return l, nil
 }
 
 // serverLog takes the messages of net/http's server.
@@ -162,14 +143,14 @@
 		Daemon: s.ID, Snapshot: d.control.Snapshot, Tell: d.control.hint, Upstreams: d.upstreams, Once: once,
 		Recorder: d.recorder, Metrics: d.metrics, Limits: s.limits(),
 	})
-	d.callers.server.Handler = d.gateway
+	d.callers.Server.Handler = d.gateway
 	server := &gateway.PeerServer{Converse: d.control.Converse, Documents: d.control.documents, Once: once, Recorder: d.recorder}
-	d.peers.server.Handler = server.Handler()
+	d.peers.Server.Handler = server.Handler()
 	op := &gateway.Operator{
-		Self: s.ID, Incarnation: d.life, Domain: s.Domain, Version: Version,
+		Self: s.ID, Incarnation: d.life, Domain: s.Domain, Version: daemon.Version,
 		Snapshot: d.control.Snapshot, Recorder: d.recorder, Metrics: d.metrics, Draining: d.draining.Load,
 	}
-	d.operators.server.Handler, err = op.Handler()
+	d.operators.Server.Handler, err = op.Handler()
 	return err
 }
 
@@ -189,7 +170,7 @@
 }
 
 // CallerAddress returns where callers are served.
-func (d *Daemon) CallerAddress() string { return d.callers.socket.Addr().String() }
+func (d *Daemon) CallerAddress() string { return d.callers.Address() }
 
 // Run serves until ctx ends, and then stops as planned: the health check fails,
 // new requests are served for the time of notice, and Run returns when the last
@@ -206,8 +187,8 @@
 		wg.Go(func() { d.control.read(work, r) })
 	}
 	failed := make(chan error, 3)
-	for _, l := range []*listener{d.callers, d.peers, d.operators} {
-		wg.Go(func() { l.serve(failed) })
+	for _, l := range []*daemon.Listener{d.callers, d.peers, d.operators} {
+		wg.Go(func() { l.Serve(failed) })
 	}
 	d.recorder.Record(coordination.EventStarted, string(d.settings.ID), "", "daemon serves callers on %s", d.CallerAddress())
 	var err error
@@ -224,12 +205,6 @@
 	return err
 }
 
-func (l *listener) serve(failed chan<- error) {
-	if err := l.server.Serve(l.socket); err != nil && !eris.Is(err, http.ErrServerClosed) {
-		failed <- eris.Wrapf(err, "serve on %s", l.socket.Addr())
-	}
-}
-
 // stop is the planned stop. Peers and operators are served to its end, so that
 // requests that this daemon keeps can still be repeated through others.
 func (d *Daemon) stop() {
@@ -238,17 +213,16 @@
 	d.control.tell(fleet.StopBegun{})
 	time.Sleep(d.settings.Stop.Notice)
 	// No time limit: what is in flight ends in peace.
-	_ = d.callers.server.Shutdown(context.Background())
-	_ = d.peers.server.Shutdown(context.Background())
+	_ = d.callers.Server.Shutdown(context.Background())
+	_ = d.peers.Server.Shutdown(context.Background())
 	d.recorder.Record(coordination.EventStopped, string(d.settings.ID), "", "all requests have their answers; daemon ends")
-	_ = d.operators.server.Shutdown(context.Background())
+	_ = d.operators.Server.Shutdown(context.Background())
 }
 
 func (d *Daemon) close() {
-	for _, l := range []*listener{d.callers, d.peers, d.operators} {
+	for _, l := range []*daemon.Listener{d.callers, d.peers, d.operators} {
 		if l != nil {
-			_ = l.server.Close()
-			_ = l.socket.Close()
+			l.Close()
 		}
 	}
 	d.upstreams.Close()
--- a/daemon/openai/export_test.go
+++ b/daemon/openai/export_test.go
@@ -1,4 +1,4 @@
 package openai
 
 // OperatorAddress returns where operators are served.
-func (d *Daemon) OperatorAddress() string { return d.operators.socket.Addr().String() }
+func (d *Daemon) OperatorAddress() string { return d.operators.Address() }
--- a/daemon/openai/settings.go
+++ b/daemon/openai/settings.go
@@ -6,12 +6,10 @@
 import (
 	"fmt"
 	"net/url"
-	"os"
 	"regexp"
 	"time"
 
-	"github.com/rotisserie/eris"
-
+	"hingewinch.org/hingewinch/daemon"
 	"hingewinch.org/hingewinch/state"
 	"hingewinch.org/hingewinch/transport"
 	"hingewinch.org/hingewinch/transport/gateway"
@@ -86,28 +84,20 @@
 // LoadSettings reads and checks a settings file. The error lists every problem
 // with file, line and remedy.
 func LoadSettings(file string) (*Settings, error) {
-	text, err := os.ReadFile(file)
-	if err != nil {
-		return nil, eris.Wrap(err, "read settings; check the path and rights")
-	}
-	return ParseSettings(file, text)
+	return complete(daemon.LoadSettings(file, defaultSettings(), (*Settings).check))
 }
 
 // ParseSettings parses and checks the text of a settings file.
 func ParseSettings(file string, text []byte) (*Settings, error) {
-	s := defaultSettings()
-	if err := state.DecodeStrict(file, text, &s); err != nil {
-		return nil, err
-	}
-	c := state.NewChecker(file, text)
-	s.check(c)
-	if err := c.Err(); err != nil {
-		return nil, err
-	}
-	if s.Peer == "" {
+	return complete(daemon.ParseSettings(file, text, defaultSettings(), (*Settings).check))
+}
+
+// complete fills in what follows from other settings.
+func complete(s *Settings, err error) (*Settings, error) {
+	if err == nil && s.Peer == "" {
 		s.Peer = s.Listen.Peers
 	}
-	return &s, nil
+	return s, err
 }
 
 var idRule = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
--- a/daemon/routes/daemon.go
+++ b/daemon/routes/daemon.go
@@ -4,11 +4,9 @@
 
 import (
 	"context"
-	"errors"
 	"io"
 	stdlog "log"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"runtime/debug"
 	"slices"
@@ -16,10 +14,9 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/rotisserie/eris"
-
 	"hingewinch.org/hingewinch/coordination/membership"
 	"hingewinch.org/hingewinch/coordination/routing"
+	"hingewinch.org/hingewinch/daemon"
 	"hingewinch.org/hingewinch/transport/relay"
 )
 
@@ -73,13 +70,7 @@
 	stopping atomic.Bool
 	started  time.Time
 
-	callers, readiness, operators, documents, scrapers *listener // scrapers may be nil
-}
-
-// listener is one server on its socket.
-type listener struct {
-	server *http.Server
-	socket net.Listener
+	callers, readiness, operators, documents, scrapers *daemon.Listener // scrapers may be nil
 }
 
 // New opens the listeners and puts the parts together. Nothing is served before
@@ -120,7 +111,7 @@
 	l := d.settings.Listen
 	for _, s := range []struct {
 		address string
-		to      **listener
+		to      **daemon.Listener
 	}{{l.Callers, &d.callers}, {l.Readiness, &d.readiness}, {l.Operators, &d.operators}, {l.Peers, &d.documents}, {l.Metrics, &d.scrapers}} {
 		if s.address == "" {
 			continue
@@ -132,15 +123,11 @@
 	return nil
 }
 
-func listen(address string) (*listener, error) {
-	socket, err := net.Listen("tcp4", address)
-	if err != nil {
-		return nil, eris.Wrapf(err, "listen on %s; check that the address is this VM's and free", address)
-	}
-	return &listener{socket: socket, server: &http.Server{
-		ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ErrorLog: stdlog.New(io.Discard, "", 0),
-	}}, nil
+// listen opens a server. Its messages are not logged: net/http has a line for each
+// caller that hangs up.
+func listen(address string) (*daemon.Listener, error) {
+	l := daemon.Limits{ReadHeader: readHeaderTimeout, Idle: callerIdleTimeout, HeaderBytes: maxHeaderBytes}
+	return daemon.Listen("tcp4", address, l, stdlog.New(io.Discard, "", 0))
 }
 
 // wire puts the parts together.
@@ -160,12 +147,12 @@
 		View: d.View, Placer: &routing.Placer{Loads: t.loads, Health: t.health, Cache: t.cache},
 		Budgets: t.budgets, Codec: d.outside.Codec, Observer: d.Log, Pool: d.pool,
 	})
-	d.callers.server.Handler = d.outside.Front(d)
-	d.readiness.server.Handler = d.readyHandler()
-	d.operators.server.Handler = d.operatorHandler()
-	d.documents.server.Handler = documentsHandler(d.control)
+	d.callers.Server.Handler = d.outside.Front(d)
+	d.readiness.Server.Handler = d.readyHandler()
+	d.operators.Server.Handler = d.operatorHandler()
+	d.documents.Server.Handler = documentsHandler(d.control)
 	if d.scrapers != nil {
-		d.scrapers.server.Handler = d.metricsHandler()
+		d.scrapers.Server.Handler = d.metricsHandler()
 	}
 }
 
@@ -229,7 +216,7 @@
 	wg.Go(func() { d.sweep(work) })
 	failed := make(chan error, len(d.listeners()))
 	for _, l := range d.listeners() {
-		wg.Go(func() { l.serve(failed) })
+		wg.Go(func() { l.Serve(failed) })
 	}
 	d.Log.Started(d.settings.Listen.Callers)
 	var err error
@@ -245,12 +232,6 @@
 	return err
 }
 
-func (l *listener) serve(failed chan<- error) {
-	if err := l.server.Serve(l.socket); err != nil && !errors.Is(err, http.ErrServerClosed) {
-		failed <- eris.Wrapf(err, "serve on %s", l.socket.Addr())
-	}
-}
-
 // sweep closes connections to replicas that were idle for too long or whose replica
 // is gone.
 func (d *Daemon) sweep(ctx context.Context) {
@@ -280,19 +261,18 @@
 	pause(ctx, time.Duration(stopAccept*float64(grace)))
 	wait, cancel := context.WithDeadline(ctx, begun.Add(time.Duration(stopWait*float64(grace))))
 	defer cancel()
-	_ = d.callers.server.Shutdown(wait) // an error means that the grace is over
+	_ = d.callers.Server.Shutdown(wait) // an error means that the grace is over
 }
 
 // listeners returns the listeners that are open.
-func (d *Daemon) listeners() []*listener {
-	all := []*listener{d.callers, d.readiness, d.operators, d.documents, d.scrapers}
-	return slices.DeleteFunc(all, func(l *listener) bool { return l == nil })
+func (d *Daemon) listeners() []*daemon.Listener {
+	all := []*daemon.Listener{d.callers, d.readiness, d.operators, d.documents, d.scrapers}
+	return slices.DeleteFunc(all, func(l *daemon.Listener) bool { return l == nil })
 }
 
 func (d *Daemon) close() {
 	for _, l := range d.listeners() {
-		_ = l.server.Close()
-		_ = l.socket.Close()
+		l.Close()
 	}
 	if d.peers != nil {
 		_ = d.peers.socket.Close()
--- a/daemon/routes/export_test.go
+++ b/daemon/routes/export_test.go
@@ -1,5 +1,7 @@
 package routes
 
+import "hingewinch.org/hingewinch/daemon"
+
 // Serving names one of the daemon's listeners.
 type Serving int
 
@@ -12,6 +14,6 @@
 
 // Address returns where a listener is served.
 func (d *Daemon) Address(s Serving) string {
-	l := [...]*listener{ServesCallers: d.callers, ServesReadiness: d.readiness, ServesOperators: d.operators}[s]
-	return l.socket.Addr().String()
+	l := [...]*daemon.Listener{ServesCallers: d.callers, ServesReadiness: d.readiness, ServesOperators: d.operators}[s]
+	return l.Address()
 }
--- a/daemon/routes/golden_test.go
+++ b/daemon/routes/golden_test.go
@@ -45,7 +45,9 @@
 // TestMetricsKeepTheirNames holds the names on the metrics address.
 func TestMetricsKeepTheirNames(t *testing.T) {
 	var b bytes.Buffer
-	NewMetrics().WriteText(&b)
+	if err := NewMetrics().WriteText(&b); err != nil {
+		t.Fatal(err)
+	}
 	compareGolden(t, "metrics.txt", b.String())
 }
 
--- a/daemon/routes/metrics.go
+++ b/daemon/routes/metrics.go
@@ -3,14 +3,12 @@
 package routes
 
 import (
-	"fmt"
 	"io"
-	"slices"
-	"strings"
 
 	"github.com/rcrowley/go-metrics"
 
 	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/transport"
 	"hingewinch.org/hingewinch/transport/relay"
 )
 
@@ -110,25 +108,10 @@
 	}
 }
 
+// quantiles are those of the metrics page.
 var quantiles = []float64{0.5, 0.9, 0.99, 0.999}
 
-// WriteText writes all figures, sorted by name, in the text form that scrapers
-// read.
-func (m *Metrics) WriteText(w io.Writer) {
-	var lines []string
-	m.registry.Each(func(name string, v any) {
-		name = "hingewinch_" + name
-		switch v := v.(type) {
-		case metrics.Counter:
-			lines = append(lines, fmt.Sprintf("%s %d", name, v.Count()))
-		case metrics.Histogram:
-			s := v.Snapshot()
-			for i, q := range s.Percentiles(quantiles) {
-				lines = append(lines, fmt.Sprintf("%s{quantile=\"%v\"} %g", name, quantiles[i], q))
-			}
-			lines = append(lines, fmt.Sprintf("%s_count %d", name, s.Count()))
-		}
-	})
-	slices.Sort(lines)
-	_, _ = io.WriteString(w, strings.Join(lines, "\n")+"\n")
+// WriteText writes all metrics as [transport.WriteMetrics] does.
+func (m *Metrics) WriteText(w io.Writer) error {
+	return transport.WriteMetrics(w, m.registry, quantiles)
 }
--- a/daemon/routes/operator.go
+++ b/daemon/routes/operator.go
@@ -4,7 +4,6 @@
 package routes
 
 import (
-	"bytes"
 	"encoding/json"
 	"net/http"
 	"time"
@@ -89,9 +88,7 @@
 func (d *Daemon) metricsHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathMetrics, func(w http.ResponseWriter, _ *http.Request) {
-		var b bytes.Buffer
-		d.Metrics.WriteText(&b)
-		_, _ = w.Write(b.Bytes()) // the scraper comes again
+		_ = d.Metrics.WriteText(w) // the scraper comes again
 	})
 	return mux
 }
--- a/daemon/routes/settings.go
+++ b/daemon/routes/settings.go
@@ -4,13 +4,11 @@
 
 import (
 	"net"
-	"os"
 	"time"
 
-	"github.com/rotisserie/eris"
-
 	"hingewinch.org/hingewinch/coordination/membership"
 	"hingewinch.org/hingewinch/coordination/routing"
+	"hingewinch.org/hingewinch/daemon"
 	"hingewinch.org/hingewinch/state"
 )
 
@@ -62,32 +60,23 @@
 	defaultLevel       = "info"
 )
 
+func defaultSettings() Settings {
+	return Settings{
+		Stop:  StopSettings{Grace: defaultGrace},
+		Retry: RetrySettings{Ratio: defaultRetryRatio, Extra: defaultRetryExtra, Window: defaultRetryWindow},
+		Level: defaultLevel,
+	}
+}
+
 // LoadSettings reads and checks a settings file. The error lists every problem
 // with file, line and remedy.
 func LoadSettings(file string) (*Settings, error) {
-	text, err := os.ReadFile(file)
-	if err != nil {
-		return nil, eris.Wrap(err, "read settings; check the path and rights")
-	}
-	return ParseSettings(file, text)
+	return daemon.LoadSettings(file, defaultSettings(), (*Settings).check)
 }
 
 // ParseSettings parses and checks the text of a settings file.
 func ParseSettings(file string, text []byte) (*Settings, error) {
-	s := Settings{
-		Stop:  StopSettings{Grace: defaultGrace},
-		Retry: RetrySettings{Ratio: defaultRetryRatio, Extra: defaultRetryExtra, Window: defaultRetryWindow},
-		Level: defaultLevel,
-	}
-	if err := state.DecodeStrict(file, text, &s); err != nil {
-		return nil, err
-	}
-	c := state.NewChecker(file, text)
-	s.check(c)
-	if err := c.Err(); err != nil {
-		return nil, err
-	}
-	return &s, nil
+	return daemon.ParseSettings(file, text, defaultSettings(), (*Settings).check)
 }
 
 func (s *Settings) check(c *state.Checker) {
--- a/transport/gateway/golden_test.go
+++ b/transport/gateway/golden_test.go
@@ -19,7 +19,9 @@
 	m := gateway.NewMetrics()
 	defer m.Close()
 	var got bytes.Buffer
-	m.WriteText(&got)
+	if err := m.WriteText(&got); err != nil {
+		t.Fatal(err)
+	}
 	for _, a := range []any{gateway.StatusAnswer{}, gateway.EngineAnswer{}, gateway.PlaceAnswer{}} {
 		text, err := json.Marshal(a)
 		if err != nil {
--- a/transport/gateway/metrics.go
+++ b/transport/gateway/metrics.go
@@ -1,15 +1,13 @@
-// This file defines the metrics of a daemon and writes them in the text form
-// that scrapers read.
+// This file defines the metrics of a daemon.
 
 package gateway
 
 import (
-	"fmt"
 	"io"
-	"sort"
-	"strings"
 
 	"github.com/rcrowley/go-metrics"
+
+	"hingewinch.org/hingewinch/transport"
 )
 
 // Metrics are the counters and timers of a daemon.
@@ -75,26 +73,10 @@
 // Close stops the background work of the timers.
 func (m *Metrics) Close() { m.FirstByte.Stop() }
 
+// quantiles are those of the metrics page.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-// WriteText writes all metrics, sorted by name.
-func (m *Metrics) WriteText(w io.Writer) {
-	var lines []string
-	m.Registry.Each(func(name string, v any) {
-		name = "hingewinch_" + name
-		switch v := v.(type) {
-		case metrics.Counter:
-			lines = append(lines, fmt.Sprintf("%s %d", name, v.Count()))
-		case metrics.Gauge:
-			lines = append(lines, fmt.Sprintf("%s %d", name, v.Value()))
-		case metrics.Timer:
-			s := v.Snapshot()
-			for i, q := range s.Percentiles(quantiles) {
-				lines = append(lines, fmt.Sprintf("%s{quantile=\"%v\"} %g", name, quantiles[i], q/1e9))
-			}
-			lines = append(lines, fmt.Sprintf("%s_count %d", name, s.Count()))
-		}
-	})
-	sort.Strings(lines)
-	fmt.Fprintln(w, strings.Join(lines, "\n"))
+// WriteText writes all metrics as [transport.WriteMetrics] does.
+func (m *Metrics) WriteText(w io.Writer) error {
+	return transport.WriteMetrics(w, m.Registry, quantiles)
 }
--- a/transport/gateway/operator.go
+++ b/transport/gateway/operator.go
@@ -78,7 +78,7 @@
 	app.Get(transport.PathTimeline, func(ctx iris.Context) { _ = ctx.JSON(o.Recorder.Events()) })
 	app.Get(PathMetrics, func(ctx iris.Context) {
 		var buf bytes.Buffer
-		o.Metrics.WriteText(&buf)
+		_ = o.Metrics.WriteText(&buf) // a buffer takes every write
 		_, _ = ctx.Write(buf.Bytes())
 	})
 	if err := app.Build(); err != nil {
