--- a/daemon/routes/daemon_test.go
+++ b/daemon/routes/daemon_test.go
@@ -20,8 +20,8 @@
 
 	"hingewinch.org/hingewinch/coordination"
 	"hingewinch.org/hingewinch/daemon/routes"
-	"hingewinch.org/hingewinch/internal/standin"
 	"hingewinch.org/hingewinch/platform"
+	"hingewinch.org/hingewinch/platform/standin"
 	"hingewinch.org/hingewinch/transport"
 )
 
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -15,6 +15,8 @@
 	"strings"
 	"sync/atomic"
 	"time"
+
+	"hingewinch.org/hingewinch/platform/standin"
 )
 
 // Figures of callers.
@@ -108,23 +110,16 @@
 	return q
 }
 
-// text writes a request as it goes out.
+// text returns a request as it goes out.
 func (q *Request) text() string {
-	var b strings.Builder
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\nAuthorization: Bearer %s\r\n%s: forged\r\n",
-		q.Route.Method, q.Target, routeHost, headerID, q.ID, headerDeadline, q.Route.Timeout.Milliseconds(), q.Key, headerWorkspace)
-	if q.Route.Stream {
-		fmt.Fprintf(&b, "Model-Name: m\r\nToken-Count: 1460,80\r\nPrompt-Prefix: aa:800,%x:900,%x:250\r\n", q.Subject+1, hashOf(q.ID))
+	r := standin.CallerRequest{
+		Method: q.Route.Method, Target: q.Target, Host: routeHost, ID: q.ID, Key: q.Key, Timeout: q.Route.Timeout,
+		Body: q.Body, Chunked: hashOf(q.ID)%3 == 0,
 	}
-	switch {
-	case q.Body == "":
-		b.WriteString("\r\n")
-	case hashOf(q.ID)%3 == 0:
-		fmt.Fprintf(&b, "Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(q.Body), q.Body)
-	default:
-		fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n%s", len(q.Body), q.Body)
+	if q.Route.Stream {
+		r.Prompt = fmt.Sprintf("aa:800,%x:900,%x:250", q.Subject+1, hashOf(q.ID))
 	}
-	return b.String()
+	return r.Text()
 }
 
 // send sends one request and waits for its answer, or leaves.
@@ -145,7 +140,7 @@
 		return c.failed(q, err)
 	}
 	body, err := io.ReadAll(resp.Body)
-	a := Answer{At: time.Now(), Status: resp.StatusCode, Seal: resp.Header.Get(headerSeal), Body: string(body), Whole: err == nil, Err: err}
+	a := Answer{At: time.Now(), Status: resp.StatusCode, Seal: standin.Sealed(resp.Header), Body: string(body), Whole: err == nil, Err: err}
 	ledger.Answered(q.ID, a)
 	if c.uses--; err != nil || resp.Close || c.uses <= 0 {
 		c.hangUp()
--- a/internal/soak/replica.go
+++ b/internal/soak/replica.go
@@ -12,20 +12,11 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"strconv"
 	"strings"
 	"sync"
 	"time"
-)
 
-// Headers of the users' protocol that the two ends of a run speak.
-const (
-	headerID        = "Attempt-Id"
-	headerExpect    = "Expect-Replica"
-	headerSeal      = "Replica-Seal"
-	headerWorkspace = "Tenant-Name"
-	headerDeadline  = "Deadline-Ms"
-	headerLast      = "Last-Event-Id"
+	"hingewinch.org/hingewinch/platform/standin"
 )
 
 // Mood says how a replica misbehaves. Each share is of the requests.
@@ -117,7 +108,8 @@
 type exchange struct {
 	*Replica
 	conn  net.Conn
-	id    string
+	head  standin.RequestHead
+	id    string // of the request
 	run   *Run
 	mood  Mood
 	gone  chan struct{} // closed when the daemon's end is closed
@@ -143,7 +135,8 @@
 		if err != nil {
 			return
 		}
-		x := &exchange{Replica: r, conn: c, id: req.Header.Get(headerID), gone: make(chan struct{}), draw: rand.Float64(), stray: &stray}
+		head := standin.ReadRequest(req.Header)
+		x := &exchange{Replica: r, conn: c, head: head, id: head.ID, gone: make(chan struct{}), draw: rand.Float64(), stray: &stray}
 		watched := make(chan struct{})
 		go func() {
 			if _, err := reader.Peek(1); err != nil {
@@ -160,11 +153,10 @@
 
 // serve answers one request. It returns false if the connection ends.
 func (x *exchange) serve(req *http.Request, body string) bool {
-	left, _ := strconv.Atoi(req.Header.Get(headerDeadline))
 	now := time.Now()
-	arrival := Arrival{Replica: x.ID, Service: x.Service, At: now, Deadline: now.Add(time.Duration(left) * time.Millisecond)}
-	if expected := req.Header.Get(headerExpect); expected != x.ID {
-		return x.write(421, "Replica-Id: "+x.ID+"\r\n", "")
+	arrival := Arrival{Replica: x.ID, Service: x.Service, At: now, Deadline: now.Add(x.head.Left)}
+	if x.head.Expected != x.ID {
+		return x.write(standin.Misdirected(x.id, x.ID))
 	}
 	x.ledger.Arrived(x.id, arrival)
 	x.mu.Lock()
@@ -178,18 +170,18 @@
 		if !full {
 			x.leaveSlot()
 		}
-		return x.write(503, "Not-Executed: 1\r\n", "")
+		return x.write(standin.NotRun(x.id))
 	}
 	defer x.leaveSlot()
 	x.run = x.ledger.Began(x.id, Run{
-		Arrival: arrival, Method: req.Method, Target: req.URL.RequestURI(), Body: body, Workspace: req.Header.Get(headerWorkspace),
+		Arrival: arrival, Method: req.Method, Target: req.URL.RequestURI(), Body: body, Workspace: x.head.Workspace,
 	})
 	if *x.stray != "" {
 		_, _ = x.conn.Write([]byte(*x.stray))
 		*x.stray = ""
 	}
 	if strings.HasPrefix(req.URL.Path, prefixChat) || strings.HasPrefix(req.URL.Path, prefixReply) {
-		return x.stream(req.Header.Get(headerLast))
+		return x.stream()
 	}
 	return x.plain()
 }
@@ -245,14 +237,14 @@
 	switch {
 	case x.strikes(x.mood.Fail):
 		x.end(500)
-		return x.write(500, headerSeal+": "+x.ID+"\r\n", "failed")
+		return x.write(standin.Answer(500, x.id, x.ID, "failed"))
 	case x.strikes(x.mood.Hang):
 		x.work(hangTime)
 		x.end(0)
 		return false
 	case x.strikes(x.mood.Break):
 		x.end(200)
-		whole := x.answer(200, headerSeal+": "+x.ID+"\r\n", plainBody(x.id, x.ID))
+		whole := standin.Answer(200, x.id, x.ID, plainBody(x.id, x.ID))
 		_, _ = x.conn.Write([]byte(whole[:len(whole)*2/3]))
 		return false
 	case x.strikes(x.mood.Lose):
@@ -261,7 +253,7 @@
 		return false
 	}
 	x.end(200)
-	whole := x.answer(200, headerSeal+": "+x.ID+"\r\n", plainBody(x.id, x.ID))
+	whole := standin.Answer(200, x.id, x.ID, plainBody(x.id, x.ID))
 	if x.strikes(x.mood.Surplus) {
 		if rand.IntN(2) == 0 {
 			whole += whole
@@ -273,14 +265,14 @@
 	return err == nil
 }
 
-func (x *exchange) stream(last string) bool {
-	from, _ := strconv.Atoi(last)
+func (x *exchange) stream() bool {
+	from := x.head.LastEvent
 	if x.strikes(x.mood.Fail) {
 		x.end(500)
-		return x.write(500, headerSeal+": "+x.ID+"\r\n", "failed")
+		return x.write(standin.Answer(500, x.id, x.ID, "failed"))
 	}
 	hang, broken, lose := x.strikes(x.mood.Hang), x.strikes(x.mood.Break), x.strikes(x.mood.Lose)
-	head := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", headerID, x.id, headerSeal, x.ID)
+	head := standin.StreamHead(x.id, x.ID)
 	events := streamEvents(x.id)
 	for i := from; i < len(events); i++ {
 		if !x.work(x.workOf(len(events))) {
@@ -332,12 +324,8 @@
 	_, _ = fmt.Fprintf(x.conn, "%x\r\n%s\r\n", len(piece), piece)
 }
 
-func (x *exchange) answer(status int, headers, body string) string {
-	return fmt.Sprintf("HTTP/1.1 %d %s\r\n%s: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), headerID, x.id, headers, len(body), body)
-}
-
-func (x *exchange) write(status int, headers, body string) bool {
-	_, err := x.conn.Write([]byte(x.answer(status, headers, body)))
+func (x *exchange) write(answer string) bool {
+	_, err := x.conn.Write([]byte(answer))
 	return err == nil
 }
 
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -16,7 +16,7 @@
 
 	"github.com/rotisserie/eris"
 
-	"hingewinch.org/hingewinch/internal/standin"
+	"hingewinch.org/hingewinch/platform/standin"
 )
 
 // Options say how a run is carried out.
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -4,14 +4,13 @@
 package soak
 
 import (
-	"encoding/json"
 	"fmt"
 	"math/rand/v2"
 	"net/http"
 	"sync"
 	"time"
 
-	"hingewinch.org/hingewinch/internal/standin"
+	"hingewinch.org/hingewinch/platform/standin"
 )
 
 const (
@@ -75,81 +74,44 @@
 	return s
 }
 
-type configDocument struct {
-	Version  int               `json:"version"`
-	Routes   []routeDocument   `json:"routes"`
-	Services []serviceDocument `json:"services"`
-	Tenants  []tenantDocument  `json:"tenants"`
-}
-
-type routeDocument struct {
-	Name      string `json:"name"`
-	Host      string `json:"host"`
-	Prefix    string `json:"path_prefix"`
-	Kind      string `json:"kind"`
-	TimeoutMS int64  `json:"timeout_ms"`
-	AimMS     int    `json:"target_latency_ms"`
-	GapMS     int    `json:"target_gap_ms"`
-	Service   string `json:"service"`
-	Attempts  int    `json:"max_attempts"`
-	Resumable bool   `json:"resumable"`
-}
-
-type serviceDocument struct {
-	Name   string     `json:"name"`
-	Engine *engineRef `json:"engine,omitempty"`
-}
-
-type engineRef struct {
-	Moves bool `json:"moves"`
-}
-
-type tenantDocument struct {
-	Name string   `json:"name"`
-	Keys []string `json:"api_keys"`
-}
-
+// Targets of all routes, in milliseconds, as those of the users' sites.
 const (
-	aimMS = 300
-	gapMS = 300
+	firstByteTargetMS = 300
+	eventTargetMS     = 300
 )
 
-func kindOf(r *Route) string {
+func kindOf(r *Route) standin.Kind {
 	switch {
 	case r.Stream:
-		return "streaming"
+		return standin.KindStream
 	case r.Repeatable:
-		return "idempotent"
+		return standin.KindIdempotent
 	}
-	return "non_idempotent"
+	return standin.KindAtMostOnce
 }
 
 // publish writes the configuration and returns when the store has taken it. The
 // caller holds the lock.
 func (s *site) publish() time.Time {
 	s.version++
-	d := configDocument{Version: s.version, Services: []serviceDocument{{Name: serviceGate}, {Name: serviceOther}, {Name: serviceChat, Engine: &engineRef{}}}}
+	c := standin.Config{Version: s.version, Services: []standin.Service{{Name: serviceGate}, {Name: serviceOther}, {Name: serviceChat, Engine: &standin.Engine{}}}}
 	for _, r := range routes {
-		d.Routes = append(d.Routes, routeDocument{
+		c.Routes = append(c.Routes, standin.Route{
 			Name: r.Name, Host: routeHost, Prefix: r.Prefix, Kind: kindOf(r), TimeoutMS: r.Timeout.Milliseconds(),
-			AimMS: aimMS, GapMS: gapMS, Service: s.services[r.Name], Attempts: r.Attempts, Resumable: r.Stream && r.Repeatable,
+			FirstByteMS: firstByteTargetMS, EventMS: eventTargetMS, Service: s.services[r.Name], Attempts: r.Attempts, Resumable: r.Stream && r.Repeatable,
 		})
 	}
 	for i := range s.filler {
-		d.Routes = append(d.Routes, routeDocument{Name: "filler-" + itoa(i), Host: "filler.example", Prefix: "/f" + itoa(i) + "/", Kind: "idempotent", Service: serviceGate, Attempts: 1})
+		c.Routes = append(c.Routes, standin.Route{Name: "filler-" + itoa(i), Host: "filler.example", Prefix: "/f" + itoa(i) + "/", Kind: standin.KindIdempotent, Service: serviceGate, Attempts: 1})
 	}
 	byName := make(map[string][]string)
 	for _, k := range s.keys {
 		byName[k.workspace] = append(byName[k.workspace], k.key)
 	}
 	for name, keys := range byName {
-		d.Tenants = append(d.Tenants, tenantDocument{Name: name, Keys: keys})
-	}
-	text, err := json.Marshal(&d)
-	if err != nil {
-		panic(err) // the document is made of plain values
+		c.Workspaces = append(c.Workspaces, standin.Workspace{Name: name, Keys: keys})
 	}
-	s.store.Put("op/config", text)
+	s.store.PutConfig(&c)
 	return time.Now()
 }
 
@@ -209,14 +171,7 @@
 	return s.keys[rand.IntN(len(s.keys))].key
 }
 
-type replicaDocument struct {
-	Service string `json:"service"`
-	Address string `json:"address"`
-	Zone    string `json:"zone"`
-	Slots   int    `json:"slots"`
-	State   string `json:"state"`
-}
-
+// Slots of the replicas: few, so that some requests are refused.
 const (
 	gateSlots = 6
 	chatSlots = 24
@@ -253,16 +208,12 @@
 	p.current, p.idle = r, false
 	s.mu.Unlock()
 	p.link.SetTarget(r.Address())
-	s.announce(p, r, "ready")
+	s.announce(p, r, false)
 	return nil
 }
 
-func (s *site) announce(p *place, r *Replica, state string) {
-	text, err := json.Marshal(&replicaDocument{Service: r.Service, Address: p.link.Address(), Zone: p.domain, Slots: r.slots, State: state})
-	if err != nil {
-		panic(err) // the document is made of plain values
-	}
-	s.store.Put("servers/"+r.ID, text)
+func (s *site) announce(p *place, r *Replica, draining bool) {
+	s.store.PutReplica(standin.Replica{ID: r.ID, Service: r.Service, Address: p.link.Address(), Domain: p.domain, Slots: r.slots, Draining: draining})
 }
 
 // at returns a place whose replica lives, and the replica.
@@ -286,7 +237,7 @@
 
 // remove deletes a replica's entry.
 func (s *site) remove(r *Replica) {
-	s.store.Delete("servers/" + r.ID)
+	s.store.DeleteReplica(r.ID)
 	s.ledger.Leaves(r.ID, time.Now())
 }
 
--- a/internal/soak/strike.go
+++ b/internal/soak/strike.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"hingewinch.org/hingewinch/internal/standin"
+	"hingewinch.org/hingewinch/platform/standin"
 )
 
 // Figures of the faults.
@@ -203,13 +203,13 @@
 			if idle || (f.Variant+hashInt(r.ID))%4 == 0 {
 				continue
 			}
-			s.store.Delete("servers/" + r.ID)
+			s.store.DeleteReplica(r.ID)
 			time.AfterFunc(f.For+backTime, func() {
 				s.mu.Lock()
 				same := p.current == r && !p.idle
 				s.mu.Unlock()
 				if same {
-					s.announce(p, r, "ready")
+					s.announce(p, r, false)
 				}
 			})
 		}
@@ -345,7 +345,7 @@
 		return
 	}
 	if announced {
-		s.announce(p, r, "draining")
+		s.announce(p, r, true)
 		s.ledger.Leaves(r.ID, time.Now())
 	} else {
 		s.remove(r)
