--- a/coordination/routing/config.go
+++ b/coordination/routing/config.go
@@ -107,4 +107,7 @@
 	Services   []Service
 	Workspaces []Workspace
 	Limits     CallerLimits
+	// Warnings say what of the published document was not understood, and what
+	// holds in its place.
+	Warnings []string
 }
--- a/coordination/routing/table.go
+++ b/coordination/routing/table.go
@@ -14,6 +14,7 @@
 type Table struct {
 	Version    ConfigVersion
 	Limits     CallerLimits
+	Warnings   []string            // of the Config
 	byHost     map[string][]*Route // longest prefix first
 	services   map[ServiceName]*Service
 	workspaces map[uint64]keyHolder // by the key's hash
@@ -47,6 +48,7 @@
 	t := &Table{
 		Version:    c.Version,
 		Limits:     c.Limits,
+		Warnings:   c.Warnings,
 		byHost:     make(map[string][]*Route),
 		services:   make(map[ServiceName]*Service, len(c.Services)),
 		workspaces: make(map[uint64]keyHolder),
--- a/daemon/routes/catalog.go
+++ b/daemon/routes/catalog.go
@@ -17,8 +17,9 @@
 	Config(f *feed.Feed) (feed.Item, bool)
 	// ParseConfig reads it. The configuration is taken whole or not at all.
 	ParseConfig(it feed.Item) (*routing.Table, error)
-	// ParseReplica reads the document of a replica.
-	ParseReplica(it feed.Item) (routing.Replica, error)
+	// ParseReplica reads the document of a replica. The warning, if there is one, says
+	// what was not understood and what holds in its place.
+	ParseReplica(it feed.Item) (r routing.Replica, warning string, err error)
 	// ReplicaID returns which replica a document is about; false if it is about
 	// something else.
 	ReplicaID(key string) (routing.ReplicaID, bool)
@@ -96,11 +97,14 @@
 		}
 		return
 	}
-	r, err := c.documents.ParseReplica(it)
+	r, warning, err := c.documents.ParseReplica(it)
 	if err != nil {
 		c.log.Rejected(it.Key, err)
 		return
 	}
+	if warning != "" && logEach {
+		c.log.NotUnderstood(it.Key, warning)
+	}
 	if logEach && (!known || before.Draining != r.Draining) {
 		c.log.Replica(id, stateName(&r), it.Revision)
 	}
@@ -124,6 +128,9 @@
 		return
 	}
 	c.table, c.tableRevision = t, it.Revision
+	for _, warning := range t.Warnings {
+		c.log.NotUnderstood(it.Key, warning)
+	}
 	c.log.Config(t.Version, it.Revision, source)
 }
 
--- a/daemon/routes/control.go
+++ b/daemon/routes/control.go
@@ -101,7 +101,7 @@
 func (c *control) handle(ctx context.Context, e event, now time.Time) {
 	switch e := e.(type) {
 	case storeListed:
-		c.apply(c.catalog.feed.ApplyList("", e.items, e.at), sourceStore, now)
+		c.apply(c.catalog.feed.ApplyList(e.items, e.at), sourceStore, now)
 	case storeChanged:
 		c.apply(c.catalog.feed.Apply(e.items), sourceStore, now)
 	case storeReachable:
--- a/daemon/routes/control_test.go
+++ b/daemon/routes/control_test.go
@@ -61,8 +61,8 @@
 	return routing.NewTable(&routing.Config{Version: 7})
 }
 
-func (fewDocuments) ParseReplica(it feed.Item) (routing.Replica, error) {
-	return routing.NewReplica(routing.Replica{ID: routing.ReplicaID(it.Key), Service: "s"}), nil
+func (fewDocuments) ParseReplica(it feed.Item) (routing.Replica, string, error) {
+	return routing.NewReplica(routing.Replica{ID: routing.ReplicaID(it.Key), Service: "s"}), "", nil
 }
 
 func (fewDocuments) ReplicaID(key string) (routing.ReplicaID, bool) {
@@ -79,7 +79,7 @@
 	for i := range 4500 {
 		items = append(items, feed.Item{Key: fmt.Sprintf("replica-%d", i), Revision: feed.Revision(i + 1)})
 	}
-	c.apply(c.catalog.feed.ApplyList("", items, 5000), "store", time.Unix(1_000_000, 0))
+	c.apply(c.catalog.feed.ApplyList(items, 5000), "store", time.Unix(1_000_000, 0))
 	c.apply(c.catalog.feed.Apply([]feed.Item{{Key: "replica-1", Revision: 5001, Gone: true}}), "store", time.Unix(1_000_001, 0))
 	l.Close()
 	if l.writer.droppedTotal() != 0 {
--- a/daemon/routes/golden_test.go
+++ b/daemon/routes/golden_test.go
@@ -98,6 +98,7 @@
 		func() { l.Denied("r1", routing.NoRoute) },
 		func() { l.Ejected(&replica, call, errors.New("e")) },
 		func() { l.Finished(call, summary) },
+		func() { l.NotUnderstood("k", "w") },
 	} {
 		write()
 	}
--- a/daemon/routes/log.go
+++ b/daemon/routes/log.go
@@ -159,6 +159,12 @@
 	l.logger.Error().Str("key", key).Err(err).Msg(prefixControl + "document is rejected; the last good one stays in force")
 }
 
+// NotUnderstood says that a part of a document is not known, and what holds in its
+// place.
+func (l *Log) NotUnderstood(key, warning string) {
+	l.logger.Warn().Str("key", key).Str("warning", warning).Msg(prefixControl + "part of a document is not understood")
+}
+
 // Replica says that a replica is ready, draining or gone.
 func (l *Log) Replica(id routing.ReplicaID, stage string, at feed.Revision) {
 	l.timeline.Record(coordination.EventUpstreamState, string(id), "", "%s", stage)
--- a/daemon/routes/sync.go
+++ b/daemon/routes/sync.go
@@ -96,7 +96,7 @@
 	}
 	f, d := c.catalog.feed, &s.documents
 	if d.Whole {
-		c.apply(f.ApplyList("", d.Items, d.Revision), string(s.from), now)
+		c.apply(f.ApplyList(d.Items, d.Revision), string(s.from), now)
 		return
 	}
 	changed := f.Apply(d.Items)
--- a/state/feed/export_test.go
+++ b/state/feed/export_test.go
@@ -1,16 +1,12 @@
 package feed
 
-import (
-	"slices"
-	"strings"
-)
+import "slices"
 
-// Each calls visit for each document below a prefix that is not gone, in the
-// order of the keys.
-func (f *Feed) Each(prefix string, visit func(Item)) {
+// Each calls visit for each document that is not gone, in the order of the keys.
+func (f *Feed) Each(visit func(Item)) {
 	var keys []string
 	for key, it := range f.items {
-		if !it.Gone && strings.HasPrefix(key, prefix) {
+		if !it.Gone {
 			keys = append(keys, key)
 		}
 	}
--- a/state/feed/feed.go
+++ b/state/feed/feed.go
@@ -1,16 +1,17 @@
-// Package feed holds the documents that the daemons read from the operators'
-// store and hand on to each other. A document is a key with bytes and the
-// store's revision; what the bytes mean is not known here.
+// Package feed holds the documents that daemons read from the operators' store and
+// fetch from each other, for the life of the process. A document is a key with
+// bytes and the store's revision; what the bytes mean is not known here.
+//
+// For every key the newest revision wins, so that a daemon never goes back to an
+// older document, whoever sends it. The package relies on the store's revisions
+// rising with each change.
 //
 // # Usage
 //
 //	f := feed.New()
-//	changed := f.Apply(items)               // from a watch or a peer
-//	changed = f.ApplyList(prefix, items, at) // a whole list: what is missing is gone
-//	news, whole := f.Since(revision)         // for a peer
-//
-// For every key the newest revision wins, so that a daemon never goes back to
-// an older document within its life, whoever sends it.
+//	changed := f.Apply(items)          // from a watch or a peer
+//	changed = f.ApplyList(items, at)   // a whole list: what is missing is gone
+//	items, whole := f.Since(revision)  // for a peer
 package feed
 
 import (
@@ -21,7 +22,7 @@
 // Revision orders the changes of the store. 0 is before all of them.
 type Revision uint64
 
-// Item is a document, or the news that it is gone.
+// Item is a document, or the removal of one.
 type Item struct {
 	Key      string
 	Value    []byte
@@ -37,15 +38,16 @@
 	Next  string   // the key after which the next page begins; empty: this is the last
 }
 
-// keptTombstones bounds how many removals are remembered.
+// keptTombstones bounds how many removals are remembered: more than a large fleet
+// has replicas. Chosen, not measured.
 const keptTombstones = 4096
 
 // Feed is the set of documents. Its owner guards it.
 type Feed struct {
 	items    map[string]Item
 	revision Revision
-	// horizon is the newest removal that was forgotten: news since an earlier
-	// revision would lack it.
+	// horizon is the newest removal that was forgotten: what changed since an earlier
+	// revision can't be told without it.
 	horizon    Revision
 	tombstones []string
 }
@@ -88,10 +90,9 @@
 	}
 }
 
-// ApplyList takes a whole list of the keys below a prefix, read when the store
-// stood at the given revision or later. Held documents that are missing there
-// and are not newer are gone.
-func (f *Feed) ApplyList(prefix string, items []Item, at Revision) []Item {
+// ApplyList takes a whole list, read when the store stood at the given revision or
+// later. Held documents that are missing there and are not newer are gone.
+func (f *Feed) ApplyList(items []Item, at Revision) []Item {
 	changed := f.Apply(items)
 	listed := make(map[string]struct{}, len(items))
 	for _, it := range items {
@@ -100,7 +101,7 @@
 	var gone []Item
 	for key, held := range f.items {
 		_, ok := listed[key]
-		if !ok && !held.Gone && strings.HasPrefix(key, prefix) && held.Revision <= at {
+		if !ok && !held.Gone && held.Revision <= at {
 			gone = append(gone, Item{Key: key, Revision: max(at, held.Revision+1), Gone: true})
 		}
 	}
@@ -112,8 +113,8 @@
 	return append(changed, gone...)
 }
 
-// Advance notes that everything up to a revision is held, because a list or a
-// peer's news was complete up to there.
+// Advance records that everything up to a revision is held, because a list or a
+// peer's answer was complete up to there.
 func (f *Feed) Advance(to Revision) { f.revision = max(f.revision, to) }
 
 // Since returns what changed after a revision, or everything if whole is true.
--- a/state/feed/feed_test.go
+++ b/state/feed/feed_test.go
@@ -15,9 +15,9 @@
 	return feed.Item{Key: key, Revision: revision, Value: []byte(fmt.Sprint(key, revision))}
 }
 
-func keys(f *feed.Feed, prefix string) []string {
+func keys(f *feed.Feed) []string {
 	var out []string
-	f.Each(prefix, func(it feed.Item) { out = append(out, string(it.Value)) })
+	f.Each(func(it feed.Item) { out = append(out, string(it.Value)) })
 	return out
 }
 
@@ -27,16 +27,16 @@
 		Expect(f.Apply([]feed.Item{item("a", 5)})).To(HaveLen(1))
 		Expect(f.Apply([]feed.Item{item("a", 4), item("a", 5)})).To(BeEmpty())
 		Expect(f.Apply([]feed.Item{{Key: "a", Revision: 3, Gone: true}})).To(BeEmpty())
-		Expect(keys(f, "")).To(Equal([]string{"a5"}))
+		Expect(keys(f)).To(Equal([]string{"a5"}))
 	})
 
 	It("takes what a whole list lacks as gone, unless it is newer than the list", func() {
 		f := feed.New()
-		f.Apply([]feed.Item{item("p/a", 5), item("p/b", 9), item("q/c", 1)})
-		changed := f.ApplyList("p/", nil, 7)
+		f.Apply([]feed.Item{item("p/a", 5), item("p/b", 9)})
+		changed := f.ApplyList(nil, 7)
 		Expect(changed).To(HaveLen(1))
 		Expect(changed[0].Gone).To(BeTrue())
-		Expect(keys(f, "")).To(Equal([]string{"p/b9", "q/c1"}))
+		Expect(keys(f)).To(Equal([]string{"p/b9"}))
 		Expect(f.Apply([]feed.Item{item("p/a", 6)})).To(BeEmpty(), "an old event must not bring it back")
 		Expect(f.Apply([]feed.Item{item("p/a", 8)})).To(HaveLen(1))
 	})
@@ -80,7 +80,7 @@
 					d.Apply([]feed.Item{history[rapid.IntRange(0, len(history)-1).Draw(t, "event")]})
 				}
 			case 3:
-				d.ApplyList("", live(store), revision)
+				d.ApplyList(live(store), revision)
 			case 4:
 				from := daemons[rapid.IntRange(0, 2).Draw(t, "from")]
 				items, whole := from.Since(0)
@@ -88,21 +88,21 @@
 					d.Apply(items)
 				}
 			}
-			daemons[0].Each("", func(it feed.Item) {
+			daemons[0].Each(func(it feed.Item) {
 				if it.Revision < seen[it.Key] {
 					t.Fatalf("%s went back from %d to %d", it.Key, seen[it.Key], it.Revision)
 				}
 				seen[it.Key] = it.Revision
 			})
 		}
-		daemons[0].ApplyList("", live(store), revision)
+		daemons[0].ApplyList(live(store), revision)
 		items, whole := daemons[0].Since(0)
 		if !whole {
 			t.Fatal("news since the beginning is not whole")
 		}
 		for i, d := range daemons[1:] {
-			d.ApplyList("", itemsLive(items), daemons[0].Revision())
-			if got, want := fmt.Sprint(keys(d, "")), fmt.Sprint(keys(daemons[0], "")); got != want {
+			d.ApplyList(itemsLive(items), daemons[0].Revision())
+			if got, want := fmt.Sprint(keys(d)), fmt.Sprint(keys(daemons[0])); got != want {
 				t.Fatalf("daemon %d holds %s, want %s", i+1, got, want)
 			}
 		}
