--- a/coordination/fleet/arrange_bench_test.go
+++ b/coordination/fleet/arrange_bench_test.go
@@ -50,12 +50,12 @@
 		history = append(history, state.DatedList{List: state.NewMemberList(1, nil, members), Taken: taken})
 	}
 	key := fleet.LedgerKey{Workspace: "w", Service: "gate", Key: "own"}
-	keeper, _ := fleet.KeeperOf(history[0].List, key)
-	view := state.KeeperEpoch{Confirmed: epoch, Ticked: epoch, History: history}
+	keeper, _ := fleet.OwnerOf(history[0].List, key)
+	view := state.OwnerEpoch{Confirmed: epoch, Ticked: epoch, History: history}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		if fleet.MayKeep(epoch, state.DaemonID(keeper.ID), view, key, fleet.RulesOf(nil)) != nil {
+		if fleet.MayRunKey(epoch, state.DaemonID(keeper.ID), view, key, fleet.RulesOf(nil)) != nil {
 			b.Fatal("the keeper may not keep")
 		}
 	}
--- a/coordination/fleet/budget.go
+++ b/coordination/fleet/budget.go
@@ -1,9 +1,11 @@
-// This file defines the budget that keeps retries a fraction of the traffic, so
-// that an outage is not answered by a storm of further attempts.
+// This file decides how many retries the OpenAI front end may send: a fraction of
+// its traffic, so that an outage is not answered by a storm of further attempts.
+// The other front end has a budget of its own (coordination/routing), because its
+// bound is one for the fleet, by service and window.
 
 package fleet
 
-// Retry budget settings.
+// Chosen, not measured.
 const (
 	retryShare = 0.1 // retries earned by one first attempt
 	retryBurst = 10  // retries that may be saved up
--- a/coordination/fleet/challenge.go
+++ b/coordination/fleet/challenge.go
@@ -1,8 +1,7 @@
-// This file defines challenges, by which a keeper tells a request that was just
-// sent from one that was held up on the way. A network may deliver what a peer
-// wrote minutes ago, long after the peer gave up, and no clock of the peer's
-// can be trusted to say so; a challenge is made and read by one clock, the
-// keeper's own.
+// This file defines challenges, by which the owner of a key distinguishes a request
+// that was just sent from one that was held up on the way. A network may deliver
+// what a peer wrote minutes ago, long after the peer gave up, and no clock of the
+// peer's can show that; a challenge is made and read by one clock, the owner's.
 
 package fleet
 
@@ -18,8 +17,8 @@
 const ChallengeLife = 10 * time.Second
 
 const (
-	challengeLabel = "challenge"
-	challengeBytes = 8
+	challengeLabel = "challenge" // what is signed; see mac
+	challengeBytes = 8           // its end, in milliseconds
 )
 
 // Challenge returns a challenge. age is the time since this daemon's start.
@@ -28,9 +27,9 @@
 	return base64.RawURLEncoding.EncodeToString(append(b, i.mac(challengeLabel, string(b))...))
 }
 
-// Fresh reports whether a challenge was made by this daemon life and has not
+// IsFresh reports whether a challenge was made by this incarnation and has not
 // expired.
-func (i *TicketIssuer) Fresh(challenge string, age time.Duration) bool {
+func (i *TicketIssuer) IsFresh(challenge string, age time.Duration) bool {
 	raw, err := base64.RawURLEncoding.DecodeString(challenge)
 	if err != nil || len(raw) != challengeBytes+ticketMACBytes {
 		return false
--- a/coordination/fleet/choose.go
+++ b/coordination/fleet/choose.go
@@ -8,15 +8,16 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// Choose returns the upstream for a chat: of the candidates whose gate lets the
-// chat pass, the one that ranks highest. If no gate lets it pass, the candidate
-// with the widest gate is taken, because an overloaded answer is worth more
-// than none; admission has already decided by then. avoid holds candidates that
+// Choose returns the upstream for a chat: of the candidates whose admission
+// lets the chat in, the one that ranks highest. If none does, the candidate with
+// the highest admission is taken, because an overloaded answer is worth more than
+// none. avoid holds candidates that
 // have just refused. The result is false only if every candidate is avoided.
 //
-// The gate is tested by a hash of chat and candidate and not by chance, so that
+// The admission is tested by a hash of chat and candidate and not by chance, so that
 // the same chats overflow in every daemon, and to the same second choice. When
-// a gate moves by a tenth, a tenth of that candidate's chats move and no other.
+// an admission moves by a tenth, a tenth of that candidate's chats move and no
+// other.
 func Choose(p *state.Pool, key state.ChatKey, avoid []state.UpstreamID) (*state.Candidate, bool) {
 	var best, widest *state.Candidate
 	var bestScore uint64
@@ -25,14 +26,14 @@
 		if avoided(avoid, c.ID) {
 			continue
 		}
-		if widest == nil || c.Gate > widest.Gate {
+		if widest == nil || c.Admission > widest.Admission {
 			widest = c
 		}
 		s := coordination.Rank(uint64(key), c.Hash)
 		if best != nil && s <= bestScore {
 			continue
 		}
-		if passes(s, c.Gate) {
+		if isAdmitted(s, c.Admission) {
 			best, bestScore = c, s
 		}
 	}
@@ -42,10 +43,10 @@
 	return best, best != nil
 }
 
-// passes draws the thinning hash from the score by a second mix: the score's
+// isAdmitted draws from the score by a second mix: the score's
 // own bits are large for a chat's home and would not be a fair draw.
-func passes(score uint64, g state.Gate) bool {
-	return g == state.GateFull || state.Gate(coordination.Scramble(score)>>48) < g
+func isAdmitted(score uint64, g state.Admission) bool {
+	return g == state.AdmitAll || state.Admission(coordination.Scramble(score)>>48) < g
 }
 
 func avoided(avoid []state.UpstreamID, id state.UpstreamID) bool {
@@ -70,10 +71,10 @@
 	return best
 }
 
-// HoldsDuty reports whether self is the daemon that ranks first among members
+// hasDuty reports whether self is the daemon that ranks first among members
 // for a duty. Two daemons whose lists differ may both hold one; every duty is
 // designed so that this does no harm.
-func HoldsDuty(members []state.Member, self state.DaemonID, duty string) bool {
+func hasDuty(members []state.Member, self state.DaemonID, duty string) bool {
 	m := rankFirst(members, coordination.Hash(duty))
 	return m != nil && m.ID == string(self)
 }
--- a/coordination/fleet/decisions_test.go
+++ b/coordination/fleet/decisions_test.go
@@ -65,7 +65,7 @@
 		Incarnation: state.Incarnation(rapid.IntRange(1, 3).Draw(t, "incarnation")),
 		State:       state.MemberState(rapid.IntRange(1, 3).Draw(t, "state")),
 		Load:        state.Load(rapid.IntRange(0, 3).Draw(t, "load")),
-		Gate:        state.Gate(rapid.IntRange(0, 3).Draw(t, "gate")),
+		Admission:   state.Admission(rapid.IntRange(0, 3).Draw(t, "gate")),
 		Seq:         uint64(rapid.IntRange(0, 3).Draw(t, "seq")),
 	}
 })
@@ -93,7 +93,7 @@
 	p := &state.Pool{}
 	for i := range n {
 		id := fmt.Sprintf("engine-%d", i)
-		p.Candidates = append(p.Candidates, state.Candidate{ID: state.UpstreamID(id), Hash: coordination.Hash(id), Gate: state.GateFull})
+		p.Candidates = append(p.Candidates, state.Candidate{ID: state.UpstreamID(id), Hash: coordination.Hash(id), Admission: state.AdmitAll})
 	}
 	return p
 }
@@ -129,15 +129,15 @@
 	})
 	It("takes away the share that a gate says", func() {
 		p := poolOf(10)
-		p.Candidates[3].Gate = state.GateFull / 2
+		p.Candidates[3].Admission = state.AdmitAll / 2
 		Expect(share(p, "engine-3")).To(BeNumerically("~", 0.05, 0.01))
 	})
 	It("takes the widest gate if none lets the chat pass", func() {
 		p := poolOf(3)
 		for i := range p.Candidates {
-			p.Candidates[i].Gate = 0
+			p.Candidates[i].Admission = 0
 		}
-		p.Candidates[1].Gate = 1
+		p.Candidates[1].Admission = 1
 		c, ok := fleet.Choose(p, 7, nil)
 		Expect(ok).To(BeTrue())
 		Expect(c.ID).To(Equal(state.UpstreamID("engine-1")))
@@ -154,18 +154,18 @@
 
 var _ = Describe("NextGate", func() {
 	It("narrows under load and opens again", func() {
-		g := state.GateFull
+		g := state.AdmitAll
 		for range 60 {
-			g = fleet.NextGate(g, 20_000, 5_000, 1.25)
+			g = fleet.NextAdmission(g, 20_000, 5_000, 1.25)
 		}
-		Expect(g).To(BeNumerically("<", state.GateFull/4))
+		Expect(g).To(BeNumerically("<", state.AdmitAll/4))
 		for range 60 {
-			g = fleet.NextGate(g, 1_000, 5_000, 1.25)
+			g = fleet.NextAdmission(g, 1_000, 5_000, 1.25)
 		}
-		Expect(g).To(Equal(state.GateFull))
+		Expect(g).To(Equal(state.AdmitAll))
 	})
 	It("does not gate a load that no bound could keep out", func() {
-		Expect(fleet.NextGate(state.GateFull, 1_000, 10, 1.25)).To(Equal(state.GateFull))
+		Expect(fleet.NextAdmission(state.AdmitAll, 1_000, 10, 1.25)).To(Equal(state.AdmitAll))
 	})
 })
 
--- a/coordination/fleet/doc.go
+++ b/coordination/fleet/doc.go
@@ -2,7 +2,7 @@
 // take together although each sees only a sliver of the traffic and all views
 // differ: which engine takes a chat, how much of its traffic an engine still
 // takes, which configuration and member list are in force, who runs a request
-// that must not be repeated, and which news a daemon sends to whom.
+// that must not be repeated, and what daemons send to whom.
 //
 // Everything here is pure: time, randomness and messages are arguments.
 //
@@ -22,8 +22,8 @@
 //			switch eff := eff.(type) {
 //			case fleet.Publish:
 //				snapshot.Store(eff.Snapshot)
-//			case fleet.SendNews:
-//				go exchange(eff.Peer, eff.News)
+//			case fleet.SendGossip:
+//				go exchange(eff.Peer, eff.Gossip)
 //			}
 //		}
 //	}
@@ -32,7 +32,7 @@
 //
 //	switch d := ledger.Begin(now, key, fingerprint).(type) {
 //	case fleet.Start:
-//		// the only one who is ever told to start this key
+//		// given once for a key
 //	case fleet.Replay:
 //		// answer with d.Answer
 //	}
--- a/coordination/fleet/documents.go
+++ b/coordination/fleet/documents.go
@@ -25,10 +25,10 @@
 	return f.list.Head
 }
 
-// newestList is the head of the newest list that is known, be it doubted.
+// newestList is the head of the newest list that is known, even if it is held back.
 func (f *Fleet) newestList() state.Head {
-	if f.doubted != nil {
-		return f.doubted.Head
+	if f.suspectList != nil {
+		return f.suspectList.Head
 	}
 	return f.listHead()
 }
@@ -36,7 +36,7 @@
 func (f *Fleet) takeConfig(now time.Time, c *state.Config) {
 	old, head := f.configHead(), c.Head()
 	if head.Version == old.Version && head != old && !old.IsZero() {
-		f.note(coordination.EventConfigClash, head.String(), "two contents carry version %d: %v and %v; the higher digest is in force, publish a higher version", head.Version, old, head)
+		f.record(coordination.EventConfigClash, head.String(), "two contents carry version %d: %v and %v; the higher digest is in force, publish a higher version", head.Version, old, head)
 	}
 	if head.Compare(old) <= 0 {
 		return
@@ -46,7 +46,7 @@
 	}
 	f.config = c
 	f.dirty = true
-	f.note(coordination.EventConfigTaken, head.String(), "configuration %v follows %v", head, old)
+	f.record(coordination.EventConfigTaken, head.String(), "configuration %v follows %v", head, old)
 	f.settle(now)
 	f.arrange()
 	f.urgent = true
@@ -57,7 +57,7 @@
 		return
 	}
 	f.refused[ev.Head] = true
-	f.note(coordination.EventConfigRefused, ev.Head.String(), "configuration is not valid and not applied: %v", ev.Err)
+	f.record(coordination.EventConfigRefused, ev.Head.String(), "configuration is not valid and not applied: %v", ev.Err)
 }
 
 // settlePeers is how many peers are asked.
@@ -86,26 +86,26 @@
 		return
 	}
 	if collapsed(f.list, ev.List) {
-		f.doubt(now, ev.List)
+		f.holdBack(now, ev.List)
 		return
 	}
 	f.takeList(now, ev.List)
 	f.confirmList(ev.List.Head, ev.Asked)
 }
 
-// confirmList moves the confirmation of the list in force forward. A list that
-// is doubted is newer than the one in force, which then can't be confirmed.
+// confirmList moves the confirmation of the list in force forward. A list that is
+// held back is newer than the one in force, which then can't be confirmed.
 func (f *Fleet) confirmList(head state.Head, asked time.Time) {
-	if asked.IsZero() || f.list == nil || head != f.list.Head || f.doubted != nil || !asked.After(f.confirmed) {
+	if asked.IsZero() || f.list == nil || head != f.list.Head || f.suspectList != nil || !asked.After(f.confirmed) {
 		return
 	}
 	f.confirmed = asked
 	f.epochDirty = true
 }
 
-// collapseShare is the part of the live members that a list must keep to be
-// obeyed at once, and collapseMin the number of members from which that rule
-// makes sense.
+// collapseShare is the part of the live members that a list must keep to be taken
+// at once, and collapseMin the number of members from which that rule makes
+// sense. Chosen, not measured.
 const (
 	collapseShare = 0.5
 	collapseMin   = 4
@@ -129,35 +129,35 @@
 	return before >= collapseMin && float64(kept) < collapseShare*float64(before)
 }
 
-// doubt holds a collapsed list back. It is taken if it is still the newest when
-// the doubt ends; until then the last good one serves, and what upstreams say
-// of themselves still counts. Peers are told at once, so that the doubt ends
-// everywhere at about the same time.
-func (f *Fleet) doubt(now time.Time, l *state.MemberList) {
-	if f.doubted != nil && l.Head.Compare(f.doubted.Head) <= 0 {
+// holdBack holds back a list that lost most members. It is taken if it is still the
+// newest after suspectListTime; until then the last good one serves, and reports
+// of upstreams still count. Peers learn of it at once, so that the time ends
+// everywhere at about the same moment.
+func (f *Fleet) holdBack(now time.Time, l *state.MemberList) {
+	if f.suspectList != nil && l.Head.Compare(f.suspectList.Head) <= 0 {
 		return
 	}
-	if f.doubted == nil {
-		f.doubtEnds = now.Add(doubtTime)
+	if f.suspectList == nil {
+		f.suspectListUntil = now.Add(suspectListTime)
 	}
-	f.doubted = l
+	f.suspectList = l
 	f.urgent = true
-	f.emit(HoldList{l})
-	f.note(coordination.EventListDoubted, l.Head.String(), "list %v lost most members; the last good one serves for up to %v", l.Head, doubtTime)
+	f.emit(RetainList{l})
+	f.record(coordination.EventListDoubted, l.Head.String(), "list %v lost most members; the last good one serves for up to %v", l.Head, suspectListTime)
 }
 
-func (f *Fleet) endDoubt(now time.Time) {
-	if f.doubted == nil || now.Before(f.doubtEnds) {
+func (f *Fleet) acceptSuspectList(now time.Time) {
+	if f.suspectList == nil || now.Before(f.suspectListUntil) {
 		return
 	}
-	f.takeList(now, f.doubted)
+	f.takeList(now, f.suspectList)
 }
 
 func (f *Fleet) takeList(now time.Time, l *state.MemberList) {
 	f.notePeers(l)
-	f.note(coordination.EventListTaken, l.Head.String(), "member list %v follows %v", l.Head, f.listHead())
+	f.record(coordination.EventListTaken, l.Head.String(), "member list %v follows %v", l.Head, f.listHead())
 	f.list = l
-	f.doubted = nil
+	f.suspectList = nil
 	f.history = append([]state.DatedList{{List: l, Taken: now}}, f.history...)
 	f.pruneHistory(now)
 	f.dropReports()
@@ -166,12 +166,12 @@
 	f.urgent = true
 }
 
-// pruneHistory keeps the lists that matter for the quiet time: those taken
+// pruneHistory keeps the lists that matter for the grace period: those taken
 // within it, and the one before them.
 func (f *Fleet) pruneHistory(now time.Time) {
-	quiet := RulesOf(f.config).QuietTime()
+	grace := RulesOf(f.config).GracePeriod()
 	for i := range f.history {
-		if now.Sub(f.history[i].Taken) > quiet {
+		if now.Sub(f.history[i].Taken) > grace {
 			f.history = f.history[:i+1]
 			return
 		}
@@ -213,7 +213,7 @@
 
 func (f *Fleet) isReader(near []state.Member) bool {
 	for _, duty := range readerDuties {
-		if HoldsDuty(near, f.self.ID, duty) {
+		if hasDuty(near, f.self.ID, duty) {
 			return true
 		}
 	}
--- a/coordination/fleet/event.go
+++ b/coordination/fleet/events.go
@@ -1,5 +1,5 @@
-// This file defines what a Fleet is told and what it asks for. Both are sealed:
-// a type switch over them is complete.
+// This file defines the events that a Fleet takes in and the effects that it asks
+// for. Both are sealed: a type switch over them is complete.
 
 package fleet
 
@@ -10,7 +10,7 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// Event is something that a Fleet is told.
+// Event is something that has happened.
 type Event interface{ isEvent() }
 
 // ConfigLearned brings a parsed configuration, from the platform or a peer.
@@ -37,8 +37,7 @@
 	Asked time.Time
 }
 
-// UpstreamSeen brings what an upstream said of itself to the daemon that
-// watches it.
+// UpstreamSeen brings an upstream's report to the daemon that watches it.
 type UpstreamSeen struct {
 	ID          state.UpstreamID
 	Incarnation state.Incarnation
@@ -50,18 +49,18 @@
 // upstream or was refused by it.
 type UpstreamFailed struct{ ID state.UpstreamID }
 
-// NewsReceived brings a peer's news. Asked is when this daemon sent the request
-// that the news answers; it is zero if the peer began the exchange.
-type NewsReceived struct {
-	News  News
-	Asked time.Time
+// GossipReceived brings a peer's message. Asked is when this daemon sent the request
+// that it answers; it is zero if the peer began the exchange.
+type GossipReceived struct {
+	Gossip Gossip
+	Asked  time.Time
 }
 
 // PeerFailed says that an exchange with a peer failed.
 type PeerFailed struct{ ID state.DaemonID }
 
-// Tick says that time has passed. Wall is the wall clock, by which a pause is
-// noticed during which the monotonic clock stood still.
+// Tick says that time has passed. Wall is the wall clock, which shows a
+// pause during which the monotonic clock stood still.
 type Tick struct{ Wall time.Time }
 
 // StopBegun says that this daemon is being stopped as planned.
@@ -73,7 +72,7 @@
 func (ListConfirmed) isEvent()  {}
 func (UpstreamSeen) isEvent()   {}
 func (UpstreamFailed) isEvent() {}
-func (NewsReceived) isEvent()   {}
+func (GossipReceived) isEvent() {}
 func (PeerFailed) isEvent()     {}
 func (Tick) isEvent()           {}
 func (StopBegun) isEvent()      {}
@@ -84,15 +83,15 @@
 // Publish hands out a new snapshot.
 type Publish struct{ Snapshot *state.Snapshot }
 
-// SendNews asks for an exchange with a peer. The answer comes back as
-// [NewsReceived], a failure as [PeerFailed].
-type SendNews struct {
-	Peer state.Member
-	News News
+// SendGossip asks for an exchange with a peer. The answer comes back as
+// [GossipReceived], a failure as [PeerFailed].
+type SendGossip struct {
+	Peer   state.Member
+	Gossip Gossip
 }
 
 // Reply is the answer to an exchange that a peer began.
-type Reply struct{ News News }
+type Reply struct{ Gossip Gossip }
 
 // FetchConfig asks for the content of a head that a peer has.
 type FetchConfig struct {
@@ -106,9 +105,9 @@
 	Head state.Head
 }
 
-// HoldList asks to keep the text of a list that is not in force, for peers that
-// fetch it.
-type HoldList struct{ List *state.MemberList }
+// RetainList asks to keep the text of a list that is held back, for peers that fetch
+// it.
+type RetainList struct{ List *state.MemberList }
 
 // WatchUpstreams lists the upstreams that this daemon watches from now on.
 type WatchUpstreams struct{ Upstreams []state.Member }
@@ -116,30 +115,30 @@
 // ReadPlatform asks for one look at the platform.
 type ReadPlatform struct{}
 
-// Note is an entry for the time line.
-type Note struct {
+// TimelineEntry is an entry for the time line.
+type TimelineEntry struct {
 	Kind  coordination.EventKind
 	About string
 	Text  string
 }
 
 func (Publish) isEffect()        {}
-func (SendNews) isEffect()       {}
+func (SendGossip) isEffect()     {}
 func (Reply) isEffect()          {}
 func (FetchConfig) isEffect()    {}
 func (FetchList) isEffect()      {}
-func (HoldList) isEffect()       {}
+func (RetainList) isEffect()     {}
 func (WatchUpstreams) isEffect() {}
 func (ReadPlatform) isEffect()   {}
-func (Note) isEffect()           {}
+func (TimelineEntry) isEffect()  {}
 
 var (
 	_ Event  = Tick{}
-	_ Effect = Note{}
+	_ Effect = TimelineEntry{}
 )
 
-// News is what two daemons tell each other in one exchange.
-type News struct {
+// Gossip is the message that goes both ways in one exchange.
+type Gossip struct {
 	Sender      state.DaemonID
 	Incarnation state.Incarnation
 	Domain      state.FailureDomain
@@ -148,14 +147,15 @@
 	Stamp       coordination.Stamp
 	Config      state.Head
 	List        state.Head
-	ListAge     time.Duration // since the platform confirmed the list; negative if never, or if it is doubted
+	ListAge     time.Duration // since the platform confirmed the list; negative if never, or if a newer one is held back
 	Reports     []Report
 	// Upto is the sender's position up to which Reports is complete, and Ack
-	// the last Upto that it received from the life AckLife of the other side.
+	// the last Upto that it received from the incarnation AckIncarnation of the other
+	// side.
 	// A side sends again what is not acknowledged.
-	Upto    uint64
-	Ack     uint64
-	AckLife state.Incarnation
+	Upto           uint64
+	Ack            uint64
+	AckIncarnation state.Incarnation
 }
 
 // neverConfirmed is the ListAge of a daemon that knows no confirmed list.
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -1,6 +1,6 @@
-// This file defines Fleet, the state machine of a daemon's control loop: what
-// it knows, and the dispatch of events. Documents, reports and exchanges stand
-// in files of their own.
+// This file defines Fleet, the state machine of a daemon's control loop: its state
+// and the dispatch of events. Documents, reports and exchanges stand in files of
+// their own.
 
 package fleet
 
@@ -27,12 +27,11 @@
 	// TickInterval is how often the owner sends a Tick.
 	TickInterval = 500 * time.Millisecond
 	// exchangeTicks is how many ticks lie between two exchanges that a daemon
-	// begins without news. Each costs about 0.8 KB on the wire, so this number
+	// begins without a change. Each costs about 0.8 KB on the wire, so this number
 	// decides the greatest part of the control traffic.
 	exchangeTicks = 2
-	// freezeAfter is how late a tick may be before it is taken that the process
-	// was paused.
-	freezeAfter = 3 * time.Second
+	// pauseLimit is how late a tick may be before the process counts as paused.
+	pauseLimit = 3 * time.Second
 	// platformInterval is how often one reader asks the platform.
 	platformInterval = time.Second
 	// readersPerDomain is how many daemons of a failure domain ask it.
@@ -40,19 +39,18 @@
 	// strayReadAge is the age of the list from which others ask it as well.
 	strayReadAge = 9 * time.Second
 	// settleTime is how long a new daemon asks peers for a newer configuration
-	// before it takes the platform's word alone. It is the longest time for
+	// before it uses the platform's alone. It is the longest time for
 	// which a daemon that is cut off from all peers refuses at its start.
 	settleTime = 10 * time.Second
-	// suspectTime is how long a peer or upstream that failed is passed over, and
-	// unsettledSuspectTime how long by a daemon that must still hear of peers.
+	// suspectTime is how long a peer or upstream that failed is excluded, and
+	// unsettledSuspectTime how long by a daemon that still has to ask peers.
 	suspectTime          = 5 * time.Second
 	unsettledSuspectTime = time.Second
-	// doubtTime is how long a list that lost most members is not obeyed.
-	doubtTime = 20 * time.Second
+	// suspectListTime is how long a list that lost most members is held back.
+	suspectListTime = 20 * time.Second
 )
 
-// Fleet is the knowledge of one daemon about the fleet. It is owned by one
-// goroutine.
+// Fleet is the state of one daemon's control loop. One goroutine owns it.
 type Fleet struct {
 	self    Self
 	rng     *rand.Rand
@@ -62,17 +60,17 @@
 	wall    time.Time // wall clock of the last tick
 	stopped bool
 
-	config      *state.Config
-	refused     map[state.Head]bool
-	settled     bool
-	peersMet    map[state.DaemonID]bool
-	list        *state.MemberList
-	history     []state.DatedList
-	confirmed   time.Time
-	paused      time.Time // when a pause was last noticed
-	windowSince time.Time
-	doubted     *state.MemberList
-	doubtEnds   time.Time
+	config           *state.Config
+	refused          map[state.Head]bool
+	settled          bool
+	peersMet         map[state.DaemonID]bool
+	list             *state.MemberList
+	history          []state.DatedList
+	confirmed        time.Time
+	paused           time.Time // when a pause was last noticed
+	windowSince      time.Time
+	suspectList      *state.MemberList
+	suspectListUntil time.Time
 
 	reports  map[state.UpstreamID]*knownReport
 	arrivals uint64
@@ -82,23 +80,23 @@
 
 	neighbours   []state.Member
 	edges        map[state.DaemonID]*edge
-	peerSuspects map[state.DaemonID]time.Time         // passed over until then
-	unreachable  map[state.DaemonID]bool              // failed, and not met since
-	peerLeaving  map[state.DaemonID]state.Incarnation // the life that leaves
+	peerSuspects map[state.DaemonID]time.Time         // excluded until then
+	unreachable  map[state.DaemonID]bool              // failed, and not heard from since
+	peerLeaving  map[state.DaemonID]state.Incarnation // the incarnation that leaves
 	reportBudget reportBudget
 	turn         int
 	ticks        int
 	nextRead     time.Time
 
-	urgent     bool // all neighbours are told at the end of the event
+	urgent     bool // an exchange with all neighbours is due at the end of the event
 	dirty      bool // the snapshot is out of date
-	stale      bool // its figures are: it is built anew at the next tick
+	stale      bool // its figures are: it is rebuilt at the next tick
 	epochDirty bool // only its epoch is
 	current    *state.Snapshot
 	effects    []Effect
 }
 
-// NewFleet returns the knowledge of a daemon that has just started. rng must
+// NewFleet returns the state of a daemon that has just started. rng must
 // not be shared.
 func NewFleet(self Self, rng *rand.Rand) *Fleet {
 	return &Fleet{
@@ -139,20 +137,20 @@
 	case UpstreamFailed:
 		f.suspects[ev.ID] = now.Add(suspectTime)
 		f.dirty = true
-	case NewsReceived:
-		f.receiveNews(now, ev)
+	case GossipReceived:
+		f.receiveGossip(now, ev)
 	case PeerFailed:
 		f.failPeer(now, ev.ID)
 	case Tick:
 		f.tick(now, ev.Wall)
 	case StopBegun:
 		f.stopped = true
-		f.note(coordination.EventStopBegun, string(f.self.ID), "stop begun; no new work")
+		f.record(coordination.EventStopBegun, string(f.self.ID), "stop begun; no new work")
 		f.urgent = true
 	}
 	if f.urgent {
 		f.urgent = false
-		f.tellAll()
+		f.exchangeWithAll()
 	}
 	f.publish()
 	return f.effects
@@ -160,12 +158,12 @@
 
 func (f *Fleet) emit(e Effect) { f.effects = append(f.effects, e) }
 
-func (f *Fleet) note(kind coordination.EventKind, about, format string, args ...any) {
-	f.emit(Note{Kind: kind, About: about, Text: fmt.Sprintf(format, args...)})
+func (f *Fleet) record(kind coordination.EventKind, about, format string, args ...any) {
+	f.emit(TimelineEntry{Kind: kind, About: about, Text: fmt.Sprintf(format, args...)})
 }
 
 // publish hands out a new snapshot if anything that it shows has changed. The
-// pools are built anew only if they may differ: a list is confirmed several
+// pools are rebuilt only if they may differ: a list is confirmed several
 // times a second and rarely changes.
 func (f *Fleet) publish() {
 	switch {
@@ -195,8 +193,8 @@
 }
 
 // epoch shares the history with the snapshot: taking a list makes a new slice.
-func (f *Fleet) epoch() state.KeeperEpoch {
-	return state.KeeperEpoch{
+func (f *Fleet) epoch() state.OwnerEpoch {
+	return state.OwnerEpoch{
 		Confirmed:   f.confirmed,
 		Ticked:      f.ticked,
 		Paused:      f.paused,
@@ -206,10 +204,10 @@
 }
 
 func (f *Fleet) tick(now, wall time.Time) {
-	f.noticeFreeze(now, wall)
+	f.checkPause(now, wall)
 	f.dirty = f.dirty || f.stale
 	f.settle(now)
-	f.endDoubt(now)
+	f.acceptSuspectList(now)
 	f.forgetSuspects(now)
 	f.readPlatform(now)
 	if f.ticks++; f.ticks%exchangeTicks == 0 || !f.settled {
@@ -217,19 +215,19 @@
 	}
 }
 
-// noticeFreeze distrusts the member list after a pause. The wall clock shows a
+// checkPause makes the member list count as unconfirmed after a pause. The wall clock shows a
 // pause in which the monotonic clock stood still; a set clock looks the same
 // and costs one confirmation.
-func (f *Fleet) noticeFreeze(now, wall time.Time) {
+func (f *Fleet) checkPause(now, wall time.Time) {
 	late := now.Sub(f.ticked)
 	jump := wall.Sub(f.wall) - late
 	first := f.ticked.IsZero()
 	f.ticked, f.wall = now, wall
 	f.epochDirty = true
-	if first || (late < freezeAfter && jump < freezeAfter) {
+	if first || (late < pauseLimit && jump < pauseLimit) {
 		return
 	}
-	f.note(coordination.EventFreeze, string(f.self.ID), "control loop was paused for about %v; list is distrusted until confirmed", max(late, jump).Round(time.Millisecond))
+	f.record(coordination.EventPaused, string(f.self.ID), "control loop was paused for about %v; list is unconfirmed until it is read again", max(late, jump).Round(time.Millisecond))
 	f.confirmed = time.Time{}
 	f.paused = now
 	f.nextRead = now
--- a/coordination/fleet/exchange.go
+++ b/coordination/fleet/gossip.go
@@ -1,5 +1,5 @@
-// This file holds the Fleet's exchanges with its peers: whom to talk to, what
-// to tell, what to take in.
+// This file holds the Fleet's exchanges with its peers: with whom, what is sent,
+// what is taken in.
 
 package fleet
 
@@ -12,15 +12,15 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// maxReportsPerNews bounds one message, so that a new daemon is brought up to
+// maxReports bounds one message, so that a new daemon is brought up to
 // date in steps and no message breaks the control budget.
-const maxReportsPerNews = 64
+const maxReports = 64
 
 // edge is the state of the exchange with one peer.
 type edge struct {
-	life     state.Incarnation // of the peer; the positions are about it
-	acked    uint64            // our position that the peer has confirmed
-	received uint64            // the peer's position that we have taken in
+	incarnation state.Incarnation // of the peer; the positions are about it
+	acked       uint64            // our position that the peer has confirmed
+	received    uint64            // the peer's position that we have taken in
 }
 
 func (f *Fleet) edge(id state.DaemonID) *edge {
@@ -32,15 +32,14 @@
 	return e
 }
 
-// meetLife starts the positions anew if the peer is not the process that they
-// are about.
-func (e *edge) meetLife(life state.Incarnation) {
-	if e.life != life {
-		*e = edge{life: life}
+// reset clears the positions if the peer is not the process that they are about.
+func (e *edge) reset(incarnation state.Incarnation) {
+	if e.incarnation != incarnation {
+		*e = edge{incarnation: incarnation}
 	}
 }
 
-// usablePeer reports whether a daemon of the list may get duties and news.
+// usablePeer reports whether a daemon of the list may get duties and messages.
 func (f *Fleet) usablePeer(m *state.Member) bool {
 	if m.ID == string(f.self.ID) {
 		return !f.stopped
@@ -73,9 +72,9 @@
 	}
 }
 
-// tellAll begins an exchange with every neighbour: a new document or a stop
+// exchangeWithAll begins an exchange with every neighbour: a new document or a stop
 // spreads at the speed of the network and not of the ticks.
-func (f *Fleet) tellAll() {
+func (f *Fleet) exchangeWithAll() {
 	for _, m := range f.neighbours {
 		f.send(m)
 	}
@@ -86,13 +85,13 @@
 	if m.ID != "" {
 		e = f.edge(state.DaemonID(m.ID))
 	}
-	f.emit(SendNews{Peer: m, News: f.news(state.DaemonID(m.ID), m.Domain, e)})
+	f.emit(SendGossip{Peer: m, Gossip: f.gossip(state.DaemonID(m.ID), m.Domain, e)})
 }
 
-// news says what a peer may not know yet. Reports stay within a region: no
+// gossip returns what a peer may not know yet. Reports stay within a region: no
 // other region places its chats here while it has upstreams of its own.
-func (f *Fleet) news(to state.DaemonID, domain state.FailureDomain, e *edge) News {
-	n := News{
+func (f *Fleet) gossip(to state.DaemonID, domain state.FailureDomain, e *edge) Gossip {
+	n := Gossip{
 		Sender:      f.self.ID,
 		Incarnation: f.self.Incarnation,
 		Domain:      f.self.Domain,
@@ -102,24 +101,24 @@
 		List:        f.newestList(),
 		ListAge:     neverConfirmed,
 	}
-	if !f.confirmed.IsZero() && f.doubted == nil {
+	if !f.confirmed.IsZero() && f.suspectList == nil {
 		n.ListAge = f.now.Sub(f.confirmed)
 	}
 	if e == nil {
 		return n
 	}
-	n.Ack, n.AckLife = e.received, e.life
+	n.Ack, n.AckIncarnation = e.received, e.incarnation
 	n.Upto = f.arrivals
 	if f.regionOf(domain) != f.regionOf(f.self.Domain) {
 		return n
 	}
-	n.Reports, n.Upto = f.reportsAfter(e.acked, source{to, e.life})
+	n.Reports, n.Upto = f.reportsAfter(e.acked, source{to, e.incarnation})
 	return n
 }
 
 // reportsAfter returns reports that changed after a position, and the position
 // up to which they are complete. States other than live go at once; figures go
-// oldest first and as many as the budget allows, so that much change makes news
+// oldest first and as many as the budget allows, so that much change makes reports
 // older and not the traffic larger.
 func (f *Fleet) reportsAfter(position uint64, to source) ([]Report, uint64) {
 	if position >= f.arrivals {
@@ -138,18 +137,18 @@
 	byArrival := func(a, b *knownReport) int { return cmp.Compare(a.arrival, b.arrival) }
 	slices.SortFunc(states, byArrival)
 	slices.SortFunc(figures, byArrival)
-	allowed := f.reportBudget.take(f.now, min(len(figures), maxReportsPerNews))
+	allowed := f.reportBudget.take(f.now, min(len(figures), maxReports))
 	var out []Report
 	upto := f.arrivals
 	for _, part := range []struct {
 		reports []*knownReport
 		n       int
-	}{{states, min(len(states), maxReportsPerNews)}, {figures, allowed}} {
+	}{{states, min(len(states), maxReports)}, {figures, allowed}} {
 		for _, r := range part.reports[:part.n] {
 			out = append(out, r.Report)
 		}
 		if part.n < len(part.reports) {
-			// From the first one that is left out on, news is not complete.
+			// From the first one that is left out on, the message is not complete.
 			upto = min(upto, part.reports[part.n].arrival-1)
 		}
 	}
@@ -182,18 +181,18 @@
 	return allowed
 }
 
-func (f *Fleet) receiveNews(now time.Time, ev NewsReceived) {
-	n := ev.News
+func (f *Fleet) receiveGossip(now time.Time, ev GossipReceived) {
+	n := ev.Gossip
 	if n.Sender == f.self.ID {
 		if ev.Asked.IsZero() {
-			f.emit(Reply{f.news("", f.self.Domain, nil)})
+			f.emit(Reply{f.gossip("", f.self.Domain, nil)})
 		}
 		return
 	}
 	f.meet(now, n)
 	e := f.edge(n.Sender)
-	e.meetLife(n.Incarnation)
-	if n.AckLife == f.self.Incarnation && n.Ack <= f.arrivals {
+	e.reset(n.Incarnation)
+	if n.AckIncarnation == f.self.Incarnation && n.Ack <= f.arrivals {
 		e.acked = max(e.acked, n.Ack)
 	}
 	for _, r := range n.Reports {
@@ -206,27 +205,27 @@
 	}
 	f.compareHeads(ev)
 	if ev.Asked.IsZero() {
-		f.emit(Reply{f.news(n.Sender, n.Domain, e)})
+		f.emit(Reply{f.gossip(n.Sender, n.Domain, e)})
 	}
 }
 
-// meet takes note of a peer that has shown that it lives.
-func (f *Fleet) meet(now time.Time, n News) {
+// meet records that a peer lives.
+func (f *Fleet) meet(now time.Time, n Gossip) {
 	f.peersMet[n.Sender] = true
 	f.settle(now)
 	changed := f.peerSuspects[n.Sender] != time.Time{}
 	delete(f.peerSuspects, n.Sender)
 	if f.unreachable[n.Sender] {
 		delete(f.unreachable, n.Sender)
-		f.note(coordination.EventPeerState, string(n.Sender), "peer can be reached again")
+		f.record(coordination.EventPeerState, string(n.Sender), "peer can be reached again")
 	}
-	life, leaving := f.peerLeaving[n.Sender]
+	incarnation, leaving := f.peerLeaving[n.Sender]
 	switch {
-	case n.Leaving && life != n.Incarnation:
+	case n.Leaving && incarnation != n.Incarnation:
 		f.peerLeaving[n.Sender] = n.Incarnation
-		f.note(coordination.EventPeerState, string(n.Sender), "peer is leaving as planned")
+		f.record(coordination.EventPeerState, string(n.Sender), "peer is leaving as planned")
 		changed = true
-	case !n.Leaving && leaving && life != n.Incarnation:
+	case !n.Leaving && leaving && incarnation != n.Incarnation:
 		// Leaving is final for a process; this one is its successor.
 		delete(f.peerLeaving, n.Sender)
 		changed = true
@@ -236,11 +235,11 @@
 	}
 }
 
-// compareHeads fetches what the peer has newer, and takes its word for the age
-// of the list if it answers our question: the age of unasked news would not
+// compareHeads fetches what the peer has newer, and uses its age of the list if it
+// answers our question: the age in a message that was not asked for would not
 // count the time that it waited in a socket.
-func (f *Fleet) compareHeads(ev NewsReceived) {
-	n := ev.News
+func (f *Fleet) compareHeads(ev GossipReceived) {
+	n := ev.Gossip
 	peer := state.Member{ID: string(n.Sender), Kind: state.KindDaemon, Domain: n.Domain, Address: n.Address, Incarnation: n.Incarnation, State: state.Live}
 	if n.Config.Compare(f.configHead()) > 0 && !f.refused[n.Config] {
 		f.emit(FetchConfig{Peer: peer, Head: n.Config})
@@ -253,31 +252,31 @@
 	}
 }
 
-// failPeer passes a peer over for a while.
+// failPeer excludes a peer for a while.
 func (f *Fleet) failPeer(now time.Time, id state.DaemonID) {
 	if id == "" {
 		return
 	}
 	if !f.unreachable[id] {
 		f.unreachable[id] = true
-		f.note(coordination.EventPeerState, string(id), "peer can't be reached")
+		f.record(coordination.EventPeerState, string(id), "peer can't be reached")
 	}
-	pass := suspectTime
+	exclude := suspectTime
 	if !f.settled {
-		pass = unsettledSuspectTime
+		exclude = unsettledSuspectTime
 	}
-	f.peerSuspects[id] = now.Add(pass)
+	f.peerSuspects[id] = now.Add(exclude)
 	f.arrange()
 }
 
-// notePeers writes down which daemons a new list brings and takes.
+// notePeers records which daemons a new list lacks.
 func (f *Fleet) notePeers(next *state.MemberList) {
 	if f.list == nil {
 		return
 	}
 	for _, m := range f.list.Daemons() {
 		if next.Find(m.ID) == nil {
-			f.note(coordination.EventPeerState, m.ID, "peer is gone from the list")
+			f.record(coordination.EventPeerState, m.ID, "peer is gone from the list")
 			delete(f.peerLeaving, state.DaemonID(m.ID))
 			delete(f.edges, state.DaemonID(m.ID))
 			delete(f.unreachable, state.DaemonID(m.ID))
--- a/coordination/fleet/ledger.go
+++ b/coordination/fleet/ledger.go
@@ -1,6 +1,5 @@
-// This file defines the ledger in which one life of one daemon records the
-// requests that must not be repeated. It is the only place that gives leave to
-// start one.
+// This file defines the ledger in which one incarnation of a daemon records the
+// requests that must not run twice. It is the only place that lets one start.
 
 package fleet
 
@@ -47,20 +46,20 @@
 // bytes (BenchmarkLedgerMemory).
 const entryOverhead = 700
 
-// Admission is the ledger's word on a request. Its kinds are [Start], [Wait],
+// KeyDecision is the ledger's decision on a request. Its kinds are [Start], [Wait],
 // [Replay], [Conflict] and [Deny].
-type Admission interface{ isAdmission() }
+type KeyDecision interface{ isKeyDecision() }
 
-// Start gives leave to run the request. It is given once for a key.
+// Start lets the request run. It is given once for a key.
 type Start struct{}
 
 // Wait means that the first attempt is still running.
 type Wait struct{ First *FirstAttempt }
 
-// FirstAttempt is the attempt that was given leave to run a key. Whoever waits
-// for it gets its end: if it was surely not run, they are told so too, and none
-// of them runs the key in its place, for then not-run would have been said of a
-// key that runs a moment later.
+// FirstAttempt is the attempt that runs a key. Whoever waits for it gets its end: if
+// it was surely not run, that is their answer too, and none of them runs the key
+// in its place, for then not-run would have been said of a key that runs a moment
+// later.
 type FirstAttempt struct {
 	// Done is closed when the attempt has ended.
 	Done chan struct{}
@@ -77,18 +76,18 @@
 // Deny refuses the request.
 type Deny struct{ Outcome coordination.Outcome }
 
-func (Start) isAdmission()    {}
-func (Wait) isAdmission()     {}
-func (Replay) isAdmission()   {}
-func (Conflict) isAdmission() {}
-func (Deny) isAdmission()     {}
+func (Start) isKeyDecision()    {}
+func (Wait) isKeyDecision()     {}
+func (Replay) isKeyDecision()   {}
+func (Conflict) isKeyDecision() {}
+func (Deny) isKeyDecision()     {}
 
 var (
-	_ Admission = Start{}
-	_ Admission = Wait{}
-	_ Admission = Replay{}
-	_ Admission = Conflict{}
-	_ Admission = Deny{}
+	_ KeyDecision = Start{}
+	_ KeyDecision = Wait{}
+	_ KeyDecision = Replay{}
+	_ KeyDecision = Conflict{}
+	_ KeyDecision = Deny{}
 )
 
 type ledgerEntry struct {
@@ -131,7 +130,7 @@
 const unknownEndRetry = 30 * time.Second
 
 // Begin asks to run a request. keep is how long the key must be remembered.
-func (l *Ledger) Begin(now time.Time, key LedgerKey, fp Fingerprint, keep time.Duration) Admission {
+func (l *Ledger) Begin(now time.Time, key LedgerKey, fp Fingerprint, keep time.Duration) KeyDecision {
 	l.expire(now)
 	if el, ok := l.entries[key]; ok {
 		return l.repeat(el.Value.(*ledgerEntry), fp)
@@ -145,7 +144,7 @@
 	return Start{}
 }
 
-func (l *Ledger) repeat(e *ledgerEntry, fp Fingerprint) Admission {
+func (l *Ledger) repeat(e *ledgerEntry, fp Fingerprint) KeyDecision {
 	switch {
 	case e.fingerprint != fp:
 		return Conflict{}
--- a/coordination/fleet/mesh_test.go
+++ b/coordination/fleet/mesh_test.go
@@ -41,7 +41,7 @@
 	known    []*state.Config
 	lists    []*state.MemberList
 	watched  []state.Member
-	notes    []fleet.Note
+	notes    []fleet.TimelineEntry
 	served   []state.Head // configurations that traffic was given, in order
 	frozen   bool
 	held     []func()
@@ -159,7 +159,7 @@
 		if c := eff.Snapshot.Config; c != nil {
 			n.served = append(n.served, c.Head())
 		}
-	case fleet.SendNews:
+	case fleet.SendGossip:
 		m.exchange(n, eff)
 	case fleet.FetchConfig:
 		m.fetch(n, eff.Peer, func(p *meshNode) fleet.Event {
@@ -177,18 +177,18 @@
 		})
 	case fleet.ReadPlatform:
 		m.readPlatform(n)
-	case fleet.HoldList:
+	case fleet.RetainList:
 		n.lists = append(n.lists, eff.List)
 	case fleet.WatchUpstreams:
 		n.watched = eff.Upstreams
-	case fleet.Note:
+	case fleet.TimelineEntry:
 		n.notes = append(n.notes, eff)
 		n.remember(eff)
 	}
 }
 
 // remember keeps what was taken, in its order, for fetches and checks.
-func (n *meshNode) remember(note fleet.Note) {
+func (n *meshNode) remember(note fleet.TimelineEntry) {
 	switch note.Kind {
 	case coordination.EventConfigTaken:
 		n.known = append(n.known, configByHead[note.About])
@@ -204,27 +204,27 @@
 
 func (m *mesh) lost(from, to *meshNode) bool { return to == nil || (m.cut != nil && m.cut(from, to)) }
 
-func (m *mesh) exchange(n *meshNode, eff fleet.SendNews) {
+func (m *mesh) exchange(n *meshNode, eff fleet.SendGossip) {
 	asked := m.now
 	p := m.byAddress[eff.Peer.Address]
-	n.count(eff.News)
+	n.count(eff.Gossip)
 	if m.lost(n, p) {
 		m.at(fleet.TickInterval, func() { m.tell(n, fleet.PeerFailed{ID: state.DaemonID(eff.Peer.ID)}) })
 		return
 	}
-	m.at(m.delay, func() { m.answer(n, p, eff.News, asked) })
+	m.at(m.delay, func() { m.answer(n, p, eff.Gossip, asked) })
 }
 
-func (m *mesh) answer(n, p *meshNode, news fleet.News, asked time.Time) {
+func (m *mesh) answer(n, p *meshNode, news fleet.Gossip, asked time.Time) {
 	if p.frozen {
 		p.held = append(p.held, func() { m.answer(n, p, news, asked) })
 		return
 	}
-	for _, eff := range p.fleet.Handle(m.now, fleet.NewsReceived{News: news}) {
+	for _, eff := range p.fleet.Handle(m.now, fleet.GossipReceived{Gossip: news}) {
 		if r, ok := eff.(fleet.Reply); ok {
-			p.count(r.News)
+			p.count(r.Gossip)
 			if !m.lost(p, n) {
-				m.at(m.delay, func() { m.tell(n, fleet.NewsReceived{News: r.News, Asked: asked}) })
+				m.at(m.delay, func() { m.tell(n, fleet.GossipReceived{Gossip: r.Gossip, Asked: asked}) })
 			}
 			continue
 		}
@@ -232,9 +232,9 @@
 	}
 }
 
-func (n *meshNode) count(news fleet.News) {
+func (n *meshNode) count(news fleet.Gossip) {
 	n.sent++
-	n.bytes += proto.Size(protocol.EncodeNews(news))
+	n.bytes += proto.Size(protocol.EncodeGossip(news))
 }
 
 func (m *mesh) fetch(n *meshNode, from state.Member, get func(*meshNode) fleet.Event) {
--- a/coordination/fleet/once_test.go
+++ b/coordination/fleet/once_test.go
@@ -96,7 +96,7 @@
 	key := fleet.LedgerKey{Workspace: "w", Service: "s", Key: "k"}
 	var l *fleet.Ledger
 	BeforeEach(func() { l = fleet.NewLedger(10_000) })
-	begin := func(at time.Duration) fleet.Admission {
+	begin := func(at time.Duration) fleet.KeyDecision {
 		return l.Begin(epoch.Add(at), key, fleet.Fingerprint{1}, time.Minute)
 	}
 
--- a/coordination/fleet/once_world_test.go
+++ b/coordination/fleet/once_world_test.go
@@ -26,7 +26,7 @@
 // paused, restarted and cut off, clocks drift. The decisions are the product's.
 type onceWorld struct {
 	way     way
-	rules   fleet.KeeperRules
+	rules   fleet.OwnerRules
 	now     time.Time // true time
 	rev     state.ListRevision
 	listed  map[int]bool // daemons of the published list
@@ -46,7 +46,7 @@
 	rate    float64 // of its clock against true time
 	frozen  bool
 	cut     bool // learns no lists
-	epoch   state.KeeperEpoch
+	epoch   state.OwnerEpoch
 	ledger  *fleet.Ledger
 	issuer  *fleet.TicketIssuer
 	life    state.Incarnation
@@ -71,7 +71,7 @@
 func newOnceWorld(w way, n int, rng *rand.Rand) *onceWorld {
 	ow := &onceWorld{
 		way:    w,
-		rules:  fleet.KeeperRules{Window: 2 * time.Minute, Lease: 20 * time.Second},
+		rules:  fleet.OwnerRules{Window: 2 * time.Minute, Lease: 20 * time.Second},
 		now:    epoch,
 		listed: make(map[int]bool),
 		runs:   make(map[string]int),
@@ -86,7 +86,7 @@
 		ow.restart(i, rng)
 	}
 	// The fleet is settled when the test begins.
-	ow.passTicks(int((ow.rules.QuietTime() + time.Minute) / time.Second))
+	ow.passTicks(int((ow.rules.GracePeriod() + time.Minute) / time.Second))
 	return ow
 }
 
@@ -169,7 +169,7 @@
 	ow.asked++
 	k := fleet.LedgerKey{Workspace: "w", Service: "s", Key: key}
 	d := ow.keeper(k, via)
-	if d == nil || (ow.way == wayKeeper && fleet.MayPassOn(ow.clock(via), via.epoch) != nil) {
+	if d == nil || (ow.way == wayKeeper && fleet.MayForward(ow.clock(via), via.epoch) != nil) {
 		ow.refused++
 		return
 	}
@@ -190,7 +190,7 @@
 		return
 	}
 	ow.flying = append(ow.flying[:i:i], ow.flying[i+1:]...)
-	stale := ow.way != wayNoChallenge && ow.way != wayTicket && !f.to.issuer.Fresh(f.challenge, ow.clock(f.to).Sub(f.to.started))
+	stale := ow.way != wayNoChallenge && ow.way != wayTicket && !f.to.issuer.IsFresh(f.challenge, ow.clock(f.to).Sub(f.to.started))
 	if stale || !ow.decide(f.to, f.key) {
 		ow.refused++
 	}
@@ -207,7 +207,7 @@
 			return nil
 		}
 		id = string(t.Daemon)
-	} else if m, ok := fleet.KeeperOf(via.epoch.History[0].List, k); ok {
+	} else if m, ok := fleet.OwnerOf(via.epoch.History[0].List, k); ok {
 		id = m.ID
 	}
 	for _, d := range ow.daemons {
@@ -225,7 +225,7 @@
 		return false
 	}
 	now := ow.clock(d)
-	switch d.ledger.Begin(now, k, fleet.Fingerprint{}, ow.rules.QuietTime()).(type) {
+	switch d.ledger.Begin(now, k, fleet.Fingerprint{}, ow.rules.GracePeriod()).(type) {
 	case fleet.Start:
 		ow.pending = append(ow.pending, &onceAttempt{d, k})
 		return true
@@ -246,12 +246,12 @@
 		_, refusal, err := d.issuer.Admit(t, k.Workspace, k.Service, now.Sub(d.started))
 		return err == nil && refusal == nil
 	case wayNoQuiet:
-		m, ok := fleet.KeeperOf(epoch.History[0].List, k)
+		m, ok := fleet.OwnerOf(epoch.History[0].List, k)
 		return ok && m.ID == string(daemonID(d.n)) && now.Sub(epoch.Confirmed) <= ow.rules.Lease
 	case wayNoLease:
 		epoch.Confirmed = now
 	}
-	return fleet.MayKeep(now, daemonID(d.n), epoch, k, ow.rules) == nil
+	return fleet.MayRunKey(now, daemonID(d.n), epoch, k, ow.rules) == nil
 }
 
 // firstByte lets one waiting attempt write, unless its daemon may not any more.
--- a/coordination/fleet/overlay.go
+++ b/coordination/fleet/overlay.go
@@ -1,4 +1,4 @@
-// This file chooses the peers with whom a daemon exchanges news. Each daemon
+// This file chooses the peers with which a daemon has exchanges. Each daemon
 // has a few fixed neighbours, so connections and TLS sessions live long: a new
 // handshake for every exchange would alone exceed the control budget.
 //
@@ -21,16 +21,16 @@
 type ring uint8
 
 const (
-	domainRing ring = iota + 1
-	regionRing
-	fleetRing
+	domainRing ring = iota + 1 // those of the own failure domain
+	regionRing                 // those of the own region
+	fleetRing                  // all
 )
 
 // rings are the rings of every daemon.
 var rings = []ring{domainRing, domainRing, regionRing, fleetRing}
 
 // neighbours returns the successors of self on its rings, without repeats.
-// usable tells which daemons count; region maps a failure domain to its region.
+// usable reports which daemons count; region maps a failure domain to its region.
 func neighbours(self Self, daemons []state.Member, region func(state.FailureDomain) state.RegionID, usable func(*state.Member) bool) []state.Member {
 	var out []state.Member
 	for i, r := range rings {
--- a/coordination/fleet/report.go
+++ b/coordination/fleet/report.go
@@ -1,25 +1,25 @@
 // This file defines the reports about upstreams that daemons exchange, and
 // their merge. The merge is commutative, idempotent and monotone, so late,
-// repeated and reordered news do no harm.
+// repeated and reordered reports do no harm.
 
 package fleet
 
 import "hingewinch.org/hingewinch/state"
 
-// Report is what the daemon that watches an upstream says of it.
+// Report is what the daemon that watches an upstream publishes of it.
 type Report struct {
 	ID          state.UpstreamID
 	Incarnation state.Incarnation
 	State       state.MemberState
 	Load        state.Load
-	Gate        state.Gate
+	Admission   state.Admission
 	Seq         uint64 // grows with each report of an incarnation
 }
 
 // Merge returns the join of two reports about one upstream. A higher
 // incarnation wins as a whole. Within one, a state never goes back, which makes
 // leaving sticky, and the figures come from the higher sequence number. Two
-// watchers may use one number: then the higher load and the narrower gate are
+// watchers may use one number: then the higher load and the lower admission are
 // taken, which errs towards less load.
 func (r Report) Merge(o Report) Report {
 	if r.Incarnation != o.Incarnation {
@@ -34,7 +34,7 @@
 		out = o
 	case o.Seq == r.Seq:
 		out.Load = max(r.Load, o.Load)
-		out.Gate = min(r.Gate, o.Gate)
+		out.Admission = min(r.Admission, o.Admission)
 	}
 	out.State = max(r.State, o.State)
 	return out
@@ -46,7 +46,7 @@
 	if r.Incarnation < m.Incarnation {
 		return state.Status{}, false
 	}
-	st := state.Status{State: r.State, Gate: r.Gate, Load: r.Load}
+	st := state.Status{State: r.State, Admission: r.Admission, Load: r.Load}
 	if r.Incarnation == m.Incarnation {
 		st.State = max(st.State, m.State)
 	}
--- a/coordination/fleet/reports.go
+++ b/coordination/fleet/reports.go
@@ -1,5 +1,5 @@
-// This file holds the Fleet's knowledge of single upstreams: which of them it
-// watches, what it reports of them and what it heard.
+// This file holds what the Fleet knows of single upstreams: which of them it
+// watches, what it reports of them and what peers reported.
 
 package fleet
 
@@ -13,7 +13,7 @@
 
 // knownReport is a report with the position at which it last changed here and
 // the process that brought the change. Only that very process knows it already:
-// its successor under the same id has to be told, or a watcher that has
+// its successor under the same id has to be sent it, or a watcher that has
 // restarted would number its reports below those that others hold.
 type knownReport struct {
 	Report
@@ -23,20 +23,20 @@
 
 // source names one process.
 type source struct {
-	id   state.DaemonID
-	life state.Incarnation
+	id          state.DaemonID
+	incarnation state.Incarnation
 }
 
-// minGateStep and minLoadStep are the changes below which a report is not news:
+// minAdmissionStep and minLoadStep are the changes below which a report is not sent:
 // they keep a steady fleet silent.
 const (
-	minGateStep  = state.GateFull / 32
-	minLoadStep  = 500
-	minLoadShare = 0.25
+	minAdmissionStep = state.AdmitAll / 32
+	minLoadStep      = 500
+	minLoadShare     = 0.25
 )
 
-// seeUpstream takes in what a watched upstream said, moves its gate, and turns
-// it into news if it changed enough.
+// seeUpstream takes in the report of a watched upstream, moves its admission, and
+// passes the result on if it changed enough.
 func (f *Fleet) seeUpstream(ev UpstreamSeen) {
 	known := f.reports[ev.ID]
 	if known != nil && known.Incarnation > ev.Incarnation {
@@ -48,24 +48,24 @@
 	}
 	mean = SmoothLoad(mean, ev.Load)
 	f.loads[ev.ID] = mean
-	next := Report{ID: ev.ID, Incarnation: ev.Incarnation, State: ev.State, Load: state.Load(mean), Gate: state.GateFull, Seq: 1}
+	next := Report{ID: ev.ID, Incarnation: ev.Incarnation, State: ev.State, Load: state.Load(mean), Admission: state.AdmitAll, Seq: 1}
 	if known != nil && known.Incarnation == ev.Incarnation {
 		next.Seq = known.Seq + 1
 		next.State = max(known.State, ev.State)
-		next.Gate = NextGate(known.Gate, mean, f.meanLoad(ev.ID), f.bound())
-		if !worthTelling(known.Report, next) {
+		next.Admission = NextAdmission(known.Admission, mean, f.meanLoad(ev.ID), f.bound())
+		if !worthSending(known.Report, next) {
 			return
 		}
 	}
 	f.takeReport(next, source{f.self.ID, f.self.Incarnation})
 }
 
-func worthTelling(old, next Report) bool {
+func worthSending(old, next Report) bool {
 	if next.State != old.State {
 		return true
 	}
-	gate := math.Abs(float64(next.Gate) - float64(old.Gate))
-	if gate >= float64(minGateStep) || (next.Gate == state.GateFull && old.Gate != state.GateFull) {
+	admission := math.Abs(float64(next.Admission) - float64(old.Admission))
+	if admission >= float64(minAdmissionStep) || (next.Admission == state.AdmitAll && old.Admission != state.AdmitAll) {
 		return true
 	}
 	load := math.Abs(float64(next.Load) - float64(old.Load))
@@ -105,7 +105,7 @@
 	return sum / float64(n)
 }
 
-// takeReport merges a report and remembers it as news if it changed anything.
+// takeReport merges a report and marks it to be sent if it changed anything.
 func (f *Fleet) takeReport(r Report, from source) {
 	known := f.reports[r.ID]
 	if known == nil {
@@ -124,9 +124,9 @@
 	f.stale = true
 }
 
-// noteState writes a change of state down and makes it urgent: an upstream that
-// leaves must get no new work within seconds. The first word that an upstream
-// lives is no news.
+// noteState records a change of state and makes it urgent: an upstream that leaves
+// must get no new work within seconds. The first report that an upstream lives is
+// no change.
 func (f *Fleet) noteState(old, next Report) {
 	first := old.State == 0 && next.State == state.Live
 	if first || (old.State == next.State && old.Incarnation == next.Incarnation) {
@@ -134,7 +134,7 @@
 	}
 	f.urgent = true
 	f.dirty = true
-	f.note(coordination.EventUpstreamState, string(next.ID), "upstream is %v (incarnation %d)", next.State, next.Incarnation)
+	f.record(coordination.EventUpstreamState, string(next.ID), "upstream is %v (incarnation %d)", next.State, next.Incarnation)
 }
 
 // dropReports forgets upstreams that the list no longer names.
@@ -147,8 +147,8 @@
 }
 
 // statuses combines list and reports for the snapshot. An upstream that has
-// just failed here keeps its place with a closed gate: it is taken only if
-// every other one is closed too.
+// just failed here keeps its place with an admission of 0: it is chosen only if
+// every other one has none either.
 func (f *Fleet) statuses() map[state.UpstreamID]state.Status {
 	out := make(map[state.UpstreamID]state.Status, len(f.reports))
 	for id, r := range f.reports {
@@ -165,7 +165,7 @@
 		if !ok {
 			st.State = state.Live
 		}
-		st.Gate = 0
+		st.Admission = 0
 		out[id] = st
 	}
 	return out
@@ -196,7 +196,7 @@
 		if len(watchers) == 0 {
 			watchers = f.sameRegion(usable, m.Domain)
 		}
-		if HoldsDuty(watchers, f.self.ID, "watch/"+m.ID) {
+		if hasDuty(watchers, f.self.ID, "watch/"+m.ID) {
 			next[state.UpstreamID(m.ID)] = m
 		}
 	}
--- a/coordination/fleet/ticket.go
+++ b/coordination/fleet/ticket.go
@@ -1,5 +1,5 @@
-// This file defines tickets: keys that name the one daemon life that may run
-// them. They make at-most-once hold without any shared state, list or clock.
+// This file defines tickets: keys that name the one incarnation of a daemon that may
+// run them. They make at-most-once hold without any shared state, list or clock.
 
 package fleet
 
@@ -16,7 +16,7 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// Ticket is a key that was issued by one life of one daemon.
+// Ticket is a key that was issued by one incarnation of a daemon.
 type Ticket struct {
 	Daemon      state.DaemonID
 	Incarnation state.Incarnation
@@ -27,9 +27,9 @@
 
 const (
 	ticketPrefix   = "hwt1."
-	ticketFields   = 4
+	ticketFields   = 4 // daemon, incarnation, expiry, nonce
 	ticketSep      = "|"
-	ticketMACBytes = 16
+	ticketMACBytes = 16 // of HMAC-SHA-256, cut to 128 bits
 )
 
 // Errors of tickets.
@@ -41,7 +41,7 @@
 // IsTicket reports whether a caller's key claims to be a ticket.
 func IsTicket(key string) bool { return strings.HasPrefix(key, ticketPrefix) }
 
-// ParseTicket reads a ticket without checking who made it: any daemon can tell
+// ParseTicket reads a ticket without checking who made it: any daemon can read
 // where to send it, and only the issuer can check it.
 func ParseTicket(key string) (Ticket, error) {
 	body, mac, ok := strings.Cut(strings.TrimPrefix(key, ticketPrefix), ".")
@@ -83,9 +83,9 @@
 	}, ticketSep)
 }
 
-// TicketIssuer issues and checks the tickets of one daemon life. The secret is
-// made at start and never leaves the process, so a ticket of an earlier life
-// can't be mistaken for one of this life even if both carry one incarnation.
+// TicketIssuer issues and checks the tickets of one incarnation. The secret is made at
+// start and never leaves the process, so a ticket of an earlier start can't be
+// mistaken for one of this even if both carry one number.
 // It is immutable and safe for use by many goroutines.
 type TicketIssuer struct {
 	daemon      state.DaemonID
@@ -93,7 +93,7 @@
 	secret      []byte
 }
 
-// NewTicketIssuer returns the issuer of a daemon life. secret must be fresh
+// NewTicketIssuer returns the issuer of an incarnation. secret must be fresh
 // random bytes.
 func NewTicketIssuer(d state.DaemonID, inc state.Incarnation, secret []byte) *TicketIssuer {
 	return &TicketIssuer{daemon: d, incarnation: inc, secret: secret}
@@ -123,7 +123,7 @@
 	return m.Sum(nil)[:ticketMACBytes]
 }
 
-// Admit decides whether this daemon life may look the ticket up in its ledger.
+// Admit decides whether this incarnation may look the ticket up in its ledger.
 // age is the time since the daemon's start. A nil outcome with a nil error means
 // yes; left is then how long the ledger must at least remember the ticket. An
 // expired ticket is refused for good: its entry may have been forgotten.
--- a/coordination/membership/readers.go
+++ b/coordination/membership/readers.go
@@ -29,7 +29,7 @@
 	longWatch  = 4 * time.Second
 	// readerTimeout is how long a reader may be silent before another one takes its
 	// place: three heartbeats. readerTimeoutLarge holds in a large fleet, where
-	// news of a member travels over several daemons.
+	// a member is heard of over several daemons.
 	readerTimeout      = 700 * time.Millisecond
 	readerTimeoutLarge = 2 * time.Second
 )
--- a/coordination/membership/targets.go
+++ b/coordination/membership/targets.go
@@ -11,7 +11,7 @@
 //     links cost more.
 //  3. It names the likely readers of the store, on which others' choice of readers
 //     depends; the members of the own domain that were heard of last, which is
-//     what spreads news of them; and some others by chance.
+//     what spreads the latest of them; and some others by chance.
 //  4. A daemon that has just been found is sent more members at once, or it would
 //     learn of them slowly.
 //
--- a/coordination/routing/eject.go
+++ b/coordination/routing/eject.go
@@ -49,8 +49,8 @@
 	PeerEvidenceAgeLarge = 3 * time.Second
 	// DomainTimeout is the time without a message of any daemon of a domain after
 	// which the domain counts as cut off: three heartbeats and the links' delay.
-	// DomainTimeoutLarge holds in a large fleet, where news crosses domains over
-	// several daemons: at 700 ms a third of all windows looked like a cut (89dcc09).
+	// DomainTimeoutLarge holds in a large fleet, where heartbeats cross domains
+	// over several daemons: at 700 ms a third of all windows looked like a cut (89dcc09).
 	DomainTimeout      = 700 * time.Millisecond
 	DomainTimeoutLarge = 1200 * time.Millisecond
 	// domainMemory is how long the silence of a domain's daemons excludes its
--- a/coordination/timeline.go
+++ b/coordination/timeline.go
@@ -25,7 +25,7 @@
 	EventUpstreamState EventKind = "upstream-state"
 	EventUpstreamGate  EventKind = "upstream-gate"
 	EventPeerState     EventKind = "peer-state"
-	EventFreeze        EventKind = "freeze-noticed"
+	EventPaused        EventKind = "freeze-noticed"
 	EventAttemptFailed EventKind = "attempt-failed"
 	EventResumed       EventKind = "stream-resumed"
 	EventOnce          EventKind = "once"
--- a/daemon/openai/control.go
+++ b/daemon/openai/control.go
@@ -42,16 +42,16 @@
 	watcher   *gateway.Watcher
 	readers   map[peer.DocumentKind]*documentReader
 
-	mu       sync.Mutex
-	talking  map[string]*talk           // exchanges under way, by address
-	fetching map[peer.DocumentKind]bool // kinds with a fetch under way
-	wg       sync.WaitGroup
+	mu        sync.Mutex
+	exchanges map[string]*underWay       // by address of the peer
+	fetching  map[peer.DocumentKind]bool // kinds with a fetch under way
+	wg        sync.WaitGroup
 }
 
 // conversation is an exchange that a peer began.
 type conversation struct {
-	news  fleet.News
-	reply chan fleet.News
+	gossip fleet.Gossip
+	reply  chan fleet.Gossip
 }
 
 func newControl(self fleet.Self, rng *rand.Rand) *control {
@@ -62,7 +62,7 @@
 		done:      make(chan struct{}),
 		documents: newDocuments(),
 		readers:   make(map[peer.DocumentKind]*documentReader),
-		talking:   make(map[string]*talk),
+		exchanges: make(map[string]*underWay),
 		fetching:  make(map[peer.DocumentKind]bool),
 	}
 	c.snapshot.Store(state.BuildSnapshot(state.Inputs{Hash: coordination.Hash}))
@@ -72,8 +72,8 @@
 // Snapshot returns the newest snapshot.
 func (c *control) Snapshot() *state.Snapshot { return c.snapshot.Load() }
 
-// tell hands an event to the loop.
-func (c *control) tell(ev fleet.Event) {
+// post hands an event to the loop.
+func (c *control) post(ev fleet.Event) {
 	select {
 	case c.events <- ev:
 	case <-c.done:
@@ -91,21 +91,21 @@
 
 var errStopped = errors.New("daemon has stopped")
 
-// Converse answers a peer's news.
-func (c *control) Converse(ctx context.Context, n fleet.News) (fleet.News, error) {
-	conv := conversation{news: n, reply: make(chan fleet.News, 1)}
+// Converse answers a peer's message.
+func (c *control) Converse(ctx context.Context, n fleet.Gossip) (fleet.Gossip, error) {
+	conv := conversation{gossip: n, reply: make(chan fleet.Gossip, 1)}
 	select {
 	case c.converse <- conv:
 	case <-ctx.Done():
-		return fleet.News{}, ctx.Err()
+		return fleet.Gossip{}, ctx.Err()
 	case <-c.done:
-		return fleet.News{}, errStopped
+		return fleet.Gossip{}, errStopped
 	}
 	select {
 	case answer := <-conv.reply:
 		return answer, nil
 	case <-ctx.Done():
-		return fleet.News{}, ctx.Err()
+		return fleet.Gossip{}, ctx.Err()
 	}
 }
 
@@ -122,7 +122,7 @@
 		case ev := <-c.events:
 			c.handle(ctx, ev, nil)
 		case conv := <-c.converse:
-			c.handle(ctx, fleet.NewsReceived{News: conv.news}, conv.reply)
+			c.handle(ctx, fleet.GossipReceived{Gossip: conv.gossip}, conv.reply)
 		case <-ticker.C:
 			c.handle(ctx, tick(), nil)
 		}
@@ -132,7 +132,7 @@
 // tick strips the monotonic reading, since the loop compares the two clocks.
 func tick() fleet.Event { return fleet.Tick{Wall: time.Now().Round(0)} }
 
-func (c *control) handle(ctx context.Context, ev fleet.Event, reply chan<- fleet.News) {
+func (c *control) handle(ctx context.Context, ev fleet.Event, reply chan<- fleet.Gossip) {
 	for _, eff := range c.fleet.Handle(time.Now(), ev) {
 		switch eff := eff.(type) {
 		case fleet.Publish:
@@ -140,15 +140,15 @@
 			c.hold(eff.Snapshot)
 		case fleet.Reply:
 			if reply != nil {
-				reply <- eff.News
+				reply <- eff.Gossip
 			}
-		case fleet.SendNews:
+		case fleet.SendGossip:
 			c.exchange(ctx, eff)
 		case fleet.FetchConfig:
 			c.fetch(ctx, eff.Peer, peer.DocumentKind_DOCUMENT_KIND_CONFIG)
 		case fleet.FetchList:
 			c.fetch(ctx, eff.Peer, peer.DocumentKind_DOCUMENT_KIND_LIST)
-		case fleet.HoldList:
+		case fleet.RetainList:
 			c.documents.put(peer.DocumentKind_DOCUMENT_KIND_LIST, eff.List.Head, eff.List.Text)
 		case fleet.WatchUpstreams:
 			c.watcher.Set(eff.Upstreams)
@@ -156,7 +156,7 @@
 			for _, r := range c.readers {
 				r.ask()
 			}
-		case fleet.Note:
+		case fleet.TimelineEntry:
 			c.recorder.Record(eff.Kind, eff.About, "", "%s", eff.Text)
 		}
 	}
--- a/daemon/openai/daemon.go
+++ b/daemon/openai/daemon.go
@@ -34,15 +34,15 @@
 
 // Daemon is one running daemon.
 type Daemon struct {
-	settings  *Settings
-	life      state.Incarnation
-	control   *control
-	gateway   *gateway.Gateway
-	recorder  *transport.Recorder
-	metrics   *gateway.Metrics
-	upstreams *gateway.Upstreams
-	meter     *gateway.Meter
-	draining  atomic.Bool
+	settings    *Settings
+	incarnation state.Incarnation
+	control     *control
+	gateway     *gateway.Gateway
+	recorder    *transport.Recorder
+	metrics     *gateway.Metrics
+	upstreams   *gateway.Upstreams
+	meter       *gateway.Meter
+	draining    atomic.Bool
 
 	callers, peers, operators *daemon.Listener
 }
@@ -50,7 +50,7 @@
 // New opens the listeners and puts the parts together. Nothing is served before
 // Run.
 func New(s *Settings, logger *log.Logger) (*Daemon, error) {
-	d := &Daemon{settings: s, life: state.Incarnation(time.Now().UnixNano()), metrics: gateway.NewMetrics()}
+	d := &Daemon{settings: s, incarnation: state.Incarnation(time.Now().UnixNano()), metrics: gateway.NewMetrics()}
 	d.recorder = transport.NewRecorder(s.ID, logger)
 	d.upstreams = gateway.NewUpstreams(gateway.UpstreamOptions{AnswerTimeout: s.Limits.FirstByte})
 	d.meter = &gateway.Meter{Sent: d.metrics.ControlSent, Read: d.metrics.ControlRead}
@@ -117,12 +117,12 @@
 
 func (d *Daemon) wire(logger *log.Logger) error {
 	s := d.settings
-	self := fleet.Self{ID: s.ID, Incarnation: d.life, Domain: s.Domain, Address: s.Peer, Seeds: s.Seeds}
+	self := fleet.Self{ID: s.ID, Incarnation: d.incarnation, Domain: s.Domain, Address: s.Peer, Seeds: s.Seeds}
 	seed, secret, err := randomSeed()
 	if err != nil {
 		return err
 	}
-	d.control = newControl(self, rand.New(rand.NewPCG(seed, uint64(d.life))))
+	d.control = newControl(self, rand.New(rand.NewPCG(seed, uint64(d.incarnation))))
 	d.control.recorder, d.control.logger = d.recorder, logger
 	var peerTLS *tls.Config
 	if !s.TLS.Peers.IsZero() {
@@ -135,19 +135,19 @@
 	d.control.addReader(peer.DocumentKind_DOCUMENT_KIND_CONFIG, platform.Reader(protocol.PathConfig))
 	d.control.addReader(peer.DocumentKind_DOCUMENT_KIND_LIST, platform.Reader(protocol.PathMembers))
 	once := gateway.NewOnceRunner(gateway.OnceOptions{
-		Self: s.ID, Incarnation: d.life, Secret: secret, Snapshot: d.control.Snapshot, Upstreams: d.upstreams,
+		Self: s.ID, Incarnation: d.incarnation, Secret: secret, Snapshot: d.control.Snapshot, Upstreams: d.upstreams,
 		Forwarder: d.control.peers, Recorder: d.recorder, Metrics: d.metrics,
 		LedgerBytes: s.Limits.LedgerBytes, AnswerBytes: s.Limits.AnswerBytes,
 	})
 	d.gateway = gateway.NewGateway(gateway.GatewayOptions{
-		Daemon: s.ID, Snapshot: d.control.Snapshot, Tell: d.control.hint, Upstreams: d.upstreams, Once: once,
+		Daemon: s.ID, Snapshot: d.control.Snapshot, Post: d.control.hint, Upstreams: d.upstreams, Once: once,
 		Recorder: d.recorder, Metrics: d.metrics, Limits: s.limits(),
 	})
 	d.callers.Server.Handler = d.gateway
 	server := &gateway.PeerServer{Converse: d.control.Converse, Documents: d.control.documents, Once: once, Recorder: d.recorder}
 	d.peers.Server.Handler = server.Handler()
 	op := &gateway.Operator{
-		Self: s.ID, Incarnation: d.life, Domain: s.Domain, Version: daemon.Version,
+		Self: s.ID, Incarnation: d.incarnation, Domain: s.Domain, Version: daemon.Version,
 		Snapshot: d.control.Snapshot, Recorder: d.recorder, Metrics: d.metrics, Draining: d.draining.Load,
 	}
 	d.operators.Server.Handler, err = op.Handler()
@@ -180,7 +180,7 @@
 	defer endWork()
 	probes := gateway.NewUpstreams(gateway.UpstreamOptions{Dial: d.meter.Dial(nil)})
 	defer probes.Close()
-	d.control.watcher = gateway.NewWatcher(work, probes, d.control.tell)
+	d.control.watcher = gateway.NewWatcher(work, probes, d.control.post)
 	var wg sync.WaitGroup
 	wg.Go(func() { d.control.run(work) })
 	for _, r := range d.control.readers {
@@ -210,7 +210,7 @@
 func (d *Daemon) stop() {
 	d.draining.Store(true)
 	d.gateway.Drain()
-	d.control.tell(fleet.StopBegun{})
+	d.control.post(fleet.StopBegun{})
 	time.Sleep(d.settings.Stop.Notice)
 	// No time limit: what is in flight ends in peace.
 	_ = d.callers.Server.Shutdown(context.Background())
--- a/daemon/openai/talk.go
+++ b/daemon/openai/exchange.go
@@ -15,52 +15,52 @@
 	"hingewinch.org/hingewinch/transport"
 )
 
-// talk is an exchange under way, with the news to be told after it.
-type talk struct{ next *fleet.SendNews }
+// underWay is an exchange under way, with the message to be sent after it.
+type underWay struct{ next *fleet.SendGossip }
 
 // exchange begins an exchange. While one with the peer is under way the newest
-// news waits for it: a peer that hangs must not gather goroutines, and urgent
-// news must not be lost.
-func (c *control) exchange(ctx context.Context, eff fleet.SendNews) {
+// message waits for it: a peer that hangs must not gather goroutines, and an
+// urgent message must not be lost.
+func (c *control) exchange(ctx context.Context, eff fleet.SendGossip) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if t := c.talking[eff.Peer.Address]; t != nil {
+	if t := c.exchanges[eff.Peer.Address]; t != nil {
 		t.next = &eff
 		return
 	}
-	t := &talk{}
-	c.talking[eff.Peer.Address] = t
+	t := &underWay{}
+	c.exchanges[eff.Peer.Address] = t
 	c.wg.Go(func() {
-		for next := &eff; next != nil; next = c.endTalk(t, next.Peer.Address) {
+		for next := &eff; next != nil; next = c.endExchange(t, next.Peer.Address) {
 			c.exchangeOnce(ctx, *next)
 		}
 	})
 }
 
-// endTalk returns the news that has waited, or nil.
-func (c *control) endTalk(t *talk, address string) *fleet.SendNews {
+// endExchange returns the message that has waited, or nil.
+func (c *control) endExchange(t *underWay, address string) *fleet.SendGossip {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	next := t.next
 	t.next = nil
 	if next == nil {
-		delete(c.talking, address)
+		delete(c.exchanges, address)
 	}
 	return next
 }
 
-func (c *control) exchangeOnce(ctx context.Context, eff fleet.SendNews) {
+func (c *control) exchangeOnce(ctx context.Context, eff fleet.SendGossip) {
 	asked := time.Now()
-	news, err := c.peers.Exchange(ctx, eff.Peer.Address, eff.News)
+	answer, err := c.peers.Exchange(ctx, eff.Peer.Address, eff.Gossip)
 	if ctx.Err() != nil {
 		return
 	}
 	if err != nil {
 		c.logger.Debug().Str("peer", eff.Peer.ID).Err(err).Msg(transport.PrefixPeers + "exchange failed")
-		c.tell(fleet.PeerFailed{ID: state.DaemonID(eff.Peer.ID)})
+		c.post(fleet.PeerFailed{ID: state.DaemonID(eff.Peer.ID)})
 		return
 	}
-	c.tell(fleet.NewsReceived{News: news, Asked: asked})
+	c.post(fleet.GossipReceived{Gossip: answer, Asked: asked})
 }
 
 // claimFetch marks a fetch as under way; it is false if one already is.
@@ -103,10 +103,10 @@
 	if kind == peer.DocumentKind_DOCUMENT_KIND_CONFIG {
 		cfg, err := state.ParseConfig(configName, text)
 		if err != nil {
-			c.tell(fleet.ConfigRefused{Head: head, Err: err})
+			c.post(fleet.ConfigRefused{Head: head, Err: err})
 			return state.Head{}
 		}
-		c.tell(fleet.ConfigLearned{Config: cfg})
+		c.post(fleet.ConfigLearned{Config: cfg})
 		return cfg.Head()
 	}
 	list, err := protocol.ParseMemberList(text)
@@ -114,6 +114,6 @@
 		c.recorder.Record(coordination.EventPlatform, "member list", "", "member list is refused: %v", err)
 		return state.Head{}
 	}
-	c.tell(fleet.ListLearned{List: list, Asked: asked})
+	c.post(fleet.ListLearned{List: list, Asked: asked})
 	return list.Head
 }
--- a/daemon/openai/reader.go
+++ b/daemon/openai/reader.go
@@ -60,7 +60,7 @@
 	case err != nil:
 		return
 	case text == nil && d.kind == peer.DocumentKind_DOCUMENT_KIND_LIST:
-		c.tell(fleet.ListConfirmed{Head: d.last, Asked: heldUntil(asked, time.Now())})
+		c.post(fleet.ListConfirmed{Head: d.last, Asked: heldUntil(asked, time.Now())})
 		return
 	case text == nil:
 		return
--- a/daemon/routes/doc.go
+++ b/daemon/routes/doc.go
@@ -1,6 +1,6 @@
 // Package router puts the daemon of a route-driven front end together: the
 // control loop that owns what the daemon believes, the readers of the
-// operators' store, the news between daemons, the servers, the log and the
+// operators' store, the messages between daemons, the servers, the log and the
 // metrics.
 //
 // # Usage
--- a/daemon/routes/log.go
+++ b/daemon/routes/log.go
@@ -118,7 +118,7 @@
 
 // Paused says that the process was paused.
 func (l *Log) Paused(d time.Duration) {
-	l.timeline.Record(coordination.EventFreeze, "", "", "process was paused for %s", d.Round(time.Millisecond))
+	l.timeline.Record(coordination.EventPaused, "", "", "process was paused for %s", d.Round(time.Millisecond))
 	l.logger.Warn().Int64("ms", d.Milliseconds()).Msg(prefixControl + "process was paused; reading the store again")
 }
 
--- a/protocol/doc.go
+++ b/protocol/doc.go
@@ -5,7 +5,7 @@
 // Each outside system has one small file, so that another system's protocol can
 // take its place: openai.go for callers and engines' answers, engine.go for
 // what engines say of themselves, platform.go for the published documents,
-// news.go for peers.
+// gossip.go for peers of the OpenAI front end.
 //
 // # Usage
 //
--- a/protocol/news.go
+++ b/protocol/gossip.go
@@ -13,8 +13,8 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// EncodeNews returns the message of news.
-func EncodeNews(n fleet.News) *peer.News {
+// EncodeGossip returns the wire form of a message.
+func EncodeGossip(n fleet.Gossip) *peer.News {
 	out := &peer.News{
 		Sender:       string(n.Sender),
 		Incarnation:  uint64(n.Incarnation),
@@ -28,7 +28,7 @@
 		ListAgeMs:    n.ListAge.Milliseconds(),
 		Upto:         n.Upto,
 		Ack:          n.Ack,
-		AckLife:      uint64(n.AckLife),
+		AckLife:      uint64(n.AckIncarnation),
 	}
 	if n.ListAge < 0 {
 		out.ListAgeMs = -1
@@ -36,7 +36,7 @@
 	for _, r := range n.Reports {
 		out.Reports = append(out.Reports, &peer.Report{
 			Id: string(r.ID), Incarnation: uint64(r.Incarnation), State: uint32(r.State),
-			Load: uint32(r.Load), Gate: uint32(r.Gate), Seq: r.Seq,
+			Load: uint32(r.Load), Gate: uint32(r.Admission), Seq: r.Seq,
 		})
 	}
 	return out
@@ -46,21 +46,21 @@
 // never fresh anyhow, and the limit keeps the arithmetic from overflowing.
 const maxListAge = 24 * time.Hour
 
-// DecodeNews returns the news of a message.
-func DecodeNews(m *peer.News) fleet.News {
-	out := fleet.News{
-		Sender:      state.DaemonID(m.GetSender()),
-		Incarnation: state.Incarnation(m.GetIncarnation()),
-		Domain:      state.FailureDomain(m.GetDomain()),
-		Address:     m.GetAddress(),
-		Leaving:     m.GetLeaving(),
-		Stamp:       coordination.Stamp{Wall: m.GetStampWall(), Counter: m.GetStampCounter()},
-		Config:      DecodeHead(m.GetConfig()),
-		List:        DecodeHead(m.GetList()),
-		ListAge:     -1,
-		Upto:        m.GetUpto(),
-		Ack:         m.GetAck(),
-		AckLife:     state.Incarnation(m.GetAckLife()),
+// DecodeGossip reads the wire form of a message.
+func DecodeGossip(m *peer.News) fleet.Gossip {
+	out := fleet.Gossip{
+		Sender:         state.DaemonID(m.GetSender()),
+		Incarnation:    state.Incarnation(m.GetIncarnation()),
+		Domain:         state.FailureDomain(m.GetDomain()),
+		Address:        m.GetAddress(),
+		Leaving:        m.GetLeaving(),
+		Stamp:          coordination.Stamp{Wall: m.GetStampWall(), Counter: m.GetStampCounter()},
+		Config:         DecodeHead(m.GetConfig()),
+		List:           DecodeHead(m.GetList()),
+		ListAge:        -1,
+		Upto:           m.GetUpto(),
+		Ack:            m.GetAck(),
+		AckIncarnation: state.Incarnation(m.GetAckLife()),
 	}
 	if ms := m.GetListAgeMs(); ms >= 0 && ms <= maxListAge.Milliseconds() {
 		out.ListAge = time.Duration(ms) * time.Millisecond
@@ -83,7 +83,7 @@
 		Incarnation: state.Incarnation(r.GetIncarnation()),
 		State:       st,
 		Load:        state.Load(min(r.GetLoad(), maxWork)),
-		Gate:        state.Gate(min(r.GetGate(), uint32(state.GateFull))),
+		Admission:   state.Admission(min(r.GetGate(), uint32(state.AdmitAll))),
 		Seq:         r.GetSeq(),
 	}, true
 }
--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -132,14 +132,14 @@
 // TestNewsSurvivesTheWire checks that what is sent is what is read.
 func TestNewsSurvivesTheWire(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := fleet.News{
+		n := fleet.Gossip{
 			Sender: "d1", Incarnation: 7, Domain: "a", Address: "h:1", Leaving: rapid.Bool().Draw(t, "leaving"),
 			Stamp:  coordination.Stamp{Wall: rapid.Int64().Draw(t, "wall"), Counter: rapid.Uint32().Draw(t, "counter")},
 			Config: state.HeadOf(rapid.Uint64().Draw(t, "version"), []byte("c")), ListAge: -1,
-			Upto: rapid.Uint64().Draw(t, "upto"), Ack: rapid.Uint64().Draw(t, "ack"), AckLife: 3,
-			Reports: []fleet.Report{{ID: "e", Incarnation: 1, State: state.Leaving, Load: 5, Gate: state.Gate(rapid.Uint16().Draw(t, "gate")), Seq: 9}},
+			Upto: rapid.Uint64().Draw(t, "upto"), Ack: rapid.Uint64().Draw(t, "ack"), AckIncarnation: 3,
+			Reports: []fleet.Report{{ID: "e", Incarnation: 1, State: state.Leaving, Load: 5, Admission: state.Admission(rapid.Uint16().Draw(t, "gate")), Seq: 9}},
 		}
-		got := protocol.DecodeNews(protocol.EncodeNews(n))
+		got := protocol.DecodeGossip(protocol.EncodeGossip(n))
 		if fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", n) {
 			t.Fatalf("sent %+v, read %+v", n, got)
 		}
@@ -154,7 +154,7 @@
 			Sender: "x", ListAgeMs: rapid.Int64().Draw(t, "age"), Config: &peer.Head{Version: 1, Digest: rapid.SliceOf(rapid.Byte()).Draw(t, "digest")},
 			Reports: []*peer.Report{{Id: rapid.String().Draw(t, "id"), State: rapid.Uint32().Draw(t, "state"), Load: rapid.Uint32().Draw(t, "load"), Gate: rapid.Uint32().Draw(t, "gate")}, nil},
 		}
-		n := protocol.DecodeNews(m)
+		n := protocol.DecodeGossip(m)
 		for _, r := range n.Reports {
 			if r.State < state.Live || r.State > state.Gone || r.ID == "" {
 				t.Fatalf("report %+v passed", r)
--- a/state/check.go
+++ b/state/check.go
@@ -27,7 +27,7 @@
 	maxName   = 64
 )
 
-// MaxLease is the longest lease that a file may set. New keepers of keys count
+// MaxLease is the longest lease that a file may set. New owners of keys count
 // on it.
 const MaxLease = time.Minute
 
--- a/state/config.go
+++ b/state/config.go
@@ -43,7 +43,7 @@
 type Once struct {
 	// Window is how long after the first sending a caller may repeat a key.
 	Window time.Duration `yaml:"window"`
-	// Lease is the greatest age of the member list at which a keeper still
+	// Lease is the greatest age of the member list at which the owner of a key still
 	// starts a request.
 	Lease time.Duration `yaml:"lease"`
 }
--- a/state/ids.go
+++ b/state/ids.go
@@ -44,14 +44,14 @@
 // average cost, as the upstream reports it.
 type Load uint32
 
-// Gate is the share of an upstream's own traffic that it may still take, in
+// Admission is the share of an upstream's own traffic that it may still take, in
 // units of 1/GateFull.
-type Gate uint16
+type Admission uint16
 
-// GateFull is the gate of an upstream that takes all of its own traffic.
-const GateFull Gate = 65535
+// AdmitAll is the admission of an upstream that takes all of its own traffic.
+const AdmitAll Admission = 65535
 
-// String formats the gate as a share between 0 and 1.
-func (g Gate) String() string {
-	return strconv.FormatFloat(float64(g)/float64(GateFull), 'f', 2, 64)
+// String formats the admission as a share between 0 and 1.
+func (a Admission) String() string {
+	return strconv.FormatFloat(float64(a)/float64(AdmitAll), 'f', 2, 64)
 }
--- a/state/snapshot.go
+++ b/state/snapshot.go
@@ -10,12 +10,12 @@
 
 // Candidate is one upstream that may take a request.
 type Candidate struct {
-	ID      UpstreamID
-	Hash    uint64 // hash of the id, the candidate's half of a rendezvous score
-	Domain  FailureDomain
-	Address string
-	Gate    Gate
-	Load    Load
+	ID        UpstreamID
+	Hash      uint64 // hash of the id, the candidate's half of a rendezvous score
+	Domain    FailureDomain
+	Address   string
+	Admission Admission
+	Load      Load
 }
 
 // Pool is the set of upstreams that are interchangeable for one model or one
@@ -26,16 +26,16 @@
 
 // Status is what reports add to the member list for one upstream.
 type Status struct {
-	State MemberState
-	Gate  Gate
-	Load  Load
+	State     MemberState
+	Admission Admission
+	Load      Load
 }
 
-// KeeperEpoch is what a daemon needs to know to decide whether it may act as
-// the keeper of a key.
-type KeeperEpoch struct {
+// OwnerEpoch is what a daemon needs to know to decide whether it may act as
+// the owner of a key.
+type OwnerEpoch struct {
 	// Confirmed is when the platform last confirmed the member list, by this
-	// daemon's clock and with the time that the news travelled taken off.
+	// daemon's clock and with the time of the way taken off.
 	Confirmed time.Time
 	// Ticked is when the control loop last ran. If that is long ago, the process
 	// has been paused and its knowledge is of the past.
@@ -59,7 +59,7 @@
 type Snapshot struct {
 	Config  *Config // nil until a configuration is known
 	Members *MemberList
-	Epoch   KeeperEpoch
+	Epoch   OwnerEpoch
 
 	models   map[ModelID]*Pool
 	services map[ServiceID]*Pool
@@ -74,7 +74,7 @@
 	Status  map[UpstreamID]Status
 	Domain  FailureDomain       // of the daemon itself
 	Hash    func(string) uint64 // applied to ids
-	Epoch   KeeperEpoch
+	Epoch   OwnerEpoch
 }
 
 // BuildSnapshot combines the inputs. A leaving upstream is in no pool, and an
@@ -108,7 +108,7 @@
 }
 
 // WithEpoch returns a snapshot that differs in the epoch only.
-func (s *Snapshot) WithEpoch(e KeeperEpoch) *Snapshot {
+func (s *Snapshot) WithEpoch(e OwnerEpoch) *Snapshot {
 	next := *s
 	next.Epoch = e
 	return &next
@@ -187,7 +187,7 @@
 }
 
 func candidate(m *Member, status map[UpstreamID]Status, hash func(string) uint64) (Candidate, bool) {
-	c := Candidate{ID: UpstreamID(m.ID), Hash: hash(m.ID), Domain: m.Domain, Address: m.Address, Gate: GateFull}
+	c := Candidate{ID: UpstreamID(m.ID), Hash: hash(m.ID), Domain: m.Domain, Address: m.Address, Admission: AdmitAll}
 	if m.State != Live {
 		return c, false
 	}
@@ -195,7 +195,7 @@
 	if !ok {
 		return c, true
 	}
-	c.Gate, c.Load = st.Gate, st.Load
+	c.Admission, c.Load = st.Admission, st.Load
 	return c, st.State == Live
 }
 
--- a/transport/gateway/bench_test.go
+++ b/transport/gateway/bench_test.go
@@ -217,9 +217,9 @@
 	defer m.Close()
 	meter := &gateway.Meter{Sent: m.ControlSent, Read: m.ControlRead}
 	peers := gateway.NewPeers(nil, meter, rec, m, nil)
-	news := fleet.News{Sender: "gj-ahd-a-0007", Incarnation: 1 << 60, Domain: "ahd-a", Address: "10.0.1.11:8081", ListAge: time.Second}
+	news := fleet.Gossip{Sender: "gj-ahd-a-0007", Incarnation: 1 << 60, Domain: "ahd-a", Address: "10.0.1.11:8081", ListAge: time.Second}
 	news.Config.Version, news.List.Version = 5000, 9000
-	server := &gateway.PeerServer{Recorder: rec, Converse: func(context.Context, fleet.News) (fleet.News, error) { return news, nil }}
+	server := &gateway.PeerServer{Recorder: rec, Converse: func(context.Context, fleet.Gossip) (fleet.Gossip, error) { return news, nil }}
 	srv := httptest.NewServer(server.Handler())
 	defer srv.Close()
 	begun := cpuTime()
--- a/transport/gateway/chat.go
+++ b/transport/gateway/chat.go
@@ -65,7 +65,7 @@
 		request:   r,
 		failed: func(up *state.Candidate, o coordination.Outcome, err error) {
 			g.Recorder.Record(coordination.EventAttemptFailed, string(up.ID), c.id, "attempt at %s ended %s: %v", up.ID, coordination.OutcomeName(o), err)
-			g.Tell(fleet.UpstreamFailed{ID: up.ID})
+			g.Post(fleet.UpstreamFailed{ID: up.ID})
 		},
 	}
 }
--- a/transport/gateway/evidence_test.go
+++ b/transport/gateway/evidence_test.go
@@ -157,7 +157,7 @@
 		r := post(s.Addr().String())
 		r.Permit = func() error { return errors.New("too late") }
 		_, outcome, _ := up.Send(context.Background(), r)
-		Expect(outcome).To(Equal(coordination.NotRun{Reason: coordination.ReasonKeeperStale, RetryAfter: time.Second}))
+		Expect(outcome).To(Equal(coordination.NotRun{Reason: coordination.ReasonOwnerListStale, RetryAfter: time.Second}))
 		Expect(s.read.Load()).To(BeZero())
 	})
 
--- a/transport/gateway/gateway.go
+++ b/transport/gateway/gateway.go
@@ -62,7 +62,7 @@
 type GatewayOptions struct {
 	Daemon    state.DaemonID
 	Snapshot  func() *state.Snapshot
-	Tell      func(fleet.Event) // hands an event to the control loop; must not block
+	Post      func(fleet.Event) // hands an event to the control loop; must not block
 	Upstreams *Upstreams
 	Once      *OnceRunner
 	Recorder  *transport.Recorder
--- a/transport/gateway/gateway_test.go
+++ b/transport/gateway/gateway_test.go
@@ -201,7 +201,7 @@
 	now := time.Now()
 	f.snapshot.Store(state.BuildSnapshot(state.Inputs{
 		Config: cfg, Members: list, Hash: coordination.Hash,
-		Epoch: state.KeeperEpoch{
+		Epoch: state.OwnerEpoch{
 			Confirmed: now.Add(time.Minute), Ticked: now.Add(time.Minute),
 			History: []state.DatedList{{List: list, Taken: now.Add(-time.Hour)}},
 		},
--- a/transport/gateway/once.go
+++ b/transport/gateway/once.go
@@ -84,7 +84,7 @@
 
 // OnceForwarder sends a request to the daemon that keeps its key.
 type OnceForwarder interface {
-	ForwardOnce(ctx context.Context, keeper state.Member, r *OnceRequest) OnceResult
+	ForwardOnce(ctx context.Context, owner state.Member, r *OnceRequest) OnceResult
 }
 
 // OnceOptions are the parts that an OnceRunner works with.
@@ -135,34 +135,34 @@
 
 func (o *OnceRunner) age() time.Duration { return o.Now().Sub(o.started) }
 
-func (o *OnceRunner) rules() fleet.KeeperRules {
+func (o *OnceRunner) rules() fleet.OwnerRules {
 	return fleet.RulesOf(o.Snapshot().Config)
 }
 
-// Run runs a request at its keeper, wherever that is.
+// Run runs a request at the owner of its key, wherever that is.
 func (o *OnceRunner) Run(ctx context.Context, r *OnceRequest) OnceResult {
 	if !fleet.IsTicket(r.Key) {
-		if refusal := fleet.MayPassOn(o.Now(), o.Snapshot().Epoch); refusal != nil {
+		if refusal := fleet.MayForward(o.Now(), o.Snapshot().Epoch); refusal != nil {
 			return OnceRefusal{refusal}
 		}
 	}
-	keeper, result := o.keeper(r)
+	owner, result := o.owner(r)
 	if result != nil {
 		return result
 	}
-	if keeper.ID == string(o.Self) {
+	if owner.ID == string(o.Self) {
 		return o.RunHere(ctx, r)
 	}
-	return o.Forwarder.ForwardOnce(ctx, keeper, r)
+	return o.Forwarder.ForwardOnce(ctx, owner, r)
 }
 
-// keeper finds the daemon that may run the request.
-func (o *OnceRunner) keeper(r *OnceRequest) (state.Member, OnceResult) {
+// owner finds the daemon that may run the request.
+func (o *OnceRunner) owner(r *OnceRequest) (state.Member, OnceResult) {
 	list := o.Snapshot().Members
 	if !fleet.IsTicket(r.Key) {
-		m, ok := fleet.KeeperOf(list, r.ledgerKey())
+		m, ok := fleet.OwnerOf(list, r.ledgerKey())
 		if !ok {
-			return m, OnceRefusal{coordination.MayHaveRun{Reason: coordination.ReasonKeeperAway, RetryAfter: defaultRetryTime}}
+			return m, OnceRefusal{coordination.MayHaveRun{Reason: coordination.ReasonOwnerUnreachable, RetryAfter: defaultRetryTime}}
 		}
 		return m, nil
 	}
@@ -184,7 +184,7 @@
 // key must show a fresh challenge: one that was held up on the way may be older
 // than the window, and nothing else in it can tell.
 func (o *OnceRunner) RunForPeer(ctx context.Context, r *OnceRequest, challenge string) OnceResult {
-	if !fleet.IsTicket(r.Key) && !o.issuer.Fresh(challenge, o.age()) {
+	if !fleet.IsTicket(r.Key) && !o.issuer.IsFresh(challenge, o.age()) {
 		return OnceChallenge{o.issuer.Challenge(o.age())}
 	}
 	return o.RunHere(ctx, r)
@@ -233,11 +233,11 @@
 	}
 	permit = func() error {
 		if o.mayKeep(r) != nil {
-			return errNoLongerKeeper
+			return errNoLongerOwner
 		}
 		return nil
 	}
-	return o.rules().QuietTime(), permit, nil
+	return o.rules().GracePeriod(), permit, nil
 }
 
 func (o *OnceRunner) admitTicket(r *OnceRequest) (time.Duration, OnceResult) {
@@ -255,14 +255,14 @@
 	return left, nil
 }
 
-// errNoLongerKeeper stops an attempt whose daemon lost the key on the way.
-var errNoLongerKeeper = errors.New("daemon no longer keeps the key")
+// errNoLongerOwner stops an attempt whose daemon lost the key on the way.
+var errNoLongerOwner = errors.New("daemon no longer owns the key")
 
 func (o *OnceRunner) mayKeep(r *OnceRequest) coordination.Outcome {
-	return fleet.MayKeep(o.Now(), o.Self, o.Snapshot().Epoch, r.ledgerKey(), o.rules())
+	return fleet.MayRunKey(o.Now(), o.Self, o.Snapshot().Epoch, r.ledgerKey(), o.rules())
 }
 
-func (o *OnceRunner) begin(r *OnceRequest, keep time.Duration) fleet.Admission {
+func (o *OnceRunner) begin(r *OnceRequest, keep time.Duration) fleet.KeyDecision {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	a := o.ledger.Begin(o.Now(), r.ledgerKey(), r.fingerprint(), keep)
@@ -294,7 +294,7 @@
 // refused returns the refusal of a request that this daemon began. Where it lost
 // the key on the way it did not run it, but no longer knows that no other did.
 func refused(o coordination.Outcome) OnceResult {
-	if n, ok := o.(coordination.NotRun); ok && n.Reason == coordination.ReasonKeeperStale {
+	if n, ok := o.(coordination.NotRun); ok && n.Reason == coordination.ReasonOwnerListStale {
 		return OnceRefusal{coordination.MayHaveRun(n)}
 	}
 	return OnceRefusal{o}
--- a/transport/gateway/operator.go
+++ b/transport/gateway/operator.go
@@ -127,7 +127,7 @@
 
 func appendPool(out []EngineAnswer, name string, p *state.Pool) []EngineAnswer {
 	for _, c := range p.Candidates {
-		out = append(out, EngineAnswer{ID: c.ID, Pool: name, Domain: c.Domain, Address: c.Address, Gate: c.Gate.String(), Load: float64(c.Load) / loadUnit})
+		out = append(out, EngineAnswer{ID: c.ID, Pool: name, Domain: c.Domain, Address: c.Address, Gate: c.Admission.String(), Load: float64(c.Load) / loadUnit})
 	}
 	return out
 }
--- a/transport/gateway/peers.go
+++ b/transport/gateway/peers.go
@@ -44,7 +44,7 @@
 	challenges challengeCache
 }
 
-// challengeCache keeps the last challenge of each keeper for half its life, so
+// challengeCache keeps the last challenge of each owner of keys for half its life, so
 // that a busy daemon asks for one every few seconds and not for each request.
 type challengeCache struct {
 	mu   sync.Mutex
@@ -114,20 +114,20 @@
 	return peer.NewPeerProtobufClient(p.scheme+"://"+address, client)
 }
 
-// Exchange tells news to a peer and returns the peer's.
-func (p *Peers) Exchange(ctx context.Context, address string, n fleet.News) (fleet.News, error) {
+// Exchange sends a message to a peer and returns the peer's.
+func (p *Peers) Exchange(ctx context.Context, address string, n fleet.Gossip) (fleet.Gossip, error) {
 	ctx, cancel := context.WithTimeout(ctx, PeerTimeout)
 	defer cancel()
 	p.metrics.Exchanges.Inc(1)
 	n.Stamp = p.recorder.Stamp()
-	answer, err := p.to(address, p.client).Exchange(ctx, protocol.EncodeNews(n))
+	answer, err := p.to(address, p.client).Exchange(ctx, protocol.EncodeGossip(n))
 	if err != nil {
 		p.metrics.ExchangeFails.Inc(1)
-		return fleet.News{}, eris.Wrapf(err, "exchange with %s", address)
+		return fleet.Gossip{}, eris.Wrapf(err, "exchange with %s", address)
 	}
-	news := protocol.DecodeNews(answer)
-	p.recorder.Observe(news.Stamp)
-	return news, nil
+	gossip := protocol.DecodeGossip(answer)
+	p.recorder.Observe(gossip.Stamp)
+	return gossip, nil
 }
 
 // Fetch returns a peer's newest document of a kind. have and base are what this
@@ -145,22 +145,22 @@
 	return protocol.UnpackDocument(resp, base)
 }
 
-// ForwardOnce sends a request that must not be repeated to its keeper. Whatever
+// ForwardOnce sends a request that must not run twice to the owner of its key. Whatever
 // goes wrong on the way, the result is may-have-run: even if no byte of this
 // attempt was written, an earlier one with the same key may have run, which
-// only the keeper knows.
-func (p *Peers) ForwardOnce(ctx context.Context, keeper state.Member, r *OnceRequest) OnceResult {
+// only the owner knows.
+func (p *Peers) ForwardOnce(ctx context.Context, owner state.Member, r *OnceRequest) OnceResult {
 	m := p.encodeRun(ctx, r)
-	m.Challenge = p.challenges.get(keeper.Address)
-	resp, err := p.to(keeper.Address, p.once).Run(ctx, m)
+	m.Challenge = p.challenges.get(owner.Address)
+	resp, err := p.to(owner.Address, p.once).Run(ctx, m)
 	if err == nil && resp.GetOutcome() == peer.RunOutcome_RUN_OUTCOME_CHALLENGE {
-		p.challenges.put(keeper.Address, resp.GetChallenge())
+		p.challenges.put(owner.Address, resp.GetChallenge())
 		m.Challenge = resp.GetChallenge()
-		resp, err = p.to(keeper.Address, p.once).Run(ctx, m)
+		resp, err = p.to(owner.Address, p.once).Run(ctx, m)
 	}
 	if err != nil {
-		p.recorder.Record(coordination.EventOnce, keeper.ID, r.ID, "keeper could not be reached: %v", err)
-		reason := coordination.ReasonKeeperAway
+		p.recorder.Record(coordination.EventOnce, owner.ID, r.ID, "owner of the key could not be reached: %v", err)
+		reason := coordination.ReasonOwnerUnreachable
 		if ctx.Err() != nil {
 			reason = coordination.ReasonDeadline
 		}
@@ -214,7 +214,7 @@
 
 // PeerServer serves other daemons.
 type PeerServer struct {
-	Converse  func(ctx context.Context, n fleet.News) (fleet.News, error)
+	Converse  func(ctx context.Context, n fleet.Gossip) (fleet.Gossip, error)
 	Documents Documents
 	Once      *OnceRunner
 	Recorder  *transport.Recorder
@@ -257,9 +257,9 @@
 // Handler returns the HTTP handler of the server.
 func (s *PeerServer) Handler() http.Handler { return peer.NewPeerServer(s) }
 
-// Exchange takes a peer's news and returns this daemon's.
+// Exchange takes in a peer's message and returns this daemon's.
 func (s *PeerServer) Exchange(ctx context.Context, m *peer.News) (*peer.News, error) {
-	n := protocol.DecodeNews(m)
+	n := protocol.DecodeGossip(m)
 	if n.Sender == "" {
 		return nil, twirp.RequiredArgumentError("sender")
 	}
@@ -269,7 +269,7 @@
 		return nil, twirp.InternalErrorWith(err)
 	}
 	answer.Stamp = s.Recorder.Stamp()
-	return protocol.EncodeNews(answer), nil
+	return protocol.EncodeGossip(answer), nil
 }
 
 // Fetch returns a document.
--- a/transport/gateway/suite_test.go
+++ b/transport/gateway/suite_test.go
@@ -100,7 +100,7 @@
 	rec := transport.NewRecorder("d1", nil)
 	get := func() *state.Snapshot { return f.snapshot }
 	f.handler = gateway.NewGateway(gateway.GatewayOptions{
-		Daemon: "d1", Snapshot: get, Tell: func(fleet.Event) {}, Upstreams: up,
+		Daemon: "d1", Snapshot: get, Post: func(fleet.Event) {}, Upstreams: up,
 		Once: gateway.NewOnceRunner(gateway.OnceOptions{
 			Self: "d1", Incarnation: 1, Secret: []byte("s"), Snapshot: get, Upstreams: up,
 			Recorder: rec, Metrics: f.metrics, LedgerBytes: 1 << 20, AnswerBytes: 1 << 20,
--- a/transport/gateway/upstream.go
+++ b/transport/gateway/upstream.go
@@ -161,7 +161,7 @@
 			reason = coordination.ReasonDeadline
 		}
 		if a.Denied() != nil {
-			reason = coordination.ReasonKeeperStale
+			reason = coordination.ReasonOwnerListStale
 		}
 		return coordination.NotRun{Reason: reason, RetryAfter: defaultRetryTime}
 	}
--- a/transport/gateway/watch.go
+++ b/transport/gateway/watch.go
@@ -16,7 +16,7 @@
 
 // Times of a watch.
 const (
-	watchWait    = 2 * time.Second // how long an upstream holds a query without news
+	watchWait    = 2 * time.Second // how long an upstream holds a query without a change
 	watchTimeout = 4 * time.Second
 	watchPause   = 200 * time.Millisecond // between queries
 	watchBackoff = 2 * time.Second        // after a failed one
@@ -27,7 +27,7 @@
 type Watcher struct {
 	ctx       context.Context
 	upstreams *Upstreams
-	tell      func(fleet.Event)
+	post      func(fleet.Event)
 
 	mu      sync.Mutex
 	running map[state.UpstreamID]*watch
@@ -42,7 +42,7 @@
 // NewWatcher returns a watcher that works until ctx ends. up should count its
 // bytes as control traffic.
 func NewWatcher(ctx context.Context, up *Upstreams, tell func(fleet.Event)) *Watcher {
-	return &Watcher{ctx: ctx, upstreams: up, tell: tell, running: make(map[state.UpstreamID]*watch)}
+	return &Watcher{ctx: ctx, upstreams: up, post: tell, running: make(map[state.UpstreamID]*watch)}
 }
 
 // Set replaces the set of watched upstreams. A watch of an upstream that stays
@@ -84,9 +84,9 @@
 		switch {
 		case err == nil:
 			seq = next
-			w.tell(ev)
+			w.post(ev)
 		case ctx.Err() == nil:
-			w.tell(fleet.UpstreamFailed{ID: id})
+			w.post(fleet.UpstreamFailed{ID: id})
 			pause, seq = watchBackoff, 0
 		}
 		sleep(ctx, pause)
