--- a/coordination/fleet/admission.go
+++ b/coordination/fleet/admission.go
@@ -36,8 +36,8 @@
 	admissionSlack = 2000
 )
 
-// SmoothLoad returns the mean load after a report.
-func SmoothLoad(mean float64, load state.Load) float64 {
+// smoothLoad returns the mean load after a report.
+func smoothLoad(mean float64, load state.Load) float64 {
 	return mean + loadSmoothing*(float64(load)-mean)
 }
 
--- a/coordination/fleet/owner.go
+++ b/coordination/fleet/owner.go
@@ -25,10 +25,10 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// OwnerMargin is added to the grace period. It covers the pause that goes
+// ownerMargin is added to the grace period. It covers the pause that goes
 // unnoticed, the time that a forwarded request may take, and drift between
 // clocks that measure the same duration.
-const OwnerMargin = 30 * time.Second
+const ownerMargin = 30 * time.Second
 
 // afterPause is for how long a daemon forwards no request with a caller's own key
 // after a pause: what is read then may have waited in a socket.
@@ -51,7 +51,7 @@
 // GracePeriod is how long a new owner of a key refuses it. It counts the longest
 // lease that any file may set and not the own one: the old owner may have another
 // file in force.
-func (r OwnerRules) GracePeriod() time.Duration { return r.Window + state.MaxLease + OwnerMargin }
+func (r OwnerRules) GracePeriod() time.Duration { return r.Window + state.MaxLease + ownerMargin }
 
 // keyHash is the ranking hash of a key.
 func keyHash(k LedgerKey) uint64 {
--- a/coordination/fleet/reports.go
+++ b/coordination/fleet/reports.go
@@ -46,7 +46,7 @@
 	if !seen {
 		mean = float64(ev.Load)
 	}
-	mean = SmoothLoad(mean, ev.Load)
+	mean = smoothLoad(mean, ev.Load)
 	f.loads[ev.ID] = mean
 	next := Report{ID: ev.ID, Incarnation: ev.Incarnation, State: ev.State, Load: state.Load(mean), Admission: state.AdmitAll, Seq: 1}
 	if known != nil && known.Incarnation == ev.Incarnation {
--- a/coordination/fleet/ticket.go
+++ b/coordination/fleet/ticket.go
@@ -34,7 +34,7 @@
 
 // Errors of tickets.
 var (
-	ErrTicketMalformed = errors.New("ticket is malformed; send it exactly as it was issued")
+	errTicketMalformed = errors.New("ticket is malformed; send it exactly as it was issued")
 	ErrTicketForged    = errors.New("ticket was not issued for this workspace and service; take a new one")
 )
 
@@ -46,20 +46,20 @@
 func ParseTicket(key string) (Ticket, error) {
 	body, mac, ok := strings.Cut(strings.TrimPrefix(key, ticketPrefix), ".")
 	if !ok || !IsTicket(key) {
-		return Ticket{}, ErrTicketMalformed
+		return Ticket{}, errTicketMalformed
 	}
 	raw, err := base64.RawURLEncoding.DecodeString(body)
 	if err != nil {
-		return Ticket{}, ErrTicketMalformed
+		return Ticket{}, errTicketMalformed
 	}
 	parts := strings.Split(string(raw), ticketSep)
 	if len(parts) != ticketFields || parts[0] == "" {
-		return Ticket{}, ErrTicketMalformed
+		return Ticket{}, errTicketMalformed
 	}
 	inc, err1 := strconv.ParseUint(parts[1], 10, 64)
 	ms, err2 := strconv.ParseInt(parts[2], 10, 64)
 	if err1 != nil || err2 != nil || ms < 0 || ms > int64(maxExpires/time.Millisecond) {
-		return Ticket{}, ErrTicketMalformed
+		return Ticket{}, errTicketMalformed
 	}
 	t := Ticket{
 		Daemon:      state.DaemonID(parts[0]),
--- a/daemon/routes/control_test.go
+++ b/daemon/routes/control_test.go
@@ -31,7 +31,7 @@
 // wait that it had begun before is given up, and the log says so.
 func TestPauseEndsTheWait(t *testing.T) {
 	var out bytes.Buffer
-	l := NewLog(&out, "info", "d", NewMetrics())
+	l := newLog(&out, "info", "d", newMetrics())
 	c := newTestControl(l, nil)
 	begun := time.Unix(1_000_000, 0)
 	c.tick(context.Background(), begun)
@@ -73,7 +73,7 @@
 // documents at once: the lines that matter must not be among those left out.
 func TestStartOfALargeFleetLeavesTheConfigurationInTheLog(t *testing.T) {
 	var out bytes.Buffer
-	l := NewLog(&out, "info", "d", NewMetrics())
+	l := newLog(&out, "info", "d", newMetrics())
 	c := newTestControl(l, fewDocuments{})
 	items := []feed.Item{{Key: "config", Revision: 5000}}
 	for i := range 4500 {
@@ -109,7 +109,7 @@
 // writer that takes nothing.
 func TestLogIsBoundedAndNeverBlocks(t *testing.T) {
 	release := make(chan struct{})
-	l := NewLog(blocked{release}, "info", "d", NewMetrics())
+	l := newLog(blocked{release}, "info", "d", newMetrics())
 	done := make(chan struct{})
 	go func() {
 		for range 20_000 {
--- a/daemon/routes/daemon.go
+++ b/daemon/routes/daemon.go
@@ -76,8 +76,8 @@
 // New opens the listeners and puts the parts together. Nothing is served before
 // Run.
 func New(s *Settings, o Outside, logTo io.Writer) (*Daemon, error) {
-	d := &Daemon{settings: s, outside: o, Metrics: NewMetrics(), started: time.Now(), pool: relay.NewPool()}
-	d.Log = NewLog(logTo, s.Level, string(s.ID), d.Metrics)
+	d := &Daemon{settings: s, outside: o, Metrics: newMetrics(), started: time.Now(), pool: relay.NewPool()}
+	d.Log = newLog(logTo, s.Level, string(s.ID), d.Metrics)
 	limitMemory(s.Memory)
 	if err := d.open(); err != nil {
 		d.close()
--- a/daemon/routes/golden_test.go
+++ b/daemon/routes/golden_test.go
@@ -45,7 +45,7 @@
 // TestMetricsKeepTheirNames holds the names on the metrics address.
 func TestMetricsKeepTheirNames(t *testing.T) {
 	var b bytes.Buffer
-	if err := NewMetrics().WriteText(&b); err != nil {
+	if err := newMetrics().WriteText(&b); err != nil {
 		t.Fatal(err)
 	}
 	compareGolden(t, "metrics.txt", b.String())
@@ -71,7 +71,7 @@
 // filter by; the sentence at a line's end is free.
 func TestLogLinesKeepTheirFields(t *testing.T) {
 	var out bytes.Buffer
-	l := NewLog(&out, "debug", "d1", NewMetrics())
+	l := newLog(&out, "debug", "d1", newMetrics())
 	replica := routing.NewReplica(routing.Replica{ID: "i-1"})
 	call := &relay.Call{Request: routing.Request{ID: "r1", Route: &routing.Route{Name: "n"}, Prompt: []routing.PromptPart{{ID: "p", Tokens: 5}}}}
 	summary := &relay.Summary{
--- a/daemon/routes/log.go
+++ b/daemon/routes/log.go
@@ -52,8 +52,8 @@
 	once     sync.Once
 }
 
-// NewLog returns a log that writes to out until Close.
-func NewLog(out io.Writer, level, daemon string, m *Metrics) *Log {
+// newLog returns a log that writes to out until Close.
+func newLog(out io.Writer, level, daemon string, m *Metrics) *Log {
 	w := &backgroundWriter{out: out}
 	l := &Log{
 		logger:   log.Logger{Level: log.ParseLevel(level), Writer: &log.IOWriter{Writer: w}, Context: log.NewContext(nil).Str("daemon", daemon).Value()},
--- a/daemon/routes/metrics.go
+++ b/daemon/routes/metrics.go
@@ -44,8 +44,8 @@
 	sampleAlpha = 0.015
 )
 
-// NewMetrics returns the metrics of one daemon.
-func NewMetrics() *Metrics {
+// newMetrics returns the metrics of one daemon.
+func newMetrics() *Metrics {
 	m := &Metrics{registry: metrics.NewRegistry()}
 	for name, c := range map[string]*metrics.Counter{
 		"requests_total":        &m.Requests,
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -88,10 +88,10 @@
 	at := func(port int) string { return net.JoinHostPort(d.ip, itoa(port)) }
 	d.readiness, d.operators = at(ports[1]), at(ports[2])
 	var err error
-	if d.callers, err = OpenLink("127.0.0.1:0", at(ports[0])); err != nil {
+	if d.callers, err = openLink("127.0.0.1:0", at(ports[0])); err != nil {
 		return nil, err
 	}
-	if d.store, err = OpenLink("127.0.0.1:0", door); err != nil {
+	if d.store, err = openLink("127.0.0.1:0", door); err != nil {
 		return nil, err
 	}
 	if d.peers, err = openPeerLink(net.JoinHostPort(d.public, itoa(f.ports[3])), at(f.ports[3])); err != nil {
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Bounds are the figures of the promises.
-type Bounds struct {
+// bounds are the figures of the promises.
+type bounds struct {
 	Contact time.Duration // undisturbed time after which a daemon is in touch
 	Apply   time.Duration // until a configuration is in force
 	Drain   time.Duration // until a leaving replica gets no more work
@@ -29,10 +29,10 @@
 	Share float64
 }
 
-// DefaultBounds returns the bounds of a run. Those in time are the users' and
+// defaultBounds returns the bounds of a run. Those in time are the users' and
 // half a second for the machine's own delays.
-func DefaultBounds() Bounds {
-	return Bounds{
+func defaultBounds() bounds {
+	return bounds{
 		Contact: 3 * time.Second, Apply: 2500 * time.Millisecond, Drain: 2500 * time.Millisecond, Leave: time.Second,
 		Late: time.Second, Resend: 500 * time.Millisecond, Ratio: 0.2, Extra: 56, Window: 10 * time.Second, Few: 3, Share: 0.9,
 	}
--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -18,7 +18,7 @@
 }
 
 func newScene(route *Route) *scene {
-	s := &scene{Ledger: NewLedger(DefaultBounds())}
+	s := &scene{Ledger: newLedger(defaultBounds())}
 	s.KeyAdded("k", "w", time.Time{})
 	s.RouteTo(route.Name, "gate", time.Time{})
 	s.q = Request{ID: "q", Route: route, Target: "/x", Key: "k", Sent: at(100), Deadline: at(100).Add(route.Timeout)}
@@ -162,7 +162,7 @@
 		}},
 	} {
 		t.Run(c.promise, func(t *testing.T) {
-			for _, n := range []int{DefaultBounds().Few, DefaultBounds().Few + 1} {
+			for _, n := range []int{defaultBounds().Few, defaultBounds().Few + 1} {
 				s := newScene(routes[0])
 				for i := range n {
 					q := s.q
@@ -171,7 +171,7 @@
 					c.play(s.Ledger, q.ID, q)
 				}
 				found := s.Judge(at(110))
-				if broken := n > DefaultBounds().Few; broken != (len(found) > 0) {
+				if broken := n > defaultBounds().Few; broken != (len(found) > 0) {
 					t.Errorf("%d cases: found %+v", n, found)
 				}
 				for _, v := range found {
@@ -189,7 +189,7 @@
 func TestJudgeKnowsLinksThatHoldRequestsUp(t *testing.T) {
 	s := newScene(routes[0])
 	s.DisturbReplica("r", at(99), at(101.5))
-	for i := range 2 * DefaultBounds().Few {
+	for i := range 2 * defaultBounds().Few {
 		q := s.q
 		q.ID = "q" + itoa(i)
 		s.Sent(q)
@@ -225,7 +225,7 @@
 // TestPlanFollowsFromItsSeed holds that a seed gives one plan, and that all kinds
 // of faults are drawn.
 func TestPlanFollowsFromItsSeed(t *testing.T) {
-	seen := make(map[FaultKind]bool)
+	seen := make(map[faultKind]bool)
 	for seed := range uint64(100) {
 		a, b := NewPlan(seed, DefaultShape()), NewPlan(seed, DefaultShape())
 		for i, f := range a.Faults {
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -82,7 +82,7 @@
 // Ledger is the memory of a run. It is safe for use by many goroutines.
 type Ledger struct {
 	mu       sync.Mutex
-	bounds   Bounds
+	bounds   bounds
 	requests map[string]*record
 	order    []*record
 
@@ -103,8 +103,8 @@
 	removed   time.Time // zero: never
 }
 
-// NewLedger returns an empty ledger.
-func NewLedger(b Bounds) *Ledger {
+// newLedger returns an empty ledger.
+func newLedger(b bounds) *Ledger {
 	return &Ledger{
 		bounds: b, requests: make(map[string]*record), daemons: make(map[int][]span), replicas: make(map[string][]span),
 		stops: make(map[int][]span), leaving: make(map[string]time.Time), routes: make(map[string][]change),
--- a/internal/soak/link.go
+++ b/internal/soak/link.go
@@ -37,8 +37,8 @@
 	draw      float64 // decides whether a trouble's share strikes it
 }
 
-// OpenLink forwards from an address to a target.
-func OpenLink(address, target string) (*Link, error) {
+// openLink forwards from an address to a target.
+func openLink(address, target string) (*Link, error) {
 	l, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, err
@@ -188,7 +188,7 @@
 
 // openPeerLink forwards what comes to an address to the daemon's own.
 func openPeerLink(address, target string) (*peerLink, error) {
-	news, err := OpenLink(address, target)
+	news, err := openLink(address, target)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -8,55 +8,55 @@
 	"time"
 )
 
-// FaultKind names a kind of trouble.
-type FaultKind string
+// faultKind names a kind of trouble.
+type faultKind string
 
 // The kinds of trouble.
 const (
-	KillDaemon    FaultKind = "kill_daemon"    // SIGKILL, started again
-	KillAll       FaultKind = "kill_all"       // every daemon at once
-	FreezeDaemon  FaultKind = "freeze_daemon"  // SIGSTOP, SIGCONT later
-	StopDaemon    FaultKind = "stop_daemon"    // SIGTERM, started again
-	HangupDaemon  FaultKind = "hangup_daemon"  // the settings file changes, SIGHUP
-	StoreAway     FaultKind = "store_away"     // for all daemons
-	StoreTurns    FaultKind = "store_turns"    // turns some daemons away
-	StoreLapses   FaultKind = "store_lapses"   // away, and entries lapse meanwhile
-	StoreForgets  FaultKind = "store_forgets"  // watches fall silent, the history goes
-	CutDaemon     FaultKind = "cut_daemon"     // from the other daemons
-	CutDomain     FaultKind = "cut_domain"     // a failure domain's daemons from the others
-	LinkReplica   FaultKind = "link_replica"   // trouble on connections to a replica
-	LinkCallers   FaultKind = "link_callers"   // trouble on callers' connections to a daemon
-	LinkStore     FaultKind = "link_store"     // trouble between a daemon and the store
-	GreyReplica   FaultKind = "grey_replica"   // fails a share of its requests
-	CrashReplica  FaultKind = "crash_replica"  // ends without notice, comes back anew
-	FlapReplica   FaultKind = "flap_replica"   // down and up by turns
-	DrainReplica  FaultKind = "drain_replica"  // replaced, with notice
-	ReuseAddress  FaultKind = "reuse_address"  // another service takes its address
-	AddKey        FaultKind = "add_key"        // a workspace gets a key
-	RevokeKey     FaultKind = "revoke_key"     // a workspace loses a key
-	MoveRoute     FaultKind = "move_route"     // a route goes to another service
-	ConfigStorm   FaultKind = "config_storm"   // changes in quick succession
-	CallersRepeat FaultKind = "callers_repeat" // callers repeat at once and often
-	CallersLeave  FaultKind = "callers_leave"  // callers leave before their answer
+	killDaemon    faultKind = "kill_daemon"    // SIGKILL, started again
+	killAll       faultKind = "kill_all"       // every daemon at once
+	freezeDaemon  faultKind = "freeze_daemon"  // SIGSTOP, SIGCONT later
+	stopDaemon    faultKind = "stop_daemon"    // SIGTERM, started again
+	hangupDaemon  faultKind = "hangup_daemon"  // the settings file changes, SIGHUP
+	storeAway     faultKind = "store_away"     // for all daemons
+	storeTurns    faultKind = "store_turns"    // turns some daemons away
+	storeExpires  faultKind = "store_lapses"   // away, and entries expire meanwhile
+	storeForgets  faultKind = "store_forgets"  // watches fall silent, then the history is gone
+	cutDaemon     faultKind = "cut_daemon"     // from the other daemons
+	cutDomain     faultKind = "cut_domain"     // a failure domain's daemons from the others
+	linkReplica   faultKind = "link_replica"   // trouble on connections to a replica
+	linkCallers   faultKind = "link_callers"   // trouble on callers' connections to a daemon
+	linkStore     faultKind = "link_store"     // trouble between a daemon and the store
+	greyReplica   faultKind = "grey_replica"   // fails a share of its requests
+	crashReplica  faultKind = "crash_replica"  // ends without draining, comes back
+	flapReplica   faultKind = "flap_replica"   // down and up by turns
+	drainReplica  faultKind = "drain_replica"  // replaced, after it announced that it drains
+	reuseAddress  faultKind = "reuse_address"  // another service takes its address
+	addKey        faultKind = "add_key"        // a workspace gets a key
+	revokeKey     faultKind = "revoke_key"     // a workspace loses a key
+	moveRoute     faultKind = "move_route"     // a route goes to another service
+	configStorm   faultKind = "config_storm"   // changes in quick succession
+	callersRepeat faultKind = "callers_repeat" // callers repeat at once and often
+	callersLeave  faultKind = "callers_leave"  // callers leave before their answer
 )
 
 // weights say how often a kind is drawn.
 var weights = []struct {
-	kind   FaultKind
+	kind   faultKind
 	weight int
 }{
-	{KillDaemon, 4}, {KillAll, 1}, {FreezeDaemon, 4}, {StopDaemon, 5}, {HangupDaemon, 2},
-	{StoreAway, 2}, {StoreTurns, 3}, {StoreLapses, 2}, {StoreForgets, 3},
-	{CutDaemon, 3}, {CutDomain, 2}, {LinkReplica, 4}, {LinkCallers, 2}, {LinkStore, 2},
-	{GreyReplica, 5}, {CrashReplica, 4}, {FlapReplica, 2}, {DrainReplica, 5}, {ReuseAddress, 3},
-	{AddKey, 2}, {RevokeKey, 5}, {MoveRoute, 4}, {ConfigStorm, 2}, {CallersRepeat, 1}, {CallersLeave, 2},
+	{killDaemon, 4}, {killAll, 1}, {freezeDaemon, 4}, {stopDaemon, 5}, {hangupDaemon, 2},
+	{storeAway, 2}, {storeTurns, 3}, {storeExpires, 2}, {storeForgets, 3},
+	{cutDaemon, 3}, {cutDomain, 2}, {linkReplica, 4}, {linkCallers, 2}, {linkStore, 2},
+	{greyReplica, 5}, {crashReplica, 4}, {flapReplica, 2}, {drainReplica, 5}, {reuseAddress, 3},
+	{addKey, 2}, {revokeKey, 5}, {moveRoute, 4}, {configStorm, 2}, {callersRepeat, 1}, {callersLeave, 2},
 }
 
 // Fault is one trouble of a run.
 type Fault struct {
 	At   time.Duration `json:"at"`  // from the start of traffic
 	For  time.Duration `json:"for"` // how long it lasts
-	Kind FaultKind     `json:"kind"`
+	Kind faultKind     `json:"kind"`
 	// Target and Variant are draws; what they pick depends on the kind.
 	Target  int `json:"target"`
 	Variant int `json:"variant"`
@@ -88,7 +88,7 @@
 	return Shape{Trouble: 18 * time.Second, Quiet: 9 * time.Second, MostDaemons: 10, FaultsPerSec: 1.2}
 }
 
-// Bounds of the draws.
+// bounds of the draws.
 const (
 	leastDaemons  = 3
 	longestFault  = 4 * time.Second
--- a/internal/soak/replica.go
+++ b/internal/soak/replica.go
@@ -19,8 +19,8 @@
 	"hingewinch.org/hingewinch/platform/standin"
 )
 
-// Mood says how a replica misbehaves. Each share is of the requests.
-type Mood struct {
+// mood says how a replica misbehaves. Each share is of the requests.
+type mood struct {
 	Fail    float64 // answers 500 after the work
 	Shed    float64 // refuses without having run
 	Hang    float64 // never answers
@@ -31,10 +31,10 @@
 
 // everyday is the mood of a replica that is well: now and then an answer breaks
 // off, is lost or comes twice.
-var everyday = Mood{Break: 0.01, Lose: 0.004, Surplus: 0.02}
+var everyday = mood{Break: 0.01, Lose: 0.004, Surplus: 0.02}
 
 // moods are the variants of a grey replica.
-var moods = []Mood{
+var moods = []mood{
 	{Fail: 0.5}, {Shed: 0.6}, {Hang: 0.3}, {Break: 0.3}, {Lose: 0.2}, {Surplus: 0.6}, {Fail: 1}, {Surplus: 0.3, Lose: 0.1, Break: 0.1},
 }
 
@@ -48,14 +48,14 @@
 	listener net.Listener
 
 	mu    sync.Mutex
-	mood  Mood
+	mood  mood
 	busy  int
 	conns map[net.Conn]struct{}
 	ended bool
 }
 
-// StartReplica listens on a loopback address.
-func StartReplica(id, service, domain string, slots int, l *Ledger) (*Replica, error) {
+// startReplica listens on a loopback address.
+func startReplica(id, service, domain string, slots int, l *Ledger) (*Replica, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -69,7 +69,7 @@
 func (r *Replica) Address() string { return r.listener.Addr().String() }
 
 // SetMood changes how it misbehaves.
-func (r *Replica) SetMood(m Mood) {
+func (r *Replica) SetMood(m mood) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.mood = m
@@ -111,7 +111,7 @@
 	head  standin.RequestHead
 	id    string // of the request
 	run   *Run
-	mood  Mood
+	mood  mood
 	gone  chan struct{} // closed when the daemon's end is closed
 	draw  float64
 	stray *string // an answer that is written in the place of the next one
@@ -265,55 +265,64 @@
 	return err == nil
 }
 
+// stream answers with events, from the one after the caller's last. It returns false
+// if the connection ends.
 func (x *exchange) stream() bool {
 	from := x.head.LastEvent
 	if x.strikes(x.mood.Fail) {
 		x.end(500)
 		return x.write(standin.Answer(500, x.id, x.ID, "failed"))
 	}
-	hang, broken, lose := x.strikes(x.mood.Hang), x.strikes(x.mood.Break), x.strikes(x.mood.Lose)
+	fault := x.streamFault()
 	head := standin.StreamHead(x.id, x.ID)
 	events := streamEvents(x.id)
 	for i := from; i < len(events); i++ {
-		if !x.work(x.workOf(len(events))) {
+		if !x.work(x.workOf(len(events))) || i == from && !x.write(head) {
 			x.end(0)
 			return false
 		}
-		if i == from {
-			if _, err := x.conn.Write([]byte(head)); err != nil {
-				x.end(0)
-				return false
-			}
-		}
-		piece := events[i]
-		middle := i == (from+len(events))/2
-		switch {
-		case middle && hang:
-			x.work(hangTime)
-			x.end(0)
-			return false
-		case middle && broken:
-			x.end(200)
-			x.breakOff(piece)
-			return false
-		case middle && lose:
-			x.end(0)
-			resetConn(x.conn.(*net.TCPConn))
+		if fault != nil && i == (from+len(events))/2 {
+			fault(events[i])
 			return false
 		}
-		if _, err := fmt.Fprintf(x.conn, "%x\r\n%s\r\n", len(piece), piece); err != nil {
+		if !x.write(chunk(events[i])) {
 			x.end(0)
 			return false
 		}
 	}
 	x.end(200)
 	if from >= len(events) {
-		_, _ = x.conn.Write([]byte(head))
+		x.write(head)
 	}
-	_, err := x.conn.Write([]byte("0\r\n\r\n"))
-	return err == nil
+	return x.write("0\r\n\r\n")
 }
 
+// streamFault draws how the stream ends in its middle; nil if it does not.
+func (x *exchange) streamFault() func(event string) {
+	hang, broken, lose := x.strikes(x.mood.Hang), x.strikes(x.mood.Break), x.strikes(x.mood.Lose)
+	switch {
+	case hang:
+		return func(string) {
+			x.work(hangTime)
+			x.end(0)
+		}
+	case broken:
+		return func(event string) {
+			x.end(200)
+			x.breakOff(event)
+		}
+	case lose:
+		return func(string) {
+			x.end(0)
+			resetConn(x.conn.(*net.TCPConn))
+		}
+	}
+	return nil
+}
+
+// chunk is a piece of a body in chunks.
+func chunk(piece string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(piece), piece) }
+
 // breakOff ends a stream inside an event, or between two: then only the end of
 // the stream is missing.
 func (x *exchange) breakOff(piece string) {
@@ -321,7 +330,7 @@
 		_, _ = fmt.Fprintf(x.conn, "%x\r\n%s", len(piece), piece[:len(piece)/2])
 		return
 	}
-	_, _ = fmt.Fprintf(x.conn, "%x\r\n%s\r\n", len(piece), piece)
+	x.write(chunk(piece))
 }
 
 func (x *exchange) write(answer string) bool {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -65,7 +65,7 @@
 	r := &runner{plan: p, options: o, report: &Report{Plan: p}, begun: time.Now()}
 	work, end := context.WithCancel(ctx)
 	defer end()
-	r.site = newSite(NewLedger(DefaultBounds()))
+	r.site = newSite(newLedger(defaultBounds()))
 	err := r.build(work)
 	if r.site.fleet != nil {
 		defer r.site.fleet.end()
@@ -87,6 +87,27 @@
 	for i := range p.Domains {
 		s.domains = append(s.domains, "z"+itoa(i))
 	}
+	if err := r.addReplicas(); err != nil {
+		return err
+	}
+	s.mu.Lock()
+	s.publish()
+	s.mu.Unlock()
+	if err := r.addDaemons(ctx); err != nil {
+		return err
+	}
+	for _, d := range s.fleet.daemons {
+		if err := d.start(); err != nil {
+			return eris.Wrapf(err, "start %s; build it first", r.options.Daemon)
+		}
+		go d.balance(ctx)
+	}
+	return r.awaitReady(ctx)
+}
+
+// addReplicas opens the places of all services, by turns over the domains.
+func (r *runner) addReplicas() error {
+	s, p := r.site, r.plan
 	for _, service := range []struct {
 		name     string
 		replicas int
@@ -97,16 +118,19 @@
 			}
 		}
 	}
-	s.mu.Lock()
-	s.publish()
-	s.mu.Unlock()
+	return nil
+}
+
+// addDaemons gives each daemon its addresses, settings and door of the store.
+func (r *runner) addDaemons(ctx context.Context) error {
+	s := r.site
 	ports, err := freePorts(portsPerFleet)
 	if err != nil {
 		return err
 	}
 	network := fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(250))
 	s.fleet = &fleet{binary: r.options.Daemon, dir: r.options.Dir, network: network, ports: ports, ledger: s.ledger, ctx: ctx}
-	for i := range p.Daemons {
+	for i := range r.plan.Daemons {
 		door, err := s.store.Open()
 		if err != nil {
 			return err
@@ -116,13 +140,12 @@
 			return err
 		}
 	}
-	for _, d := range s.fleet.daemons {
-		if err := d.start(); err != nil {
-			return eris.Wrapf(err, "start %s; build it first", r.options.Daemon)
-		}
-		go d.balance(ctx)
-	}
-	for deadline := time.Now().Add(startTimeout); !s.fleet.allIn(); pause(ctx, readyPoll) {
+	return nil
+}
+
+// awaitReady waits until the balancer has taken all daemons in.
+func (r *runner) awaitReady(ctx context.Context) error {
+	for deadline := time.Now().Add(startTimeout); !r.site.fleet.allIn(); pause(ctx, readyPoll) {
 		if time.Now().After(deadline) || ctx.Err() != nil {
 			return eris.Errorf("daemons are not ready after %v; look at their logs in %s", startTimeout, r.options.Dir)
 		}
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -179,7 +179,7 @@
 
 // addPlace opens an address of the site with its first replica.
 func (s *site) addPlace(service, domain string) error {
-	link, err := OpenLink("127.0.0.1:0", "127.0.0.1:1")
+	link, err := openLink("127.0.0.1:0", "127.0.0.1:1")
 	if err != nil {
 		return err
 	}
@@ -190,7 +190,7 @@
 	return s.begin(p, service)
 }
 
-// begin starts a new life at a place and announces it.
+// begin starts a replica at a place and announces it.
 func (s *site) begin(p *place, service string) error {
 	s.mu.Lock()
 	s.lives++
@@ -200,7 +200,7 @@
 	if service == serviceChat {
 		slots = chatSlots
 	}
-	r, err := StartReplica(id, service, p.domain, slots, s.ledger)
+	r, err := startReplica(id, service, p.domain, slots, s.ledger)
 	if err != nil {
 		return err
 	}
--- a/internal/soak/strike.go
+++ b/internal/soak/strike.go
@@ -18,7 +18,7 @@
 const (
 	// settling is how long after a fault's end its traces may last.
 	settling     = 500 * time.Millisecond
-	lapseTime    = 1500 * time.Millisecond // until a crashed replica's entry goes
+	expiryTime   = 1500 * time.Millisecond // until a crashed replica's entry goes
 	backTime     = time.Second             // until lapsed entries are back
 	serveOn      = 5 * time.Second         // how long a leaving replica serves
 	mostGrey     = 3                       // replicas that turn grey together
@@ -73,23 +73,23 @@
 func (s *striker) strike(f *Fault) {
 	s.note("%s target %d variant %d for %v", f.Kind, f.Target, f.Variant, f.For.Round(time.Millisecond))
 	switch f.Kind {
-	case KillDaemon, KillAll, FreezeDaemon, StopDaemon, HangupDaemon:
+	case killDaemon, killAll, freezeDaemon, stopDaemon, hangupDaemon:
 		s.strikeProcess(f)
-	case StoreAway, StoreTurns, StoreLapses, StoreForgets:
+	case storeAway, storeTurns, storeExpires, storeForgets:
 		s.strikeStore(f)
-	case CutDaemon, CutDomain:
+	case cutDaemon, cutDomain:
 		s.cut(f)
-	case LinkReplica, LinkCallers, LinkStore:
+	case linkReplica, linkCallers, linkStore:
 		s.strikeLink(f)
-	case GreyReplica, CrashReplica, FlapReplica, DrainReplica, ReuseAddress:
+	case greyReplica, crashReplica, flapReplica, drainReplica, reuseAddress:
 		s.strikeReplica(f)
-	case AddKey, RevokeKey, MoveRoute, ConfigStorm:
+	case addKey, revokeKey, moveRoute, configStorm:
 		s.changeConfig(f)
-	case CallersRepeat:
+	case callersRepeat:
 		s.manners.repeat.Store(2)
 		pause(s.ctx, f.For)
 		s.manners.repeat.Store(0)
-	case CallersLeave:
+	case callersLeave:
 		s.manners.leave.Store(30)
 		pause(s.ctx, f.For)
 		s.manners.leave.Store(0)
@@ -100,20 +100,20 @@
 func (s *striker) strikeProcess(f *Fault) {
 	d := s.daemon(f)
 	switch f.Kind {
-	case KillDaemon:
+	case killDaemon:
 		s.disturb([]*daemon{d}, func() { d.kill(); pause(s.ctx, restartPause) })
-	case KillAll:
+	case killAll:
 		s.disturb(s.fleet.daemons, func() {
 			for _, d := range s.fleet.daemons {
 				d.kill()
 			}
 			pause(s.ctx, restartPause)
 		})
-	case FreezeDaemon:
+	case freezeDaemon:
 		s.disturb([]*daemon{d}, func() { d.freeze(s.ctx, f.For) })
-	case StopDaemon:
+	case stopDaemon:
 		s.stop(d)
-	case HangupDaemon:
+	case hangupDaemon:
 		s.hangUp(d, f.Variant)
 	}
 }
@@ -150,18 +150,18 @@
 	defer s.storeMu.Unlock()
 	mode := doorModes[f.Variant%len(doorModes)]
 	switch f.Kind {
-	case StoreAway:
+	case storeAway:
 		s.disturbStore(func() { s.doorsFor(s.doors, mode, f.For, nil) })
-	case StoreLapses:
-		s.disturbStore(func() { s.doorsFor(s.doors, mode, f.For, s.lapse(f)) })
-	case StoreTurns:
+	case storeExpires:
+		s.disturbStore(func() { s.doorsFor(s.doors, mode, f.For, s.expireEntries(f)) })
+	case storeTurns:
 		// Daemons that are turned away learn from their peers, so that their
 		// bounds hold.
 		turned := 1 + f.Target%max(1, len(s.doors)/2)
 		s.doorsFor(s.doors[:turned], mode, f.For, nil)
-	case StoreForgets:
+	case storeForgets:
 		s.store.Deafen()
-		s.changeConfig(&Fault{Kind: RevokeKey, Target: f.Target})
+		s.changeConfig(&Fault{Kind: revokeKey, Target: f.Target})
 		pause(s.ctx, time.Second)
 		s.store.CompactSilently()
 	}
@@ -189,9 +189,9 @@
 	}
 }
 
-// lapse takes entries of living replicas away; they are back a moment after the
+// expireEntries takes entries of living replicas away; they are back a moment after the
 // store's return.
-func (s *striker) lapse(f *Fault) func() {
+func (s *striker) expireEntries(f *Fault) func() {
 	return func() {
 		s.mu.Lock()
 		places := append([]*place(nil), s.places...)
@@ -223,7 +223,7 @@
 	var inside []*daemon
 	domain := s.domains[f.Target%len(s.domains)]
 	for _, d := range s.fleet.daemons {
-		if (f.Kind == CutDomain && d.domain == domain) || (f.Kind == CutDaemon && d == s.daemon(f)) {
+		if (f.Kind == cutDomain && d.domain == domain) || (f.Kind == cutDaemon && d == s.daemon(f)) {
 			inside = append(inside, d)
 		}
 	}
@@ -261,12 +261,12 @@
 	}
 	d := s.daemon(f)
 	switch f.Kind {
-	case LinkReplica:
+	case linkReplica:
 		p, r := s.at(f.Target)
 		s.disturbReplica(r, func() { hold(p.link) })
-	case LinkCallers:
+	case linkCallers:
 		s.disturb([]*daemon{d}, func() { hold(d.callers) })
-	case LinkStore:
+	case linkStore:
 		s.disturb([]*daemon{d}, func() { hold(d.store) })
 	}
 }
@@ -281,19 +281,19 @@
 func (s *striker) strikeReplica(f *Fault) {
 	p, r := s.at(f.Target)
 	switch f.Kind {
-	case GreyReplica:
+	case greyReplica:
 		s.turnGrey(f)
-	case CrashReplica:
+	case crashReplica:
 		s.crash(p, r, r.Service, f.For)
-	case ReuseAddress:
+	case reuseAddress:
 		other := serviceGate
 		if r.Service == serviceGate {
 			other = serviceOther
 		}
-		s.crash(p, r, other, lapseTime)
+		s.crash(p, r, other, expiryTime)
 		// What was lost is made good at an address of its own.
 		_ = s.addPlace(r.Service, r.Domain)
-	case FlapReplica:
+	case flapReplica:
 		for range 3 {
 			if s.ctx.Err() != nil {
 				return
@@ -304,7 +304,7 @@
 			s.mu.Unlock()
 			pause(s.ctx, flapGap)
 		}
-	case DrainReplica:
+	case drainReplica:
 		s.drain(p, r, f.Variant%2 == 0)
 	}
 }
@@ -325,13 +325,13 @@
 	wg.Wait()
 }
 
-// crash ends a replica without notice; its entry lapses, and a new life of a
+// crash ends a replica without draining; its entry expires, and a new replica of a
 // service begins at its address.
 func (s *striker) crash(p *place, r *Replica, next string, down time.Duration) {
 	s.vacate(p)
 	s.disturbReplica(r, func() {
 		r.End()
-		pause(s.ctx, max(down, lapseTime))
+		pause(s.ctx, max(down, expiryTime))
 		s.remove(r)
 	})
 	_ = s.begin(p, next)
@@ -357,13 +357,13 @@
 
 func (s *striker) changeConfig(f *Fault) {
 	switch f.Kind {
-	case AddKey:
+	case addKey:
 		s.addKey()
-	case RevokeKey:
+	case revokeKey:
 		s.revokeKey(f.Target)
-	case MoveRoute:
+	case moveRoute:
 		s.moveRoute(f.Target)
-	case ConfigStorm:
+	case configStorm:
 		for i := range 8 {
 			switch i % 3 {
 			case 0:
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -293,7 +293,6 @@
 
 // send writes the events of a stream after a position, with the faults.
 func (e *Engine) send(w http.ResponseWriter, r *http.Request, s *engineStream, after int, f Faults) {
-	out := http.NewResponseController(w)
 	for i := after; ; {
 		data, over, grown := s.at(i)
 		if over {
@@ -312,18 +311,9 @@
 		if e.skip(i, f) {
 			continue
 		}
-		event := formatEvent(i, data, f)
-		n := 1
-		if f.Repeat {
-			n = 2
-		}
-		for range n {
-			if _, err := w.Write(event); err != nil {
-				e.Cancelled.Add(1)
-				return
-			}
+		if !e.sendEvent(w, formatEvent(i, data, f), f) {
+			return
 		}
-		_ = out.Flush()
 		sent := i - after
 		if f.BreakAfter > 0 && sent >= f.BreakAfter {
 			panic(http.ErrAbortHandler)
@@ -334,6 +324,23 @@
 	}
 }
 
+// sendEvent writes one event, twice if the fault is on. It returns false if the
+// caller is gone.
+func (e *Engine) sendEvent(w http.ResponseWriter, event []byte, f Faults) bool {
+	n := 1
+	if f.Repeat {
+		n = 2
+	}
+	for range n {
+		if _, err := w.Write(event); err != nil {
+			e.Cancelled.Add(1)
+			return false
+		}
+	}
+	_ = http.NewResponseController(w).Flush() // a caller who is gone shows at the next write
+	return true
+}
+
 func (e *Engine) skip(seq int, f Faults) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/protocol/sse.go
+++ b/protocol/sse.go
@@ -59,38 +59,43 @@
 			}
 			return ev, err
 		}
-		if len(line) == 0 {
-			if !hasData {
-				// Comments and lone ids keep a connection open and are no event.
-				lines = 0
-				er.raw = er.raw[:0]
-				continue
-			}
-			break
-		}
-		lines++
-		name, value := splitField(line)
-		switch name {
-		case "id":
-			ev.Seq, _ = strconv.ParseUint(string(value), 10, 64)
-			continue
-		case "data":
-			if hasData {
-				er.data = append(er.data, '\n')
-			}
-			hasData = true
-			er.data = append(er.data, value...)
-		case "":
+		if len(line) > 0 {
+			lines++
+			er.field(line, &ev, &hasData)
 			continue
 		}
-		er.raw = append(er.raw, line...)
-		er.raw = append(er.raw, '\n')
+		if hasData {
+			break
+		}
+		// Comments and lone ids keep a connection open and are no event.
+		lines = 0
+		er.raw = er.raw[:0]
 	}
 	er.raw = append(er.raw, '\n')
 	ev.Data, ev.Raw = er.data, er.raw
 	return ev, nil
 }
 
+// field takes in one line of an event.
+func (er *EventReader) field(line []byte, ev *StreamEvent, hasData *bool) {
+	name, value := splitField(line)
+	switch name {
+	case "id":
+		ev.Seq, _ = strconv.ParseUint(string(value), 10, 64) // 0: the id is no number
+		return
+	case "data":
+		if *hasData {
+			er.data = append(er.data, '\n')
+		}
+		*hasData = true
+		er.data = append(er.data, value...)
+	case "":
+		return
+	}
+	er.raw = append(er.raw, line...)
+	er.raw = append(er.raw, '\n')
+}
+
 // line returns the next line without its ending.
 func (er *EventReader) line() ([]byte, error) {
 	line, err := er.r.ReadSlice('\n')
--- a/transport/gateway/attempt_test.go
+++ b/transport/gateway/attempt_test.go
@@ -9,7 +9,7 @@
 // end and its writer's waking: the seal falls while the permit is asked.
 func TestSealedAttemptWritesNothing(t *testing.T) {
 	asked, sealed := make(chan struct{}), make(chan struct{})
-	a := NewAttempt(func() error {
+	a := newAttempt(func() error {
 		close(asked)
 		<-sealed
 		return nil
@@ -27,7 +27,7 @@
 }
 
 func TestWrittenAttemptIsNotSealed(t *testing.T) {
-	a := NewAttempt(nil)
+	a := newAttempt(nil)
 	if err := a.beforeWrite(); err != nil {
 		t.Fatal(err)
 	}
--- a/transport/gateway/evidence.go
+++ b/transport/gateway/evidence.go
@@ -33,9 +33,9 @@
 	denied atomic.Pointer[error]
 }
 
-// NewAttempt returns an attempt. permit, which may be nil, is called right
+// newAttempt returns an attempt. permit, which may be nil, is called right
 // before the first byte is written and can still stop it.
-func NewAttempt(permit func() error) *Attempt { return &Attempt{permit: permit} }
+func newAttempt(permit func() error) *Attempt { return &Attempt{permit: permit} }
 
 // Seal gives the attempt up. The result is true if no byte of the request was
 // handed to the operating system, and then none will be.
--- a/transport/gateway/peers.go
+++ b/transport/gateway/peers.go
@@ -22,9 +22,9 @@
 	"hingewinch.org/hingewinch/transport"
 )
 
-// PeerTimeout bounds an exchange. A peer that takes longer counts as out of
+// peerTimeout bounds an exchange. A peer that takes longer counts as out of
 // reach for a while.
-const PeerTimeout = 2 * time.Second
+const peerTimeout = 2 * time.Second
 
 // Documents gives the published documents that this daemon holds.
 type Documents interface {
@@ -116,7 +116,7 @@
 
 // Exchange sends a message to a peer and returns the peer's.
 func (p *Peers) Exchange(ctx context.Context, address string, n fleet.Gossip) (fleet.Gossip, error) {
-	ctx, cancel := context.WithTimeout(ctx, PeerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	p.metrics.Exchanges.Inc(1)
 	n.Stamp = p.recorder.Stamp()
@@ -133,7 +133,7 @@
 // Fetch returns a peer's newest document of a kind. have and base are what this
 // daemon holds.
 func (p *Peers) Fetch(ctx context.Context, address string, kind peer.DocumentKind, have state.Head, base []byte) (state.Head, []byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, PeerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	resp, err := p.to(address, p.client).Fetch(ctx, &peer.FetchRequest{Kind: kind, Have: protocol.EncodeHead(have)})
 	if err != nil {
--- a/transport/gateway/upstream.go
+++ b/transport/gateway/upstream.go
@@ -119,7 +119,7 @@
 	if err != nil {
 		return nil, coordination.NotRun{Reason: coordination.ReasonConnect}, eris.Wrap(err, "build upstream request")
 	}
-	a := NewAttempt(r.Permit)
+	a := newAttempt(r.Permit)
 	req := &http.Request{
 		Method:     r.Method,
 		URL:        target,
--- a/transport/recorder.go
+++ b/transport/recorder.go
@@ -48,7 +48,7 @@
 	r.ring.Add(coordination.TimelineEvent{Stamp: stamp, Daemon: r.daemon, Kind: kind, About: about, Text: text, ID: id})
 	r.mu.Unlock()
 	if r.logger != nil {
-		r.logger.Info().Str("kind", string(kind)).Str("about", about).Str("request", string(id)).Msg(PrefixEvents + text)
+		r.logger.Info().Str("kind", string(kind)).Str("about", about).Str("request", string(id)).Msg(prefixEvents + text)
 	}
 }
 
@@ -75,7 +75,7 @@
 
 // Prefixes of log lines, one for each part.
 const (
-	PrefixEvents  = "events: "
+	prefixEvents  = "events: "
 	PrefixGateway = "gateway: "
 	PrefixPeers   = "peers: "
 	PrefixDaemon  = "daemon: "
