--- a/coordination/fleet/arrange_bench_test.go
+++ b/coordination/fleet/arrange_bench_test.go
@@ -21,7 +21,7 @@
 		}
 		members = append(members, m)
 	}
-	f := fleet.NewFleet(fleet.Self{ID: "vm-000000", Incarnation: 1, Domain: "fd-0"}, rand.New(rand.NewPCG(1, 1)))
+	f := fleet.New(fleet.Self{ID: "vm-000000", Incarnation: 1, Domain: "fd-0"}, rand.New(rand.NewPCG(1, 1)))
 	f.Handle(epoch, fleet.ConfigLearned{Config: meshConfig(1, "x")})
 	lists := make([]*state.MemberList, b.N)
 	for i := range lists {
--- a/coordination/fleet/doc.go
+++ b/coordination/fleet/doc.go
@@ -16,7 +16,7 @@
 // A daemon's control loop owns one [Fleet], hands it every event with the time
 // at which it happened, and carries out the effects that come back:
 //
-//	f := fleet.NewFleet(self, rng)
+//	f := fleet.New(self, rng)
 //	for ev := range events {
 //		for _, eff := range f.Handle(time.Now(), ev) {
 //			switch eff := eff.(type) {
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -96,9 +96,9 @@
 	effects    []Effect
 }
 
-// NewFleet returns the state of a daemon that has just started. rng must
+// New returns the state of a daemon that has just started. rng must
 // not be shared.
-func NewFleet(self Self, rng *rand.Rand) *Fleet {
+func New(self Self, rng *rand.Rand) *Fleet {
 	return &Fleet{
 		self:         self,
 		rng:          rng,
--- a/coordination/fleet/mesh_test.go
+++ b/coordination/fleet/mesh_test.go
@@ -98,7 +98,7 @@
 // restart gives a node a new process that knows nothing.
 func (m *mesh) restart(n *meshNode) {
 	n.self.Incarnation += 1000
-	n.fleet = fleet.NewFleet(n.self, rand.New(rand.NewPCG(uint64(n.self.Incarnation), 3)))
+	n.fleet = fleet.New(n.self, rand.New(rand.NewPCG(uint64(n.self.Incarnation), 3)))
 	n.snapshot, n.known, n.lists, n.served = nil, nil, nil, nil
 }
 
--- a/daemon/openai/control.go
+++ b/daemon/openai/control.go
@@ -56,7 +56,7 @@
 
 func newControl(self fleet.Self, rng *rand.Rand) *control {
 	c := &control{
-		fleet:     fleet.NewFleet(self, rng),
+		fleet:     fleet.New(self, rng),
 		events:    make(chan fleet.Event, eventQueue),
 		converse:  make(chan conversation),
 		done:      make(chan struct{}),
--- a/daemon/openai/daemon.go
+++ b/daemon/openai/daemon.go
@@ -139,7 +139,7 @@
 		Forwarder: d.control.peers, Recorder: d.recorder, Metrics: d.metrics,
 		LedgerBytes: s.Limits.LedgerBytes, AnswerBytes: s.Limits.AnswerBytes,
 	})
-	d.gateway = gateway.NewGateway(gateway.GatewayOptions{
+	d.gateway = gateway.New(gateway.Options{
 		Daemon: s.ID, Snapshot: d.control.Snapshot, Post: d.control.hint, Upstreams: d.upstreams, Once: once,
 		Recorder: d.recorder, Metrics: d.metrics, Limits: s.limits(),
 	})
--- a/transport/gateway/doc.go
+++ b/transport/gateway/doc.go
@@ -10,7 +10,7 @@
 // # Usage
 //
 //	up := gateway.NewUpstreams(gateway.UpstreamOptions{})
-//	gw := gateway.NewGateway(gateway.GatewayOptions{
+//	gw := gateway.New(gateway.Options{
 //		Snapshot:  control.Snapshot,
 //		Upstreams: up,
 //	})
--- a/transport/gateway/gateway.go
+++ b/transport/gateway/gateway.go
@@ -11,8 +11,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"math"
-	mrand "math/rand/v2"
 	"net/http"
 	"strconv"
 	"strings"
@@ -58,8 +56,8 @@
 	}
 }
 
-// GatewayOptions are the parts that a Gateway works with.
-type GatewayOptions struct {
+// Options are the parts that a Gateway works with.
+type Options struct {
 	Daemon    state.DaemonID
 	Snapshot  func() *state.Snapshot
 	Post      func(fleet.Event) // hands an event to the control loop; must not block
@@ -72,14 +70,14 @@
 
 // Gateway serves callers. It is safe for use by many goroutines.
 type Gateway struct {
-	GatewayOptions
+	Options
 	draining atomic.Bool
 	retries  *retries
 }
 
-// NewGateway returns a gateway.
-func NewGateway(o GatewayOptions) *Gateway {
-	return &Gateway{GatewayOptions: o, retries: newRetries(o.Metrics)}
+// New returns a gateway.
+func New(o Options) *Gateway {
+	return &Gateway{Options: o, retries: newRetries(o.Metrics)}
 }
 
 // Drain makes the health check fail and asks callers to open no further request
@@ -249,85 +247,3 @@
 	c.w.WriteHeader(status)
 	_, _ = c.w.Write(body)
 }
-
-// reject answers a request that was wrong. It was not run.
-func (g *Gateway) reject(c *call, status int, code, param, message string) {
-	g.Metrics.Rejected.Inc(1)
-	c.w.Header().Set(protocol.HeaderOutcome, protocol.OutcomeNotRun)
-	g.writeError(c, status, code, param, message, protocol.OutcomeNotRun)
-}
-
-func (g *Gateway) rejectBad(c *call, err error) {
-	var bad *protocol.BadRequestError
-	if errors.As(err, &bad) {
-		g.reject(c, http.StatusBadRequest, "invalid_request", bad.Param, bad.Error())
-		return
-	}
-	g.reject(c, http.StatusBadRequest, "invalid_request", "", err.Error())
-}
-
-// refuse answers a request that could not be answered, at once.
-func (g *Gateway) refuse(c *call, o coordination.Outcome) {
-	reason, retry := g.count(o)
-	h := c.w.Header()
-	h.Set(protocol.HeaderOutcome, coordination.OutcomeName(o))
-	h.Set(protocol.HeaderReason, string(reason))
-	h.Set(protocol.HeaderRetryAfter, strconv.Itoa(spreadRetry(retry)))
-	g.writeError(c, refusalStatus(o, reason), string(reason), "", reason.Remedy(), coordination.OutcomeName(o))
-}
-
-func (g *Gateway) count(o coordination.Outcome) (coordination.Reason, time.Duration) {
-	switch o := o.(type) {
-	case coordination.NotRun:
-		g.Metrics.NotRun.Inc(1)
-		return o.Reason, o.RetryAfter
-	case coordination.MayHaveRun:
-		g.Metrics.MayHaveRun.Inc(1)
-		return o.Reason, o.RetryAfter
-	case coordination.Answered:
-		g.Metrics.Answered.Inc(1)
-	}
-	return "", 0
-}
-
-// refusalStatus maps a refusal to a status. A request that may have run never
-// gets 429 or 503, which client libraries take as leave to send it again.
-func refusalStatus(o coordination.Outcome, reason coordination.Reason) int {
-	if coordination.MayRetry(o) {
-		return http.StatusServiceUnavailable
-	}
-	if reason == coordination.ReasonNoAnswer || reason == coordination.ReasonDeadline {
-		return http.StatusGatewayTimeout
-	}
-	return http.StatusBadGateway
-}
-
-// spreadRetry turns a time into whole seconds with up to half of it added at
-// random, so that refused callers do not come back together.
-func spreadRetry(d time.Duration) int {
-	if d <= 0 {
-		d = defaultRetryTime
-	}
-	d += time.Duration(mrand.Int64N(int64(d)/2 + 1))
-	return max(1, int(math.Ceil(d.Seconds())))
-}
-
-func (g *Gateway) writeError(c *call, status int, code, param, message, outcome string) {
-	detail := protocol.ErrorDetail{Message: message, Type: errorType(status), Code: code, Outcome: outcome, RequestID: c.id}
-	if param != "" {
-		detail.Param = &param
-	}
-	g.writeJSON(c, status, protocol.ErrorBody{Error: detail})
-}
-
-func errorType(status int) string {
-	switch {
-	case status == http.StatusUnauthorized:
-		return "authentication_error"
-	case status == http.StatusForbidden:
-		return "permission_error"
-	case status < http.StatusInternalServerError:
-		return "invalid_request_error"
-	}
-	return "server_error"
-}
--- a/transport/gateway/peers.go
+++ b/transport/gateway/peers.go
@@ -1,5 +1,5 @@
-// This file carries exchanges, documents and requests between daemons, by
-// twirp. It is both the client and the server.
+// This file is the client towards other daemons, by twirp: exchanges, documents, and
+// requests for keys that another daemon owns.
 
 package gateway
 
@@ -8,11 +8,9 @@
 	"crypto/tls"
 	"net"
 	"net/http"
-	"sync"
 	"time"
 
 	"github.com/rotisserie/eris"
-	"github.com/twitchtv/twirp"
 
 	"hingewinch.org/hingewinch/coordination"
 	"hingewinch.org/hingewinch/coordination/fleet"
@@ -44,38 +42,6 @@
 	challenges challengeCache
 }
 
-// challengeCache keeps the last challenge of each owner of keys for half its life, so
-// that a busy daemon asks for one every few seconds and not for each request.
-type challengeCache struct {
-	mu   sync.Mutex
-	kept map[string]datedChallenge
-}
-
-type datedChallenge struct {
-	challenge string
-	taken     time.Time
-}
-
-func (c *challengeCache) get(address string) string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	d := c.kept[address]
-	if time.Since(d.taken) > fleet.ChallengeLife/2 {
-		delete(c.kept, address)
-		return ""
-	}
-	return d.challenge
-}
-
-func (c *challengeCache) put(address, challenge string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.kept == nil {
-		c.kept = make(map[string]datedChallenge)
-	}
-	c.kept[address] = datedChallenge{challenge, time.Now()}
-}
-
 // NewPeers returns a client. tlsConfig is nil for plain connections; meter
 // counts the bytes.
 func NewPeers(tlsConfig *tls.Config, meter *Meter, rec *transport.Recorder, m *Metrics, dial func(ctx context.Context, network, address string) (net.Conn, error)) *Peers {
@@ -169,173 +135,3 @@
 	p.recorder.Observe(coordination.Stamp{Wall: resp.GetStampWall(), Counter: resp.GetStampCounter()})
 	return decodeRunResult(resp)
 }
-
-func (p *Peers) encodeRun(ctx context.Context, r *OnceRequest) *peer.RunRequest {
-	stamp := p.recorder.Stamp()
-	return &peer.RunRequest{
-		RequestId: string(r.ID), Workspace: string(r.Workspace), Service: string(r.Service), Key: r.Key,
-		Method: r.Method, Target: r.Target, Header: encodeHeader(r.Header), Body: r.Body,
-		TimeoutMs: timeLeft(ctx).Milliseconds(), StampWall: stamp.Wall, StampCounter: stamp.Counter,
-	}
-}
-
-func encodeHeader(h http.Header) []*peer.HeaderField {
-	out := make([]*peer.HeaderField, 0, len(h))
-	for k, vs := range h {
-		out = append(out, &peer.HeaderField{Name: k, Values: vs})
-	}
-	return out
-}
-
-func decodeHeader(fields []*peer.HeaderField) http.Header {
-	h := make(http.Header, len(fields))
-	for _, f := range fields {
-		h[http.CanonicalHeaderKey(f.GetName())] = f.GetValues()
-	}
-	return h
-}
-
-func decodeRunResult(m *peer.RunResponse) OnceResult {
-	retry := time.Duration(m.GetRetryAfterMs()) * time.Millisecond
-	reason := coordination.Reason(m.GetReason())
-	switch m.GetOutcome() {
-	case peer.RunOutcome_RUN_OUTCOME_ANSWERED:
-		answer := &fleet.StoredAnswer{Status: int(m.GetStatus()), Header: decodeHeader(m.GetHeader()), Body: m.GetBody()}
-		return OnceAnswer{Answer: answer, Replayed: m.GetReplayed()}
-	case peer.RunOutcome_RUN_OUTCOME_NOT_RUN:
-		return OnceRefusal{coordination.NotRun{Reason: reason, RetryAfter: retry}}
-	case peer.RunOutcome_RUN_OUTCOME_CONFLICT:
-		return OnceConflict{errKeyReused}
-	case peer.RunOutcome_RUN_OUTCOME_FORGED:
-		return OnceConflict{fleet.ErrTicketForged}
-	}
-	return OnceRefusal{coordination.MayHaveRun{Reason: reason, RetryAfter: retry}}
-}
-
-// PeerServer serves other daemons.
-type PeerServer struct {
-	Converse  func(ctx context.Context, n fleet.Gossip) (fleet.Gossip, error)
-	Documents Documents
-	Once      *OnceRunner
-	Recorder  *transport.Recorder
-
-	packed packedDocuments
-}
-
-// packedDocuments keeps the last packed document of each kind: when a document
-// spreads, all neighbours ask for the difference from the same content.
-type packedDocuments struct {
-	mu   sync.Mutex
-	kept map[peer.DocumentKind]packedDocument
-}
-
-type packedDocument struct {
-	head, have state.Head
-	resp       *peer.FetchResponse
-}
-
-func (p *packedDocuments) get(kind peer.DocumentKind, head, have state.Head) *peer.FetchResponse {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if d := p.kept[kind]; d.head == head && d.have == have {
-		return d.resp
-	}
-	return nil
-}
-
-func (p *packedDocuments) put(kind peer.DocumentKind, d packedDocument) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.kept == nil {
-		p.kept = make(map[peer.DocumentKind]packedDocument)
-	}
-	p.kept[kind] = d
-}
-
-var _ peer.Peer = (*PeerServer)(nil)
-
-// Handler returns the HTTP handler of the server.
-func (s *PeerServer) Handler() http.Handler { return peer.NewPeerServer(s) }
-
-// Exchange takes in a peer's message and returns this daemon's.
-func (s *PeerServer) Exchange(ctx context.Context, m *peer.News) (*peer.News, error) {
-	n := protocol.DecodeGossip(m)
-	if n.Sender == "" {
-		return nil, twirp.RequiredArgumentError("sender")
-	}
-	s.Recorder.Observe(n.Stamp)
-	answer, err := s.Converse(ctx, n)
-	if err != nil {
-		return nil, twirp.InternalErrorWith(err)
-	}
-	answer.Stamp = s.Recorder.Stamp()
-	return protocol.EncodeGossip(answer), nil
-}
-
-// Fetch returns a document.
-func (s *PeerServer) Fetch(_ context.Context, m *peer.FetchRequest) (*peer.FetchResponse, error) {
-	have := protocol.DecodeHead(m.GetHave())
-	head, text, base := s.Documents.Document(m.GetKind(), have)
-	if text == nil {
-		return nil, twirp.NotFoundError("document is not known here")
-	}
-	if resp := s.packed.get(m.GetKind(), head, have); resp != nil {
-		return resp, nil
-	}
-	resp, err := protocol.PackDocument(head, text, have, base)
-	if err != nil {
-		return nil, twirp.InternalErrorWith(err)
-	}
-	s.packed.put(m.GetKind(), packedDocument{head, have, resp})
-	return resp, nil
-}
-
-// Run runs a request that must not be repeated.
-func (s *PeerServer) Run(ctx context.Context, m *peer.RunRequest) (*peer.RunResponse, error) {
-	s.Recorder.Observe(coordination.Stamp{Wall: m.GetStampWall(), Counter: m.GetStampCounter()})
-	timeout := min(time.Duration(m.GetTimeoutMs())*time.Millisecond, maxRunTimeout)
-	ctx, cancel := context.WithTimeout(ctx, timeout)
-	defer cancel()
-	result := s.Once.RunForPeer(ctx, &OnceRequest{
-		ID: state.RequestID(m.GetRequestId()), Workspace: state.WorkspaceID(m.GetWorkspace()),
-		Service: state.ServiceID(m.GetService()), Key: m.GetKey(),
-		Method: m.GetMethod(), Target: m.GetTarget(), Header: decodeHeader(m.GetHeader()), Body: m.GetBody(),
-	}, m.GetChallenge())
-	out := encodeRunResult(result)
-	stamp := s.Recorder.Stamp()
-	out.StampWall, out.StampCounter = stamp.Wall, stamp.Counter
-	return out, nil
-}
-
-// maxRunTimeout caps what a peer can ask for.
-const maxRunTimeout = 10 * time.Minute
-
-func encodeRunResult(r OnceResult) *peer.RunResponse {
-	switch r := r.(type) {
-	case OnceAnswer:
-		return &peer.RunResponse{
-			Outcome: peer.RunOutcome_RUN_OUTCOME_ANSWERED, Status: int32(r.Answer.Status),
-			Header: encodeHeader(r.Answer.Header), Body: r.Answer.Body, Replayed: r.Replayed,
-		}
-	case OnceConflict:
-		if r.Err == fleet.ErrTicketForged {
-			return &peer.RunResponse{Outcome: peer.RunOutcome_RUN_OUTCOME_FORGED}
-		}
-		return &peer.RunResponse{Outcome: peer.RunOutcome_RUN_OUTCOME_CONFLICT}
-	case OnceChallenge:
-		return &peer.RunResponse{Outcome: peer.RunOutcome_RUN_OUTCOME_CHALLENGE, Challenge: r.Challenge}
-	case OnceRefusal:
-		return encodeRefusal(r.Outcome)
-	}
-	return &peer.RunResponse{}
-}
-
-func encodeRefusal(o coordination.Outcome) *peer.RunResponse {
-	switch o := o.(type) {
-	case coordination.NotRun:
-		return &peer.RunResponse{Outcome: peer.RunOutcome_RUN_OUTCOME_NOT_RUN, Reason: string(o.Reason), RetryAfterMs: o.RetryAfter.Milliseconds()}
-	case coordination.MayHaveRun:
-		return &peer.RunResponse{Outcome: peer.RunOutcome_RUN_OUTCOME_MAY_HAVE_RUN, Reason: string(o.Reason), RetryAfterMs: o.RetryAfter.Milliseconds()}
-	}
-	return &peer.RunResponse{}
-}
--- a/transport/gateway/suite_test.go
+++ b/transport/gateway/suite_test.go
@@ -99,7 +99,7 @@
 	up := gateway.NewUpstreams(gateway.UpstreamOptions{AnswerTimeout: o.answer})
 	rec := transport.NewRecorder("d1", nil)
 	get := func() *state.Snapshot { return f.snapshot }
-	f.handler = gateway.NewGateway(gateway.GatewayOptions{
+	f.handler = gateway.New(gateway.Options{
 		Daemon: "d1", Snapshot: get, Post: func(fleet.Event) {}, Upstreams: up,
 		Once: gateway.NewOnceRunner(gateway.OnceOptions{
 			Self: "d1", Incarnation: 1, Secret: []byte("s"), Snapshot: get, Upstreams: up,
