--- a/coordination/routing/load.go
+++ b/coordination/routing/load.go
@@ -34,7 +34,7 @@
 	mu    sync.Mutex
 	own   map[LoadKey]int
 	peers map[PeerID]peerLoad
-	// others is the sum over the peers, made anew with each message.
+	// others is the sum over the peers, recomputed with each message.
 	others map[LoadKey]int
 }
 
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -39,14 +39,14 @@
 
 // caller is one client.
 type caller struct {
-	site   *site
-	number int
-	sent   int
-	conn   net.Conn
-	reader *bufio.Reader
-	daemon int
-	life   int
-	uses   int
+	site        *site
+	number      int
+	sent        int
+	conn        net.Conn
+	reader      *bufio.Reader
+	daemon      int
+	incarnation int
+	uses        int
 }
 
 // run sends requests until ctx ends.
@@ -88,7 +88,7 @@
 	if err != nil {
 		return false
 	}
-	c.conn, c.reader, c.daemon, c.life = conn, bufio.NewReader(conn), d.number, d.lives()
+	c.conn, c.reader, c.daemon, c.incarnation = conn, bufio.NewReader(conn), d.number, d.currentIncarnation()
 	c.uses = 1 + rand.IntN(requestsPerConn)
 	return true
 }
@@ -98,7 +98,7 @@
 	c.sent++
 	q := Request{
 		ID: fmt.Sprintf("c%d-%d", c.number, c.sent), Route: route, Key: c.site.drawKey(),
-		Target: fmt.Sprintf("%s%d?n=%d", route.Prefix, rand.IntN(100), c.sent), Daemon: c.daemon, Life: c.life,
+		Target: fmt.Sprintf("%s%d?n=%d", route.Prefix, rand.IntN(100), c.sent), Daemon: c.daemon, Incarnation: c.incarnation,
 	}
 	q.Subject = int(hashOf(q.Target) % topics)
 	if route.Method == http.MethodPost {
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -40,13 +40,13 @@
 	peers     *peerLink
 	fleet     *fleet
 
-	mu       sync.Mutex
-	process  *os.Process
-	life     int
-	expected bool // the end of the process was asked for
-	exited   chan struct{}
-	in       bool // the balancer sends callers
-	misses   int
+	mu          sync.Mutex
+	process     *os.Process
+	incarnation int
+	expected    bool // the end of the process was asked for
+	exited      chan struct{}
+	in          bool // the balancer sends callers
+	misses      int
 }
 
 // fleet is all daemons of a run.
@@ -144,7 +144,7 @@
 	exited := make(chan struct{})
 	d.mu.Lock()
 	d.process, d.expected, d.exited = cmd.Process, false, exited
-	d.life++
+	d.incarnation++
 	d.mu.Unlock()
 	d.fleet.wg.Go(func() {
 		err := cmd.Wait()
@@ -214,10 +214,10 @@
 	}
 }
 
-func (d *daemon) lives() int {
+func (d *daemon) currentIncarnation() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.life
+	return d.incarnation
 }
 
 // balance asks a daemon whether it is ready, as the users' balancer does.
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -22,16 +22,16 @@
 
 // Request is a caller's request, as it was sent.
 type Request struct {
-	ID       string
-	Route    *Route
-	Target   string // path and query
-	Body     string
-	Key      string
-	Daemon   int
-	Life     int // of the daemon
-	Sent     time.Time
-	Deadline time.Time
-	Subject  int // of a chat: requests with one subject share their prompt
+	ID          string
+	Route       *Route
+	Target      string // path and query
+	Body        string
+	Key         string
+	Daemon      int
+	Incarnation int // of the daemon
+	Sent        time.Time
+	Deadline    time.Time
+	Subject     int // of a chat: requests with one subject share their prompt
 }
 
 // Arrival is a request as it reached a replica.
--- a/internal/soak/replica.go
+++ b/internal/soak/replica.go
@@ -38,7 +38,7 @@
 	{Fail: 0.5}, {Shed: 0.6}, {Hang: 0.3}, {Break: 0.3}, {Lose: 0.2}, {Surplus: 0.6}, {Fail: 1}, {Surplus: 0.3, Lose: 0.1, Break: 0.1},
 }
 
-// Replica is one life of a replica.
+// Replica is one replica from its start to its end.
 type Replica struct {
 	ID       string
 	Service  string
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -33,7 +33,7 @@
 	{Name: "reply", Prefix: prefixReply, Method: http.MethodPost, Stream: true, Repeatable: true, Attempts: 2, Timeout: 3 * time.Second},
 }
 
-// place is one address of the site at which lives of replicas follow each other.
+// place is one address of the site at which replicas follow each other.
 type place struct {
 	link    *Link
 	domain  string
@@ -51,7 +51,7 @@
 
 	mu       sync.Mutex
 	version  int
-	lives    int
+	started  int
 	services map[string]string // of the plain routes
 	keys     []siteKey
 	dropped  []siteKey
@@ -193,8 +193,8 @@
 // begin starts a replica at a place and announces it.
 func (s *site) begin(p *place, service string) error {
 	s.mu.Lock()
-	s.lives++
-	id := "i-" + itoa(s.lives)
+	s.started++
+	id := "i-" + itoa(s.started)
 	s.mu.Unlock()
 	slots := gateSlots
 	if service == serviceChat {
--- a/state/ids.go
+++ b/state/ids.go
@@ -26,7 +26,7 @@
 	RequestID string
 )
 
-// Incarnation distinguishes the lives of one process: a restart under the same
+// Incarnation distinguishes the starts of one process: a restart under the same
 // id has a higher incarnation. Zero means unknown.
 type Incarnation uint64
 
--- a/state/member.go
+++ b/state/member.go
@@ -18,11 +18,11 @@
 	KindService MemberKind = "service"
 )
 
-// MemberState orders the stages of one incarnation's life. A state only ever
+// MemberState orders the stages of one incarnation. A state only ever
 // grows within an incarnation.
 type MemberState uint8
 
-// The stages of a member's life.
+// The stages of a member.
 const (
 	Live MemberState = iota + 1
 	Leaving
--- a/transport/gateway/chat.go
+++ b/transport/gateway/chat.go
@@ -78,7 +78,7 @@
 	return req.Identity()
 }
 
-// engineHeader is written anew: nothing that a caller sends in a header
+// engineHeader is made from nothing: nothing that a caller sends in a header
 // reaches an engine but the content type.
 func engineHeader(c *call) http.Header {
 	h := http.Header{}
--- a/transport/gateway/once.go
+++ b/transport/gateway/once.go
@@ -49,7 +49,7 @@
 	ledger *fleet.Ledger
 }
 
-// NewOnceRunner returns the runner of one daemon life.
+// NewOnceRunner returns the runner of one incarnation of a daemon.
 func NewOnceRunner(o OnceOptions) *OnceRunner {
 	if o.Now == nil {
 		o.Now = time.Now
--- a/transport/gateway/relay.go
+++ b/transport/gateway/relay.go
@@ -142,7 +142,7 @@
 }
 
 // deadlineShare is the part of the limit that must have passed before the
-// deadline is set anew: that costs more than the write of a token should.
+// deadline is set again: that costs more than the write of a token should.
 const deadlineShare = 8
 
 // extendDeadline gives a slow caller time for the next event.
--- a/transport/relay/answer.go
+++ b/transport/relay/answer.go
@@ -25,6 +25,10 @@
 	errEndInside = errors.New("stream ended inside an event")
 )
 
+// streamReadBytes is the size of one read of a stream: some events. Chosen, not
+// measured.
+const streamReadBytes = 2 << 10
+
 // maxAnswerBytes bounds a plain answer, which is held whole. Chosen, not measured.
 const maxAnswerBytes = 8 << 20
 
@@ -87,7 +91,7 @@
 		s.events = newEventReader(s.call.LastEvent)
 	}
 	s.events.reset()
-	buf := make([]byte, 2<<10)
+	buf := make([]byte, streamReadBytes)
 	for {
 		if f := s.awaitEvent(ctx, x); f != nil {
 			return f
--- a/transport/tls.go
+++ b/transport/tls.go
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// current returns the identity in force, read anew if the files changed.
+// current returns the identity in force, read again if the files changed.
 func (c *certificates) current() (*tls.Certificate, *x509.CertPool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
