--- a/coordination/fleet/arrange_bench_test.go
+++ b/coordination/fleet/arrange_bench_test.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// BenchmarkMayKeep measures the keeper's check, which runs twice for a request
+// BenchmarkMayRunKey measures the keeper's check, which runs twice for a request
 // with a caller's own key, at the size of two years and eight lists of history.
-func BenchmarkMayKeep(b *testing.B) {
+func BenchmarkMayRunKey(b *testing.B) {
 	var members []state.Member
 	for i := range 930 + 4500 {
 		m := state.Member{ID: fmt.Sprintf("vm-%06d", i), Kind: state.KindDaemon, State: state.Live}
--- a/coordination/fleet/decisions_test.go
+++ b/coordination/fleet/decisions_test.go
@@ -127,12 +127,12 @@
 	It("spreads chats evenly", func() {
 		Expect(share(poolOf(10), "engine-3")).To(BeNumerically("~", 0.1, 0.01))
 	})
-	It("takes away the share that a gate says", func() {
+	It("takes away the share that an admission says", func() {
 		p := poolOf(10)
 		p.Candidates[3].Admission = state.AdmitAll / 2
 		Expect(share(p, "engine-3")).To(BeNumerically("~", 0.05, 0.01))
 	})
-	It("takes the widest gate if none lets the chat pass", func() {
+	It("takes the highest admission if none lets the chat in", func() {
 		p := poolOf(3)
 		for i := range p.Candidates {
 			p.Candidates[i].Admission = 0
@@ -152,7 +152,7 @@
 	})
 })
 
-var _ = Describe("NextGate", func() {
+var _ = Describe("NextAdmission", func() {
 	It("narrows under load and opens again", func() {
 		g := state.AdmitAll
 		for range 60 {
@@ -164,7 +164,7 @@
 		}
 		Expect(g).To(Equal(state.AdmitAll))
 	})
-	It("does not gate a load that no bound could keep out", func() {
+	It("does not limit a load that no bound could keep out", func() {
 		Expect(fleet.NextAdmission(state.AdmitAll, 1_000, 10, 1.25)).To(Equal(state.AdmitAll))
 	})
 })
--- a/coordination/fleet/fleet_test.go
+++ b/coordination/fleet/fleet_test.go
@@ -116,7 +116,7 @@
 		m.run(5 * time.Second)
 		Expect(m.share(serves("e1"))).To(Equal(1.0))
 	})
-	It("doubts a list that lost most members and obeys it when it stays", func() {
+	It("holds back a list that lost most members and takes it when it stays", func() {
 		m := settledMesh(6, 2, 12)
 		m.publishList(2, 1)
 		m.run(5 * time.Second)
@@ -124,7 +124,7 @@
 		m.run(25 * time.Second)
 		Expect(m.share(serves("e9"))).To(BeZero())
 	})
-	It("drops its doubt when a whole list follows", func() {
+	It("takes a whole list that follows one that was held back", func() {
 		m := settledMesh(6, 2, 12)
 		m.publishList(2, 1)
 		m.run(5 * time.Second)
@@ -132,7 +132,7 @@
 		m.run(40 * time.Second)
 		Expect(m.share(serves("e9"))).To(Equal(1.0))
 	})
-	It("notices a pause and distrusts its list until it is confirmed", func() {
+	It("finds a pause and takes its list as unconfirmed until it is read again", func() {
 		m := settledMesh(4, 1, 2)
 		n := m.nodes[0]
 		n.frozen = true
@@ -176,7 +176,7 @@
 			Expect(count).To(Equal(1))
 		}
 	})
-	It("keeps the budget when everything changes, and still tells of a leaving engine at once", func() {
+	It("keeps the budget when everything changes, and still reports a leaving engine at once", func() {
 		m := settledMesh(12, 1, 600)
 		m.run(time.Minute)
 		for _, n := range m.nodes {
@@ -195,7 +195,7 @@
 		m.see("e7", state.Leaving, 0)
 		Expect(m.timeUntil(10*time.Second, not(serves("e7")))).To(BeNumerically("<=", 3*time.Second))
 	})
-	It("hears of every engine when more leave than one message holds", func() {
+	It("learns of every engine when more leave than one message holds", func() {
 		m := settledMesh(4, 1, 300)
 		m.run(10 * time.Second)
 		for e := range 300 {
@@ -206,7 +206,7 @@
 		m.run(20 * time.Second)
 		Expect(m.share(func(n *meshNode) bool { return len(n.snapshot.Model("m").Candidates) == 0 })).To(Equal(1.0))
 	})
-	It("goes on hearing of an engine when its watcher has restarted", func() {
+	It("goes on receiving reports of an engine when its watcher has restarted", func() {
 		m := settledMesh(2, 1, 1)
 		watcher, other := m.nodes[0], m.nodes[1]
 		if len(watcher.watched) == 0 {
--- a/coordination/fleet/once_test.go
+++ b/coordination/fleet/once_test.go
@@ -32,7 +32,7 @@
 
 func TestTicketRunsAtMostOnce(t *testing.T) { rapid.Check(t, checkAtMostOnce(wayTicket)) }
 
-func TestKeeperRunsAtMostOnce(t *testing.T) { rapid.Check(t, checkAtMostOnce(wayKeeper)) }
+func TestOwnerRunsAtMostOnce(t *testing.T) { rapid.Check(t, checkAtMostOnce(wayOwner)) }
 
 // runSchedules plays fixed random schedules and returns how many keys ran more
 // than once, how many there were, and the share of sendings that were refused.
@@ -69,18 +69,18 @@
 		Expect(double).To(BeNumerically(">", 0))
 	},
 		Entry("a ledger in each daemon", wayLocal, false),
-		Entry("a keeper without a quiet time", wayNoQuiet, false),
-		Entry("a keeper that trusts a list of any age", wayNoLease, false),
-		Entry("a keeper that takes what was held up on the way", wayNoChallenge, false),
-		Entry("the keeper", wayKeeper, true),
+		Entry("an owner without a grace period", wayNoGrace, false),
+		Entry("an owner that trusts a list of any age", wayNoLease, false),
+		Entry("an owner that takes what was held up on the way", wayNoChallenge, false),
+		Entry("the owner", wayOwner, true),
 		Entry("the ticket", wayTicket, true),
 	)
 })
 
 func BenchmarkOnceWays(b *testing.B) {
 	for name, w := range map[string]way{
-		"local": wayLocal, "keeper-no-quiet": wayNoQuiet, "keeper-no-lease": wayNoLease,
-		"keeper-no-challenge": wayNoChallenge, "keeper": wayKeeper, "ticket": wayTicket,
+		"local": wayLocal, "keeper-no-quiet": wayNoGrace, "keeper-no-lease": wayNoLease,
+		"keeper-no-challenge": wayNoChallenge, "keeper": wayOwner, "ticket": wayTicket,
 	} {
 		b.Run(name, func(b *testing.B) {
 			for range b.N {
@@ -120,7 +120,7 @@
 		l.Finish(key, coordination.MayHaveRun{}, nil)
 		Expect(begin(0)).To(BeAssignableToTypeOf(fleet.Deny{}))
 	})
-	It("tells those who wait that the first was not run, and starts none of them", func() {
+	It("answers those who wait that the first was not run, and starts none of them", func() {
 		begin(0)
 		wait := begin(0).(fleet.Wait)
 		l.Finish(key, coordination.NotRun{Reason: coordination.ReasonConnect}, nil)
@@ -155,16 +155,16 @@
 		_, refusal, err := i.Admit(t, w, "gate", age)
 		return refusal, err
 	}
-	It("is taken by the life that issued it", func() {
+	It("is taken by the incarnation that issued it", func() {
 		refusal, err := admit(issuer, "w", time.Second)
 		Expect(refusal).To(BeNil())
 		Expect(err).NotTo(HaveOccurred())
 	})
-	It("is refused by another life, as may-have-run", func() {
+	It("is refused by another incarnation, as may-have-run", func() {
 		refusal, _ := admit(fleet.NewTicketIssuer("d1", 8, []byte("secret")), "w", time.Second)
 		Expect(refusal).To(BeAssignableToTypeOf(coordination.MayHaveRun{}))
 	})
-	It("is refused by a life of the same number with another secret", func() {
+	It("is refused by an incarnation of the same number with another secret", func() {
 		_, err := admit(fleet.NewTicketIssuer("d1", 7, []byte("other")), "w", time.Second)
 		Expect(err).To(MatchError(fleet.ErrTicketForged))
 	})
--- a/coordination/fleet/once_world_test.go
+++ b/coordination/fleet/once_world_test.go
@@ -15,10 +15,10 @@
 
 const (
 	wayLocal       way = iota // each daemon has a ledger of its own and asks nobody
-	wayNoQuiet                // the keeper acts as soon as it ranks first
+	wayNoGrace                // the keeper acts as soon as it ranks first
 	wayNoLease                // the keeper acts on a list of any age
 	wayNoChallenge            // the keeper takes what was held up on the way
-	wayKeeper                 // the product's way for a caller's own key
+	wayOwner                  // the product's way for a caller's own key
 	wayTicket                 // the product's way for a ticket
 )
 
@@ -169,7 +169,7 @@
 	ow.asked++
 	k := fleet.LedgerKey{Workspace: "w", Service: "s", Key: key}
 	d := ow.keeper(k, via)
-	if d == nil || (ow.way == wayKeeper && fleet.MayForward(ow.clock(via), via.epoch) != nil) {
+	if d == nil || (ow.way == wayOwner && fleet.MayForward(ow.clock(via), via.epoch) != nil) {
 		ow.refused++
 		return
 	}
@@ -245,7 +245,7 @@
 		t, _ := fleet.ParseTicket(k.Key)
 		_, refusal, err := d.issuer.Admit(t, k.Workspace, k.Service, now.Sub(d.started))
 		return err == nil && refusal == nil
-	case wayNoQuiet:
+	case wayNoGrace:
 		m, ok := fleet.OwnerOf(epoch.History[0].List, k)
 		return ok && m.ID == string(daemonID(d.n)) && now.Sub(epoch.Confirmed) <= ow.rules.Lease
 	case wayNoLease:
--- a/coordination/membership/roster_test.go
+++ b/coordination/membership/roster_test.go
@@ -122,7 +122,7 @@
 		Expect(n.live(5)).To(Equal(1))
 	})
 
-	It("drops a daemon that falls silent, and takes its next life", func() {
+	It("drops a daemon that falls silent, and takes its next incarnation", func() {
 		for i := range 4 {
 			n.start(i, 1, 0)
 		}
@@ -135,7 +135,7 @@
 		Expect(n.live(1)).To(Equal(3))
 	})
 
-	It("does not take an old life's beat after a new one", func() {
+	It("does not take an old incarnation's heartbeat after a new one", func() {
 		r := membership.NewRoster(membership.Member{Address: "a:1"}, nil)
 		r.Observe([]membership.Member{{Address: "b:1", Incarnation: 2, Heartbeats: 1}}, epoch)
 		late := epoch.Add(5 * time.Second)
@@ -159,7 +159,7 @@
 		Expect(n.live(0)).To(Equal(7))
 	})
 
-	It("never takes a domain of a large fleet as silent while it can be heard", func() {
+	It("never takes a domain of a large fleet as cut off while it can be reached", func() {
 		const daemons = 80
 		for i := range daemons {
 			n.start(i, 1, 0, 1, 2)
@@ -175,7 +175,7 @@
 		}
 	})
 
-	DescribeTable("keeps news of the first of each domain fresh in a large fleet, at its slower beats", func(daemons, domains int) {
+	DescribeTable("keeps what is known of the likely readers fresh in a large fleet, at its slower heartbeats", func(daemons, domains int) {
 		n.every, n.domains = 2*beat, domains
 		for i := range daemons {
 			n.start(i, 1, 0, 1, 2)
--- a/coordination/routing/expired_test.go
+++ b/coordination/routing/expired_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestLapses(t *testing.T) {
+func TestExpiredEntries(t *testing.T) {
 	type vanishing struct {
 		after   time.Duration
 		trouble bool
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestLapsesEndByThemselves(t *testing.T) {
+func TestGracePeriodEndsByItself(t *testing.T) {
 	epoch := time.Unix(1000, 0)
 	l := NewExpiredEntries()
 	for i := range 3 {
--- a/coordination/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -208,7 +208,7 @@
 		Expect(f.choose(chat("s")).Replica.ID).To(Equal(held.ID))
 	})
 
-	It("gives a short prompt a home in each domain, and copies it there from a holder", func() {
+	It("gives a short prompt a home in each domain, and copies it there from a replica that holds it", func() {
 		f := newFleet("llm", "z0", "z0", "z1", "z1", "z1")
 		short := chat("s")
 		short.Prompt[1].Tokens = 600
@@ -336,7 +336,7 @@
 
 	BeforeEach(func() { h = routing.NewHealth() })
 
-	It("passes over a replica that takes no connection at once, and tries it again", func() {
+	It("ejects a replica that takes no connection at once, and tries it again", func() {
 		Expect(h.Report(&r, routing.ResultUnreachable, epoch)).To(BeTrue())
 		Expect(h.Usable(&r, epoch)).To(BeFalse())
 		Expect(h.Reachable(&r, epoch)).To(BeFalse())
@@ -358,7 +358,7 @@
 		Expect(pauses[4]).To(BeNumerically("<=", 4*time.Second))
 	})
 
-	It("does not pass over a replica that spoils a few answers", func() {
+	It("does not eject a replica that spoils a few answers", func() {
 		for i := range 200 {
 			at := epoch.Add(time.Duration(i) * 10 * time.Millisecond)
 			result := routing.ResultGood
@@ -379,7 +379,7 @@
 		Expect(h.Reachable(&r, epoch)).To(BeTrue(), "prompts can still be copied from it")
 	})
 
-	It("passes over a domain whose daemons all fell silent, until one is heard", func() {
+	It("excludes a domain whose daemons all fell silent, until one is heard from", func() {
 		h.ObserveDomains(map[state.FailureDomain]time.Time{"z1": epoch}, routing.DomainTimeout)
 		Expect(h.Usable(&r, epoch)).To(BeTrue())
 		later := epoch.Add(2 * time.Second)
@@ -474,8 +474,8 @@
 	}
 }
 
-var _ = Describe("Holders", func() {
-	It("tells each holding twice and no more", func() {
+var _ = Describe("CacheTable", func() {
+	It("announces each location twice and no more", func() {
 		h := routing.NewCacheTable()
 		h.Record(1, 1000, 2, epoch)
 		h.Record(1, 1000, 2, epoch)
@@ -484,7 +484,7 @@
 		Expect(h.TakePending(10)).To(BeEmpty())
 	})
 
-	It("hands on what it heard once, and only in a large fleet", func() {
+	It("forwards what it received once, and only in a large fleet", func() {
 		h := routing.NewCacheTable()
 		h.Observe([]routing.CacheLocation{{Prompt: 1, Replica: 2}}, false, epoch)
 		Expect(h.TakePending(10)).To(BeEmpty())
--- a/daemon/routes/daemon_test.go
+++ b/daemon/routes/daemon_test.go
@@ -231,7 +231,7 @@
 		}
 	})
 
-	DescribeTable("obeys what the store tells others while it is turned away itself", func(mode standin.StoreMode) {
+	DescribeTable("obeys what the store answers others while it is turned away itself", func(mode standin.StoreMode) {
 		server := s.replica("i1", fine)
 		s.replica("i2", fine)
 		a, b := s.start(), s.start(0)
@@ -253,7 +253,7 @@
 		Entry("busy", standin.StoreBusy), Entry("resets", standin.StoreResets), Entry("silent", standin.StoreSilent),
 	)
 
-	It("notices changes of which no watch told, when the history is gone", func() {
+	It("learns of changes that no watch returned, when the history is gone", func() {
 		s.replica("i1", fine)
 		n := s.start()
 		Eventually(n.ready, 3*time.Second).Should(BeTrue())
@@ -264,7 +264,7 @@
 		Eventually(n.statusOfK1, 2*time.Second, 20*time.Millisecond).Should(Equal(401))
 	})
 
-	It("notices within a second what no watch told, in every daemon, also when the sentinel has just gone", func() {
+	It("learns within a second what no watch returned, in every daemon, also when the reader with short watches has just gone", func() {
 		s.replica("i1", fine)
 		a, b, c := s.start(), s.start(0), s.start(0)
 		for _, n := range []*node{a, b, c} {
@@ -283,7 +283,7 @@
 		Expect(time.Since(begun)).To(BeNumerically("<", 1500*time.Millisecond))
 	})
 
-	It("notices within a second what no watch told, while its watch is cut without a word", func() {
+	It("learns within a second what no watch returned, while its watch is cut silently", func() {
 		s.replica("i1", fine)
 		n := s.start()
 		Eventually(n.ready, 3*time.Second).Should(BeTrue())
@@ -502,7 +502,7 @@
 		))
 	})
 
-	It("shows operators its members, its replicas and why one is passed over, and the time line", func() {
+	It("shows operators its members, its replicas and why one is ejected, and the time line", func() {
 		server := s.replica("i1", fine)
 		s.replica("i2", fine)
 		a, b := s.start(), s.start(0)
--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -129,8 +129,8 @@
 	)
 })
 
-// TestNewsSurvivesTheWire checks that what is sent is what is read.
-func TestNewsSurvivesTheWire(t *testing.T) {
+// TestGossipSurvivesTheWire checks that what is sent is what is read.
+func TestGossipSurvivesTheWire(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := fleet.Gossip{
 			Sender: "d1", Incarnation: 7, Domain: "a", Address: "h:1", Leaving: rapid.Bool().Draw(t, "leaving"),
@@ -146,9 +146,9 @@
 	})
 }
 
-// TestHostileNews checks that no message of a peer reaches a decision out of
+// TestHostileGossip checks that no message of a peer reaches a decision out of
 // range.
-func TestHostileNews(t *testing.T) {
+func TestHostileGossip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &peer.News{
 			Sender: "x", ListAgeMs: rapid.Int64().Draw(t, "age"), Config: &peer.Head{Version: 1, Digest: rapid.SliceOf(rapid.Byte()).Draw(t, "digest")},
--- a/state/feed/feed_test.go
+++ b/state/feed/feed_test.go
@@ -41,7 +41,7 @@
 		Expect(f.Apply([]feed.Item{item("p/a", 8)})).To(HaveLen(1))
 	})
 
-	It("hands on everything where it has forgotten removals", func() {
+	It("returns everything where it has forgotten removals", func() {
 		f := feed.New()
 		for i := range 5000 {
 			f.Apply([]feed.Item{{Key: fmt.Sprint(i), Revision: feed.Revision(i + 1), Gone: true}})
--- a/transport/gateway/gateway_test.go
+++ b/transport/gateway/gateway_test.go
@@ -284,14 +284,14 @@
 		f.service.SetFaults(standin.ServiceFaults{})
 		Expect(f.run(1, ticket, "pass")).To(BeAssignableToTypeOf(gateway.OnceAnswer{}))
 	})
-	It("is never called not-run when its keeper can't be reached", func() {
+	It("is never called not-run when its owner can't be reached", func() {
 		f := newOnceFleet(2)
 		ticket, _ := f.nodes[0].runner.Issue("w", "gate")
 		Expect(f.run(1, ticket, "pass")).To(BeAssignableToTypeOf(gateway.OnceAnswer{}))
 		f.nodes[0].server.Close()
 		Expect(refusalOf(f.run(1, ticket, "pass"))).To(BeAssignableToTypeOf(coordination.MayHaveRun{}))
 	})
-	It("is refused by the next life of its issuer", func() {
+	It("is refused by the next incarnation of its issuer", func() {
 		f := newOnceFleet(2)
 		ticket, _ := f.nodes[0].runner.Issue("w", "gate")
 		f.nodes[0] = f.start("d0", 99)
--- a/transport/gateway/waiting_test.go
+++ b/transport/gateway/waiting_test.go
@@ -11,10 +11,10 @@
 	"hingewinch.org/hingewinch/transport"
 )
 
-// TestWaitersAreToldNotRun lets repeats wait for a first attempt that was surely
+// TestWaitersGetNotRun lets repeats wait for a first attempt that was surely
 // not run. If one of them ran the key in its place, not-run would have been said
 // to the first caller of a key that runs a moment later.
-func TestWaitersAreToldNotRun(t *testing.T) {
+func TestWaitersGetNotRun(t *testing.T) {
 	m := NewMetrics()
 	defer m.Close()
 	cfg, err := state.ParseConfig("f.yaml", []byte("version: 1\nservices: [{name: gate}]\n"))
--- a/transport/relay/relay_test.go
+++ b/transport/relay/relay_test.go
@@ -106,7 +106,7 @@
 		}),
 	)
 
-	It("passes over an answer to an earlier request", func() {
+	It("skips an answer to an earlier request", func() {
 		r := startReplica("r", func(a *arrival) bool {
 			raw(a, "HTTP/1.1 200 X\r\nAttempt-Id: old\r\n"+sealed+"Content-Length: 3\r\n\r\nold")
 			return good(a)
