--- /dev/null
+++ b/state/feed/example_test.go
@@ -0,0 +1,17 @@
+package feed_test
+
+import (
+	"fmt"
+
+	"hingewinch.org/hingewinch/state/feed"
+)
+
+// Example takes a list and a change, and answers a peer.
+func Example() {
+	f := feed.New()
+	f.ApplyList([]feed.Item{{Key: "a", Revision: 3}, {Key: "b", Revision: 4}}, 4)
+	f.Apply([]feed.Item{{Key: "a", Revision: 5, Gone: true}})
+	items, whole := f.Since(4)
+	fmt.Println(f.Revision(), len(items), items[0].Key, items[0].Gone, whole)
+	// Output: 5 1 a true false
+}
