--- a/coordination/fleet/events.go
+++ b/coordination/fleet/events.go
@@ -93,17 +93,11 @@
 // Reply is the answer to an exchange that a peer began.
 type Reply struct{ Gossip Gossip }
 
-// FetchConfig asks for the content of a head that a peer has.
-type FetchConfig struct {
-	Peer state.Member
-	Head state.Head
-}
+// FetchConfig asks for the configuration of a peer that has a newer one.
+type FetchConfig struct{ Peer state.Member }
 
-// FetchList asks for the member list of a head that a peer has.
-type FetchList struct {
-	Peer state.Member
-	Head state.Head
-}
+// FetchList asks for the member list of a peer that has a newer one.
+type FetchList struct{ Peer state.Member }
 
 // RetainList asks to keep the text of a list that is held back, for peers that fetch
 // it.
--- a/coordination/fleet/gossip.go
+++ b/coordination/fleet/gossip.go
@@ -242,10 +242,10 @@
 	n := ev.Gossip
 	peer := state.Member{ID: string(n.Sender), Kind: state.KindDaemon, Domain: n.Domain, Address: n.Address, Incarnation: n.Incarnation, State: state.Live}
 	if n.Config.Compare(f.configHead()) > 0 && !f.refused[n.Config] {
-		f.emit(FetchConfig{Peer: peer, Head: n.Config})
+		f.emit(FetchConfig{Peer: peer})
 	}
 	if n.List.Compare(f.newestList()) > 0 {
-		f.emit(FetchList{Peer: peer, Head: n.List})
+		f.emit(FetchList{Peer: peer})
 	}
 	if !ev.Asked.IsZero() && n.ListAge >= 0 {
 		f.confirmList(n.List, ev.Asked.Add(-n.ListAge))
--- a/daemon/openai/settings.go
+++ b/daemon/openai/settings.go
@@ -87,11 +87,6 @@
 	return complete(daemon.LoadSettings(file, defaultSettings(), (*Settings).check))
 }
 
-// ParseSettings parses and checks the text of a settings file.
-func ParseSettings(file string, text []byte) (*Settings, error) {
-	return complete(daemon.ParseSettings(file, text, defaultSettings(), (*Settings).check))
-}
-
 // complete fills in what follows from other settings.
 func complete(s *Settings, err error) (*Settings, error) {
 	if err == nil && s.Peer == "" {
--- a/daemon/routes/export_test.go
+++ b/daemon/routes/export_test.go
@@ -17,3 +17,8 @@
 	l := [...]*daemon.Listener{ServesCallers: d.callers, ServesReadiness: d.readiness, ServesOperators: d.operators}[s]
 	return l.Address()
 }
+
+// ParseSettings parses and checks the text of a settings file.
+func ParseSettings(file string, text []byte) (*Settings, error) {
+	return daemon.ParseSettings(file, text, defaultSettings(), (*Settings).check)
+}
--- a/daemon/routes/settings.go
+++ b/daemon/routes/settings.go
@@ -74,11 +74,6 @@
 	return daemon.LoadSettings(file, defaultSettings(), (*Settings).check)
 }
 
-// ParseSettings parses and checks the text of a settings file.
-func ParseSettings(file string, text []byte) (*Settings, error) {
-	return daemon.ParseSettings(file, text, defaultSettings(), (*Settings).check)
-}
-
 func (s *Settings) check(c *state.Checker) {
 	if s.ID == "" {
 		c.Add("id is missing", "name this daemon", "id")
--- a/protocol/openai.go
+++ b/protocol/openai.go
@@ -21,8 +21,7 @@
 
 // ChatRequest is what routing needs of a chat-completions request.
 type ChatRequest struct {
-	Model  state.ModelID
-	Stream bool
+	Model state.ModelID
 	// CacheKey is the caller's prompt_cache_key, or empty.
 	CacheKey string
 	// Leading holds the messages up to the first of the user, as the caller
@@ -126,7 +125,6 @@
 		return badRequest("prompt_cache_key", "prompt_cache_key is not a string", "send a string or leave it out")
 	}
 	r.Model = state.ModelID(f.model.Str)
-	r.Stream = f.stream.Bool()
 	r.CacheKey = f.cacheKey.Str
 	return nil
 }
