--- a/internal/soak/plants_test.go
+++ b/internal/soak/plants_test.go
@@ -20,7 +20,7 @@
 	{"passes on an answer to another request", "MIXED", "transport/relay/exchange.go", "if x.head.Request == x.call.ID {", "if x.head.Request != \"\" {"},
 	{"sends work to leaving replicas", "DRAIN", "daemon/routes/catalog.go", "if r.Draining {\n\t\t\tp.Draining", "if r.Draining && r.ID == \"\" {\n\t\t\tp.Draining"},
 	{"goes on for a caller that left", "GONE", "transport/relay/exchange.go", "func() { _ = x.conn.Close() })", "func() {})"},
-	{"stops without waiting", "LOST", "daemon/routes/daemon.go", "_ = d.callers.Server.Shutdown(wait)", "_, _ = wait.Deadline()\n\t_ = d.callers.Server.Close()"},
+	{"stops without waiting", "LOST", "daemon/routes/run.go", "_ = d.callers.Server.Shutdown(wait)", "_, _ = wait.Deadline()\n\t_ = d.callers.Server.Close()"},
 	{"says not run of what may have run", "REFUSED", "platform/front.go", "status := http.StatusBadGateway", "status := http.StatusServiceUnavailable"},
 	{"takes a broken stream as whole", "ORDER", "transport/relay/answer.go", "return x.broken(ctx, eris.Wrap(err, \"read stream\"))", "break"},
 }
--- a/transport/relay/exchange.go
+++ b/transport/relay/exchange.go
@@ -75,11 +75,11 @@
 // buffers holds the buffers in which requests are put together.
 var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 8<<10); return &b }}
 
-// begin writes the request. The failure is nil if at least one byte of it was
-// written.
+// begin writes the request; a large body goes on being written beside the reading of
+// the answer. The failure is nil unless the writing failed.
 func (x *exchange) begin(ctx context.Context, h RequestHead) *failure {
 	x.stopWatching = context.AfterFunc(ctx, func() { _ = x.conn.Close() })
-	_ = x.conn.SetWriteDeadline(x.deadline)
+	_ = x.conn.SetWriteDeadline(x.deadline) // an error shows at the write
 	buf := buffers.Get().(*[]byte)
 	head := x.codec.AppendRequest((*buf)[:0], x.call, h)
 	if len(x.call.Body) < separateWriteBytes {
@@ -100,6 +100,8 @@
 	return nil
 }
 
+// wrote is the failure of writing n bytes of a request; nil without an error. Only if
+// no byte was written the request surely has not run.
 func (x *exchange) wrote(ctx context.Context, n int, err error) *failure {
 	if err == nil {
 		return nil
@@ -122,7 +124,7 @@
 	if until.After(x.deadline) {
 		until = x.deadline
 	}
-	_ = x.conn.SetReadDeadline(until)
+	_ = x.conn.SetReadDeadline(until) // an error shows at the read
 	_, err := x.conn.reader.Peek(1)
 	if err == nil {
 		_ = x.conn.SetReadDeadline(x.deadline)
