--- a/cmd/hingesoak/main.go
+++ b/cmd/hingesoak/main.go
@@ -1,5 +1,5 @@
-// Command hingesoak runs real daemons as processes on this machine, strikes them
-// with faults drawn from a seed, and checks the promises of docs/PROMISES.md
+// Command hingesoak runs real daemons as processes on this machine, injects
+// faults drawn from a seed, and checks the promises of docs/PROMISES.md
 // while they run. It is no part of the product.
 //
 // # Usage
--- a/daemon/routes/daemon_test.go
+++ b/daemon/routes/daemon_test.go
@@ -56,7 +56,7 @@
 type node struct {
 	*routes.Daemon
 	settings *routes.Settings
-	door     *standin.StoreDoor
+	endpoint *standin.StoreEndpoint
 	log      *buffer
 	stop     context.CancelFunc
 	sent     atomic.Int64
@@ -105,12 +105,12 @@
 // start starts a daemon; seeds are the numbers of other daemons.
 func (s *site) start(seeds ...int) *node {
 	i := len(s.daemons)
-	door, err := s.store.Open()
+	endpoint, err := s.store.Open()
 	Expect(err).NotTo(HaveOccurred())
 	ip := fmt.Sprintf("%s.%d", s.network, 10+i)
 	settings := &routes.Settings{
 		ID: "d", Listen: routes.Listeners{Callers: ip + ":0", Readiness: ip + ":0", Operators: ip + ":0", Peers: fmt.Sprintf("%s:%d", ip, s.port)},
-		Store: door.Address(), Level: "info",
+		Store: endpoint.Address(), Level: "info",
 	}
 	settings.Domain = "z0"
 	settings.Stop.Grace = 2 * time.Second
@@ -118,7 +118,7 @@
 	for _, seed := range seeds {
 		settings.Seeds = append(settings.Seeds, fmt.Sprintf("%s.%d:1", s.network, 10+seed))
 	}
-	n := &node{settings: settings, door: door, log: &buffer{}}
+	n := &node{settings: settings, endpoint: endpoint, log: &buffer{}}
 	n.run()
 	s.daemons = append(s.daemons, n)
 	DeferCleanup(n.kill)
@@ -127,7 +127,7 @@
 
 func (n *node) run() {
 	d, err := routes.New(n.settings, routes.Outside{
-		Store: platform.NewStore(n.door.Address()), HistoryGone: platform.ErrHistoryGone, Documents: platform.Documents{},
+		Store: platform.NewStore(n.endpoint.Address()), HistoryGone: platform.ErrHistoryGone, Documents: platform.Documents{},
 		Codec: platform.Codec{}, ReadyPath: platform.PathReady,
 		Front: func(d *routes.Daemon) http.Handler {
 			return &platform.Front{View: d.View, Relay: d.Relay, Stopping: d.Stopping, Denied: d.Log.Denied}
@@ -144,7 +144,7 @@
 
 func (n *node) kill() {
 	n.stop()
-	n.door.Close()
+	n.endpoint.Close()
 	<-n.done
 }
 
@@ -202,9 +202,9 @@
 
 	It("serves once it knows a configuration, and is not ready before", func() {
 		s.replica("i1", fine)
-		door, err := s.store.Open()
+		endpoint, err := s.store.Open()
 		Expect(err).NotTo(HaveOccurred())
-		door.Close()
+		endpoint.Close()
 		n := s.start()
 		Eventually(n.ready, 3*time.Second).Should(BeTrue())
 		status, by := n.send("k1")
@@ -217,14 +217,14 @@
 		a := s.start()
 		Eventually(a.ready, 3*time.Second).Should(BeTrue())
 		b := s.start(0)
-		b.door.SetMode(standin.StoreSilent)
+		b.endpoint.SetMode(standin.StoreSilent)
 		Eventually(b.ready, 3*time.Second).Should(BeTrue())
 		Expect(b.statusOfK1()).To(Equal(200))
 	})
 
 	It("answers 503 while nothing is known", func() {
 		n := s.start()
-		n.door.SetMode(standin.StoreResets)
+		n.endpoint.SetMode(standin.StoreResets)
 		if n.View().Table == nil {
 			Expect(n.ready()).To(BeFalse())
 			Expect(n.statusOfK1()).To(Equal(503))
@@ -238,7 +238,7 @@
 		Eventually(func() int { return a.status().Daemons }, 3*time.Second).Should(Equal(2))
 		Eventually(b.ready, 3*time.Second).Should(BeTrue())
 		// The one that reads is turned away; the other learns first.
-		a.door.SetMode(mode)
+		a.endpoint.SetMode(mode)
 		s.configure("k2")
 		s.announce("i1", server, "draining")
 		for _, n := range []*node{a, b} {
@@ -257,7 +257,7 @@
 		s.replica("i1", fine)
 		n := s.start()
 		Eventually(n.ready, 3*time.Second).Should(BeTrue())
-		s.store.Deafen()
+		s.store.SilenceWatches()
 		s.configure("k2")
 		time.Sleep(100 * time.Millisecond)
 		s.store.Compact()
@@ -271,9 +271,9 @@
 			Eventually(func() int { return n.status().Daemons }, 3*time.Second).Should(Equal(3))
 			Eventually(n.ready, 3*time.Second).Should(BeTrue())
 		}
-		s.store.Deafen()
+		s.store.SilenceWatches()
 		s.configure("k2")
-		a.door.SetMode(standin.StoreBusy) // a has the lowest address: it is the sentinel
+		a.endpoint.SetMode(standin.StoreBusy) // a has the lowest address: it has the short watches
 		time.Sleep(100 * time.Millisecond)
 		s.store.CompactSilently()
 		begun := time.Now()
@@ -288,7 +288,7 @@
 		n := s.start()
 		Eventually(n.ready, 3*time.Second).Should(BeTrue())
 		time.Sleep(500 * time.Millisecond) // the watch waits
-		s.store.Deafen()
+		s.store.SilenceWatches()
 		s.configure("k2")
 		s.store.CompactSilently()
 		begun := time.Now()
@@ -338,10 +338,10 @@
 		s.replica("i1", fine)
 		n := s.start()
 		Eventually(n.ready, 3*time.Second).Should(BeTrue())
-		n.door.SetMode(standin.StoreBusy)
+		n.endpoint.SetMode(standin.StoreBusy)
 		Eventually(func() bool { return n.status().StoreLost }, 3*time.Second).Should(BeTrue())
 		Expect(n.statusOfK1()).To(Equal(200))
-		n.door.SetMode(standin.StoreServes)
+		n.endpoint.SetMode(standin.StoreServes)
 		Eventually(func() bool { return n.status().StoreLost }, 3*time.Second).Should(BeFalse())
 	})
 
@@ -351,12 +351,12 @@
 		s.replica("i3", fine)
 		n := s.start()
 		Eventually(n.ready, 3*time.Second).Should(BeTrue())
-		n.door.SetMode(standin.StoreBusy)
+		n.endpoint.SetMode(standin.StoreBusy)
 		Eventually(func() bool { return n.status().StoreLost }, 3*time.Second).Should(BeTrue())
 		for _, id := range []string{"i1", "i2", "i3"} {
 			s.store.Delete("servers/" + id)
 		}
-		n.door.SetMode(standin.StoreServes)
+		n.endpoint.SetMode(standin.StoreServes)
 		Eventually(func() int { return n.status().Replicas }, 3*time.Second).Should(BeZero())
 		Expect(n.statusOfK1()).To(Equal(200))
 		Eventually(n.log.String, time.Second).Should(ContainSubstring("used on"))
@@ -369,11 +369,11 @@
 		s.replica("i2", count)
 		n := s.start()
 		Eventually(n.ready, 3*time.Second).Should(BeTrue())
-		n.door.SetMode(standin.StoreBusy)
+		n.endpoint.SetMode(standin.StoreBusy)
 		Eventually(func() bool { return n.status().StoreLost }, 3*time.Second).Should(BeTrue())
 		s.store.Delete("servers/i1")
 		s.store.Delete("servers/i2")
-		n.door.SetMode(standin.StoreServes)
+		n.endpoint.SetMode(standin.StoreServes)
 		Eventually(func() int { return n.status().Replicas }, 3*time.Second).Should(BeZero())
 		Expect(n.statusOfK1()).To(Equal(200))
 		Eventually(n.statusOfK1, 3*time.Second, 100*time.Millisecond).Should(Equal(503))
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -31,8 +31,8 @@
 	topics          = 7 // of chats
 )
 
-// manners are what all callers do at the moment.
-type manners struct {
+// callerFaults are what all callers do at the moment.
+type callerFaults struct {
 	leave  atomic.Int64 // of 100 requests, how many are left early
 	repeat atomic.Int64 // how often a failed request is sent again at once
 }
@@ -60,7 +60,7 @@
 		}
 		q := c.draw()
 		a := c.send(&q)
-		for range c.site.manners.repeat.Load() {
+		for range c.site.callerFaults.repeat.Load() {
 			if a.Status/100 == 2 || (!c.connected() && !c.connect()) {
 				break
 			}
@@ -129,7 +129,7 @@
 	ledger := c.site.ledger
 	ledger.Sent(*q)
 	_ = c.conn.SetDeadline(q.Deadline.Add(callerPatience))
-	if rand.Int64N(100) < leaveAlways+c.site.manners.leave.Load() {
+	if rand.Int64N(100) < leaveAlways+c.site.callerFaults.leave.Load() {
 		return c.abandon(q)
 	}
 	if _, err := c.conn.Write([]byte(q.text())); err != nil {
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,5 +1,5 @@
-// Package soak runs real daemons as separate processes on one machine, strikes
-// them with faults from outside, and checks the promises of docs/PROMISES.md
+// Package soak runs real daemons as separate processes on one machine, injects
+// faults from outside, and checks the promises of docs/PROMISES.md
 // while they run, from what callers and replicas see on their sockets. It is no
 // part of the product.
 //
@@ -19,5 +19,5 @@
 // Plan holds the schedule. Ledger holds what was seen and judges it; it is pure.
 // Fleet starts daemons and ends only those. Link delays, cuts and silences
 // connections. Replica and caller are the two ends, store comes from
-// internal/standin.
+// platform/standin.
 package soak
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -80,8 +80,8 @@
 // all daemons: each has an address of its own.
 const portsPerFleet = 4
 
-// add prepares a daemon before a door of the store.
-func (f *fleet) add(i int, domain, door string) (*daemon, error) {
+// add prepares a daemon before an endpoint of the store.
+func (f *fleet) add(i int, domain, endpoint string) (*daemon, error) {
 	d := &daemon{number: i, domain: domain, fleet: f, ip: fmt.Sprintf("%s.%d", f.network, 10+i), public: fmt.Sprintf("%s.%d", f.network, 110+i)}
 	d.file = filepath.Join(f.dir, fmt.Sprintf("daemon-%d.yaml", i))
 	ports := f.ports
@@ -91,7 +91,7 @@
 	if d.callers, err = openLink("127.0.0.1:0", at(ports[0])); err != nil {
 		return nil, err
 	}
-	if d.store, err = openLink("127.0.0.1:0", door); err != nil {
+	if d.store, err = openLink("127.0.0.1:0", endpoint); err != nil {
 		return nil, err
 	}
 	if d.peers, err = openPeerLink(net.JoinHostPort(d.public, itoa(f.ports[3])), at(f.ports[3])); err != nil {
--- a/internal/soak/strike.go
+++ b/internal/soak/inject.go
@@ -28,76 +28,76 @@
 	fillerRoutes = 300
 )
 
-// striker carries out faults.
-type striker struct {
+// injector carries out faults.
+type injector struct {
 	*site
-	ctx   context.Context
-	doors []*standin.StoreDoor
-	note  func(format string, args ...any)
+	ctx       context.Context
+	endpoints []*standin.StoreEndpoint
+	note      func(format string, args ...any)
 
 	// storeMu keeps troubles of the store apart: the last one would end all.
 	storeMu sync.Mutex
 }
 
 // run carries out the plan's faults at their times.
-func (s *striker) run(p *Plan) {
+func (s *injector) run(p *Plan) {
 	var wg sync.WaitGroup
 	begun := time.Now()
 	for _, f := range p.Faults {
 		wg.Go(func() {
 			pause(s.ctx, time.Until(begun.Add(f.At)))
 			if s.ctx.Err() == nil {
-				s.strike(&f)
+				s.inject(&f)
 			}
 		})
 	}
 	wg.Wait()
 }
 
-func (s *striker) daemon(f *Fault) *daemon { return s.fleet.daemons[f.Target%len(s.fleet.daemons)] }
+func (s *injector) daemon(f *Fault) *daemon { return s.fleet.daemons[f.Target%len(s.fleet.daemons)] }
 
 // disturb runs a fault of some daemons and notes the time.
-func (s *striker) disturb(daemons []*daemon, strike func()) {
+func (s *injector) disturb(daemons []*daemon, inject func()) {
 	from := time.Now()
 	// Until it is over, nothing bounds the disturbance.
 	far := from.Add(time.Hour)
 	for _, d := range daemons {
 		s.ledger.DisturbDaemon(d.number, from, far)
 	}
-	strike()
+	inject()
 	for _, d := range daemons {
 		s.ledger.Calm(d.number, from, time.Now().Add(settling))
 	}
 }
 
-func (s *striker) strike(f *Fault) {
+func (s *injector) inject(f *Fault) {
 	s.note("%s target %d variant %d for %v", f.Kind, f.Target, f.Variant, f.For.Round(time.Millisecond))
 	switch f.Kind {
 	case killDaemon, killAll, freezeDaemon, stopDaemon, hangupDaemon:
-		s.strikeProcess(f)
+		s.injectProcess(f)
 	case storeAway, storeTurns, storeExpires, storeForgets:
-		s.strikeStore(f)
+		s.injectStore(f)
 	case cutDaemon, cutDomain:
 		s.cut(f)
 	case linkReplica, linkCallers, linkStore:
-		s.strikeLink(f)
+		s.injectLink(f)
 	case greyReplica, crashReplica, flapReplica, drainReplica, reuseAddress:
-		s.strikeReplica(f)
+		s.injectReplica(f)
 	case addKey, revokeKey, moveRoute, configStorm:
 		s.changeConfig(f)
 	case callersRepeat:
-		s.manners.repeat.Store(2)
+		s.callerFaults.repeat.Store(2)
 		pause(s.ctx, f.For)
-		s.manners.repeat.Store(0)
+		s.callerFaults.repeat.Store(0)
 	case callersLeave:
-		s.manners.leave.Store(30)
+		s.callerFaults.leave.Store(30)
 		pause(s.ctx, f.For)
-		s.manners.leave.Store(0)
+		s.callerFaults.leave.Store(0)
 	}
 	s.note("%s target %d is over", f.Kind, f.Target)
 }
 
-func (s *striker) strikeProcess(f *Fault) {
+func (s *injector) injectProcess(f *Fault) {
 	d := s.daemon(f)
 	switch f.Kind {
 	case killDaemon:
@@ -120,7 +120,7 @@
 
 // stop is a planned stop. One that begins while the process is frozen, or that a
 // kill ends, is judged by nobody: the other fault disturbs the daemon.
-func (s *striker) stop(d *daemon) {
+func (s *injector) stop(d *daemon) {
 	from := time.Now()
 	s.ledger.Stopped(d.number, from, from.Add(time.Hour))
 	inTime := d.stop(s.ctx)
@@ -132,7 +132,7 @@
 }
 
 // hangUp changes the settings file and signals it.
-func (s *striker) hangUp(d *daemon, variant int) {
+func (s *injector) hangUp(d *daemon, variant int) {
 	text, err := os.ReadFile(d.file)
 	if err != nil {
 		return
@@ -142,25 +142,25 @@
 	d.signal(syscall.SIGHUP, false)
 }
 
-// doorModes are how the store can turn daemons away.
-var doorModes = []standin.StoreMode{standin.StoreBusy, standin.StoreResets, standin.StoreSilent}
+// storeModes are how the store can turn daemons away.
+var storeModes = []standin.StoreMode{standin.StoreBusy, standin.StoreResets, standin.StoreSilent}
 
-func (s *striker) strikeStore(f *Fault) {
+func (s *injector) injectStore(f *Fault) {
 	s.storeMu.Lock()
 	defer s.storeMu.Unlock()
-	mode := doorModes[f.Variant%len(doorModes)]
+	mode := storeModes[f.Variant%len(storeModes)]
 	switch f.Kind {
 	case storeAway:
-		s.disturbStore(func() { s.doorsFor(s.doors, mode, f.For, nil) })
+		s.disturbStore(func() { s.setModes(s.endpoints, mode, f.For, nil) })
 	case storeExpires:
-		s.disturbStore(func() { s.doorsFor(s.doors, mode, f.For, s.expireEntries(f)) })
+		s.disturbStore(func() { s.setModes(s.endpoints, mode, f.For, s.expireEntries(f)) })
 	case storeTurns:
 		// Daemons that are turned away learn from their peers, so that their
 		// bounds hold.
-		turned := 1 + f.Target%max(1, len(s.doors)/2)
-		s.doorsFor(s.doors[:turned], mode, f.For, nil)
+		turned := 1 + f.Target%max(1, len(s.endpoints)/2)
+		s.setModes(s.endpoints[:turned], mode, f.For, nil)
 	case storeForgets:
-		s.store.Deafen()
+		s.store.SilenceWatches()
 		s.changeConfig(&Fault{Kind: revokeKey, Target: f.Target})
 		pause(s.ctx, time.Second)
 		s.store.CompactSilently()
@@ -168,30 +168,30 @@
 }
 
 // disturbStore notes the trouble before it begins: judgement goes on meanwhile.
-func (s *striker) disturbStore(strike func()) {
+func (s *injector) disturbStore(inject func()) {
 	from := time.Now()
 	s.ledger.DisturbStore(from, from.Add(time.Hour))
-	strike()
+	inject()
 	s.ledger.CalmStore(from, time.Now().Add(settling))
 }
 
-// doorsFor sets the mode of some doors for a time; meanwhile runs then.
-func (s *striker) doorsFor(doors []*standin.StoreDoor, mode standin.StoreMode, d time.Duration, meanwhile func()) {
-	for _, door := range doors {
-		door.SetMode(mode)
+// setModes sets the mode of some endpoints for a time; meanwhile runs then.
+func (s *injector) setModes(endpoints []*standin.StoreEndpoint, mode standin.StoreMode, d time.Duration, meanwhile func()) {
+	for _, endpoint := range endpoints {
+		endpoint.SetMode(mode)
 	}
 	if meanwhile != nil {
 		meanwhile()
 	}
 	pause(s.ctx, d)
-	for _, door := range doors {
-		door.SetMode(standin.StoreServes)
+	for _, endpoint := range endpoints {
+		endpoint.SetMode(standin.StoreServes)
 	}
 }
 
 // expireEntries takes entries of living replicas away; they are back a moment after the
 // store's return.
-func (s *striker) expireEntries(f *Fault) func() {
+func (s *injector) expireEntries(f *Fault) func() {
 	return func() {
 		s.mu.Lock()
 		places := append([]*place(nil), s.places...)
@@ -219,7 +219,7 @@
 func hashInt(text string) int { return int(hashOf(text) >> 1) }
 
 // cut parts daemons from the others: in both directions, or in one.
-func (s *striker) cut(f *Fault) {
+func (s *injector) cut(f *Fault) {
 	var inside []*daemon
 	domain := s.domains[f.Target%len(s.domains)]
 	for _, d := range s.fleet.daemons {
@@ -252,7 +252,7 @@
 	{Share: 1, Forward: true}, {Share: 1, Back: true}, {Share: 1, Reset: true}, {Share: 0.3, Delay: 10 * linkDelay},
 }
 
-func (s *striker) strikeLink(f *Fault) {
+func (s *injector) injectLink(f *Fault) {
 	t := linkTroubles[f.Variant%len(linkTroubles)]
 	hold := func(l *Link) {
 		l.SetTrouble(t)
@@ -271,18 +271,18 @@
 	}
 }
 
-func (s *striker) disturbReplica(r *Replica, strike func()) {
+func (s *injector) disturbReplica(r *Replica, inject func()) {
 	from := time.Now()
 	s.ledger.DisturbReplica(r.ID, from, from.Add(time.Hour))
-	strike()
+	inject()
 	s.ledger.CalmReplica(r.ID, from, time.Now().Add(settling))
 }
 
-func (s *striker) strikeReplica(f *Fault) {
+func (s *injector) injectReplica(f *Fault) {
 	p, r := s.at(f.Target)
 	switch f.Kind {
 	case greyReplica:
-		s.turnGrey(f)
+		s.makeGrey(f)
 	case crashReplica:
 		s.crash(p, r, r.Service, f.For)
 	case reuseAddress:
@@ -309,16 +309,16 @@
 	}
 }
 
-// turnGrey gives some replicas a bad mood for a time.
-func (s *striker) turnGrey(f *Fault) {
+// makeGrey gives some replicas a bad behaviour for a time.
+func (s *injector) makeGrey(f *Fault) {
 	var wg sync.WaitGroup
 	for i := range 1 + f.Variant%mostGrey {
 		_, r := s.at(f.Target + i)
 		wg.Go(func() {
 			s.disturbReplica(r, func() {
-				r.SetMood(moods[(f.Variant/mostGrey)%len(moods)])
+				r.SetBehaviour(greyBehaviours[(f.Variant/mostGrey)%len(greyBehaviours)])
 				pause(s.ctx, f.For)
-				r.SetMood(everyday)
+				r.SetBehaviour(ordinary)
 			})
 		})
 	}
@@ -327,7 +327,7 @@
 
 // crash ends a replica without draining; its entry expires, and a new replica of a
 // service begins at its address.
-func (s *striker) crash(p *place, r *Replica, next string, down time.Duration) {
+func (s *injector) crash(p *place, r *Replica, next string, down time.Duration) {
 	s.vacate(p)
 	s.disturbReplica(r, func() {
 		r.End()
@@ -339,7 +339,7 @@
 
 // drain replaces a replica: the new one starts, the old one says that it leaves,
 // or its entry goes, and it serves on for a while.
-func (s *striker) drain(p *place, r *Replica, announced bool) {
+func (s *injector) drain(p *place, r *Replica, announced bool) {
 	s.vacate(p)
 	if s.addPlace(r.Service, r.Domain) != nil {
 		return
@@ -355,7 +355,7 @@
 	s.remove(r)
 }
 
-func (s *striker) changeConfig(f *Fault) {
+func (s *injector) changeConfig(f *Fault) {
 	switch f.Kind {
 	case addKey:
 		s.addKey()
--- a/internal/soak/link.go
+++ b/internal/soak/link.go
@@ -34,7 +34,7 @@
 
 type linkConn struct {
 	near, far *net.TCPConn
-	draw      float64 // decides whether a trouble's share strikes it
+	draw      float64 // decides whether the trouble applies, by its share
 }
 
 // openLink forwards from an address to a target.
--- a/internal/soak/replica.go
+++ b/internal/soak/replica.go
@@ -1,5 +1,5 @@
 // This file plays replicas: they run requests, tell the ledger, and misbehave as
-// their mood says.
+// their behaviour says.
 
 package soak
 
@@ -19,8 +19,8 @@
 	"hingewinch.org/hingewinch/platform/standin"
 )
 
-// mood says how a replica misbehaves. Each share is of the requests.
-type mood struct {
+// behaviour says how a replica misbehaves. Each share is of the requests.
+type behaviour struct {
 	Fail    float64 // answers 500 after the work
 	Shed    float64 // refuses without having run
 	Hang    float64 // never answers
@@ -29,12 +29,12 @@
 	Surplus float64 // answers twice, at once or in the place of the next answer
 }
 
-// everyday is the mood of a replica that is well: now and then an answer breaks
+// ordinary is the behaviour of a replica that is well: now and then an answer breaks
 // off, is lost or comes twice.
-var everyday = mood{Break: 0.01, Lose: 0.004, Surplus: 0.02}
+var ordinary = behaviour{Break: 0.01, Lose: 0.004, Surplus: 0.02}
 
-// moods are the variants of a grey replica.
-var moods = []mood{
+// greyBehaviours are the variants of a grey replica.
+var greyBehaviours = []behaviour{
 	{Fail: 0.5}, {Shed: 0.6}, {Hang: 0.3}, {Break: 0.3}, {Lose: 0.2}, {Surplus: 0.6}, {Fail: 1}, {Surplus: 0.3, Lose: 0.1, Break: 0.1},
 }
 
@@ -47,11 +47,11 @@
 	ledger   *Ledger
 	listener net.Listener
 
-	mu    sync.Mutex
-	mood  mood
-	busy  int
-	conns map[net.Conn]struct{}
-	ended bool
+	mu        sync.Mutex
+	behaviour behaviour
+	busy      int
+	conns     map[net.Conn]struct{}
+	ended     bool
 }
 
 // startReplica listens on a loopback address.
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Replica{ID: id, Service: service, Domain: domain, slots: slots, mood: everyday, ledger: l, listener: listener, conns: make(map[net.Conn]struct{})}
+	r := &Replica{ID: id, Service: service, Domain: domain, slots: slots, behaviour: ordinary, ledger: l, listener: listener, conns: make(map[net.Conn]struct{})}
 	go r.accept()
 	return r, nil
 }
@@ -68,11 +68,11 @@
 // Address returns where the replica listens.
 func (r *Replica) Address() string { return r.listener.Addr().String() }
 
-// SetMood changes how it misbehaves.
-func (r *Replica) SetMood(m mood) {
+// SetBehaviour changes how it misbehaves.
+func (r *Replica) SetBehaviour(m behaviour) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.mood = m
+	r.behaviour = m
 }
 
 // End closes the listener and resets all connections.
@@ -107,14 +107,14 @@
 // exchange is one request at a replica.
 type exchange struct {
 	*Replica
-	conn  net.Conn
-	head  standin.RequestHead
-	id    string // of the request
-	run   *Run
-	mood  mood
-	gone  chan struct{} // closed when the daemon's end is closed
-	draw  float64
-	stray *string // an answer that is written in the place of the next one
+	conn      net.Conn
+	head      standin.RequestHead
+	id        string // of the request
+	run       *Run
+	behaviour behaviour
+	gone      chan struct{} // closed when the daemon's end is closed
+	draw      float64
+	stray     *string // an answer that is written in the place of the next one
 }
 
 func (r *Replica) serve(c net.Conn) {
@@ -160,13 +160,13 @@
 	}
 	x.ledger.Arrived(x.id, arrival)
 	x.mu.Lock()
-	x.mood = x.Replica.mood
+	x.behaviour = x.Replica.behaviour
 	full := x.busy >= x.slots
 	if !full {
 		x.busy++
 	}
 	x.mu.Unlock()
-	if full || x.strikes(x.mood.Shed) {
+	if full || x.drawn(x.behaviour.Shed) {
 		if !full {
 			x.leaveSlot()
 		}
@@ -192,8 +192,8 @@
 	x.busy--
 }
 
-// strikes takes its share of the one draw of the exchange.
-func (x *exchange) strikes(share float64) bool {
+// drawn takes its share of the one draw of the exchange.
+func (x *exchange) drawn(share float64) bool {
 	hit := x.draw >= 0 && x.draw < share
 	x.draw -= share
 	return hit
@@ -235,26 +235,26 @@
 		return false
 	}
 	switch {
-	case x.strikes(x.mood.Fail):
+	case x.drawn(x.behaviour.Fail):
 		x.end(500)
 		return x.write(standin.Answer(500, x.id, x.ID, "failed"))
-	case x.strikes(x.mood.Hang):
+	case x.drawn(x.behaviour.Hang):
 		x.work(hangTime)
 		x.end(0)
 		return false
-	case x.strikes(x.mood.Break):
+	case x.drawn(x.behaviour.Break):
 		x.end(200)
 		whole := standin.Answer(200, x.id, x.ID, plainBody(x.id, x.ID))
 		_, _ = x.conn.Write([]byte(whole[:len(whole)*2/3]))
 		return false
-	case x.strikes(x.mood.Lose):
+	case x.drawn(x.behaviour.Lose):
 		x.end(0)
 		resetConn(x.conn.(*net.TCPConn))
 		return false
 	}
 	x.end(200)
 	whole := standin.Answer(200, x.id, x.ID, plainBody(x.id, x.ID))
-	if x.strikes(x.mood.Surplus) {
+	if x.drawn(x.behaviour.Surplus) {
 		if rand.IntN(2) == 0 {
 			whole += whole
 		} else {
@@ -269,7 +269,7 @@
 // if the connection ends.
 func (x *exchange) stream() bool {
 	from := x.head.LastEvent
-	if x.strikes(x.mood.Fail) {
+	if x.drawn(x.behaviour.Fail) {
 		x.end(500)
 		return x.write(standin.Answer(500, x.id, x.ID, "failed"))
 	}
@@ -299,7 +299,7 @@
 
 // streamFault draws how the stream ends in its middle; nil if it does not.
 func (x *exchange) streamFault() func(event string) {
-	hang, broken, lose := x.strikes(x.mood.Hang), x.strikes(x.mood.Break), x.strikes(x.mood.Lose)
+	hang, broken, lose := x.drawn(x.behaviour.Hang), x.drawn(x.behaviour.Break), x.drawn(x.behaviour.Lose)
 	switch {
 	case hang:
 		return func(string) {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -46,11 +46,11 @@
 
 // runner is a run under way.
 type runner struct {
-	plan    *Plan
-	options Options
-	site    *site
-	begun   time.Time
-	doors   []*standin.StoreDoor
+	plan      *Plan
+	options   Options
+	site      *site
+	begun     time.Time
+	endpoints []*standin.StoreEndpoint
 
 	mu     sync.Mutex
 	report *Report
@@ -81,7 +81,7 @@
 	return r.report, r.write()
 }
 
-// build starts the store's doors, the replicas and the daemons.
+// build starts the store's endpoints, the replicas and the daemons.
 func (r *runner) build(ctx context.Context) error {
 	s, p := r.site, r.plan
 	for i := range p.Domains {
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// addDaemons gives each daemon its addresses, settings and door of the store.
+// addDaemons gives each daemon its addresses, settings and endpoint of the store.
 func (r *runner) addDaemons(ctx context.Context) error {
 	s := r.site
 	ports, err := freePorts(portsPerFleet)
@@ -131,12 +131,12 @@
 	network := fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(250))
 	s.fleet = &fleet{binary: r.options.Daemon, dir: r.options.Dir, network: network, ports: ports, ledger: s.ledger, ctx: ctx}
 	for i := range r.plan.Daemons {
-		door, err := s.store.Open()
+		endpoint, err := s.store.Open()
 		if err != nil {
 			return err
 		}
-		r.doors = append(r.doors, door)
-		if _, err := s.fleet.add(i, s.domains[i%len(s.domains)], door.Address()); err != nil {
+		r.endpoints = append(r.endpoints, endpoint)
+		if _, err := s.fleet.add(i, s.domains[i%len(s.domains)], endpoint.Address()); err != nil {
 			return err
 		}
 	}
@@ -170,7 +170,7 @@
 			r.judge()
 		}
 	})
-	s := &striker{site: r.site, ctx: ctx, doors: r.doors, note: r.note}
+	s := &injector{site: r.site, ctx: ctx, endpoints: r.endpoints, note: r.note}
 	s.run(r.plan)
 	pause(ctx, r.plan.Quiet)
 	hangUp()
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -43,11 +43,11 @@
 
 // site is everything around the fleet.
 type site struct {
-	ledger  *Ledger
-	store   *standin.Store
-	fleet   *fleet
-	manners manners
-	domains []string
+	ledger       *Ledger
+	store        *standin.Store
+	fleet        *fleet
+	callerFaults callerFaults
+	domains      []string
 
 	mu       sync.Mutex
 	version  int
