--- a/cmd/hingestandin/load.go
+++ b/cmd/hingestandin/load.go
@@ -179,8 +179,8 @@
 	return n
 }
 
-// turn sends one turn until it is answered or patience ends. A refusal is no
-// failure: the caller is told when to come back.
+// turn sends one turn until it is answered or the time is over. A refusal is no
+// failure: it says when to come back.
 func (c *loadCommand) turn(t *tally, messages []message, i int) (answer, bool) {
 	body, _ := json.Marshal(map[string]any{"model": c.Model, "stream": true, "messages": messages})
 	last, _ := json.Marshal(messages[len(messages)-1].Content)
--- a/coordination/membership/member.go
+++ b/coordination/membership/member.go
@@ -16,7 +16,7 @@
 	Incarnation uint64
 )
 
-// Member is what daemons tell each other of one daemon.
+// Member is what heartbeats say of one daemon.
 type Member struct {
 	Address          Address
 	Domain           state.FailureDomain
--- a/coordination/membership/readers.go
+++ b/coordination/membership/readers.go
@@ -40,7 +40,7 @@
 	Wait  time.Duration // how long a watch may wait
 }
 
-// PlanReads returns the plan of this daemon. large tells whether the fleet is large.
+// PlanReads returns the plan of this daemon. large says whether the fleet is large.
 func (r *Roster) PlanReads(now time.Time, large bool) ReadPlan {
 	timeout := readerTimeout
 	if large {
--- a/coordination/outcome.go
+++ b/coordination/outcome.go
@@ -1,5 +1,5 @@
 // This file defines how an attempt can end. The three kinds are the only ones
-// there are: an end that can't be told apart is MayHaveRun.
+// there are: an end that is not known is MayHaveRun.
 
 package coordination
 
--- a/coordination/routing/config.go
+++ b/coordination/routing/config.go
@@ -41,7 +41,7 @@
 	Weight  int // relative to the route's other shares
 }
 
-// Route tells where the requests of a host and path prefix go.
+// Route says where the requests of a host and path prefix go.
 type Route struct {
 	Name   string
 	Host   string
--- a/coordination/routing/retry.go
+++ b/coordination/routing/retry.go
@@ -16,7 +16,7 @@
 //     connection, counts towards neither;
 //  4. fewer than [MaxChoices] replicas have been chosen.
 //
-// What the caller is told when it ends: the outcome of the last attempt, but once
+// What the caller gets when it ends: the outcome of the last attempt, but once
 // an attempt may have run the request, a later one that did not run it changes
 // nothing.
 
--- a/coordination/routing/retry_test.go
+++ b/coordination/routing/retry_test.go
@@ -1,20 +1,16 @@
 package routing_test
 
 import (
-	"flag"
 	"fmt"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
 	"hingewinch.org/hingewinch/coordination"
 	"hingewinch.org/hingewinch/coordination/routing"
+	"hingewinch.org/hingewinch/internal/golden"
 )
 
-var update = flag.Bool("update-golden", false, "write the golden files anew; only for a rule that is meant to change")
-
 // retryCase is one combination of what decides whether a request is sent again.
 type retryCase struct {
 	route    routing.Route
@@ -95,23 +91,5 @@
 		again, final := c.decide()
 		fmt.Fprintf(&b, "%s: again=%t final=%s\n", c, again, outcomeText(final))
 	}
-	file := filepath.Join("testdata", "golden", "retry.txt")
-	if *update {
-		if err := os.WriteFile(file, []byte(b.String()), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	wantLines, gotLines := strings.Split(string(want), "\n"), strings.Split(b.String(), "\n")
-	if len(wantLines) != len(gotLines) {
-		t.Fatalf("%d cases, want %d", len(gotLines), len(wantLines))
-	}
-	for i := range gotLines {
-		if gotLines[i] != wantLines[i] {
-			t.Fatalf("got  %s\nwant %s", gotLines[i], wantLines[i])
-		}
-	}
+	golden.Compare(t, "retry.txt", b.String())
 }
--- a/daemon/routes/catalog.go
+++ b/daemon/routes/catalog.go
@@ -11,7 +11,7 @@
 	"hingewinch.org/hingewinch/state/feed"
 )
 
-// Documents tells which of the store's documents are which, and reads them.
+// Documents says which of the store's documents are which, and reads them.
 type Documents interface {
 	// Config returns the document of the configuration, if it is known.
 	Config(f *feed.Feed) (feed.Item, bool)
--- a/daemon/routes/golden_test.go
+++ b/daemon/routes/golden_test.go
@@ -4,9 +4,6 @@
 	"bytes"
 	"encoding/json"
 	"errors"
-	"flag"
-	"os"
-	"path/filepath"
 	"regexp"
 	"strings"
 	"testing"
@@ -15,6 +12,7 @@
 	"hingewinch.org/hingewinch/coordination"
 	"hingewinch.org/hingewinch/coordination/membership"
 	"hingewinch.org/hingewinch/coordination/routing"
+	"hingewinch.org/hingewinch/internal/golden"
 	"hingewinch.org/hingewinch/transport/relay"
 )
 
@@ -22,33 +20,13 @@
 // byte or name by name. A change here is a change of a published form: a fleet
 // runs two builds during each replacement.
 
-var update = flag.Bool("update-golden", false, "write the golden files anew; only for a form that is new")
-
-// compareGolden compares text with a file of testdata.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	file := filepath.Join("testdata", "golden", name)
-	if *update {
-		if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs:\ngot:\n%s\nwant:\n%s", file, got, want)
-	}
-}
-
 // TestMetricsKeepTheirNames holds the names on the metrics address.
 func TestMetricsKeepTheirNames(t *testing.T) {
 	var b bytes.Buffer
 	if err := newMetrics().WriteText(&b); err != nil {
 		t.Fatal(err)
 	}
-	compareGolden(t, "metrics.txt", b.String())
+	golden.Compare(t, "metrics.txt", b.String())
 }
 
 // TestOperatorsAnswersKeepTheirFields holds the JSON of the operators' address.
@@ -61,7 +39,7 @@
 		}
 		b.Write(append(text, '\n'))
 	}
-	compareGolden(t, "operators.txt", b.String())
+	golden.Compare(t, "operators.txt", b.String())
 }
 
 // fieldName finds the names of a log line's fields.
@@ -111,7 +89,7 @@
 		}
 		b.WriteString(strings.Join(names, " ") + "\n")
 	}
-	compareGolden(t, "log.txt", b.String())
+	golden.Compare(t, "log.txt", b.String())
 }
 
 // TestSettingsKeepTheirKeys reads a file with every key; an unknown one would be an
--- a/internal/soak/replica.go
+++ b/internal/soak/replica.go
@@ -1,4 +1,4 @@
-// This file plays replicas: they run requests, tell the ledger, and misbehave as
+// This file plays replicas: they run requests, report to the ledger, and misbehave as
 // their behaviour says.
 
 package soak
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -56,7 +56,7 @@
 	report *Report
 }
 
-// Play plays a plan. The error tells that it could not be played; promises that
+// Play plays a plan. The error says that it could not be played; promises that
 // were broken stand in the report.
 func Play(ctx context.Context, p *Plan, o Options) (*Report, error) {
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
@@ -190,7 +190,7 @@
 }
 
 // judgeEnd judges the recovery: at the end of the quiet time all is served again,
-// and each daemon tells its figures.
+// and each daemon serves its figures.
 func (r *runner) judgeEnd() {
 	now := time.Now()
 	served, all := r.site.ledger.Served(now.Add(-endWindow), now.Add(-time.Second/2))
--- a/internal/standin/engine_control.go
+++ b/internal/standin/engine_control.go
@@ -49,7 +49,7 @@
 }
 
 // cacheEvents returns the events after a number. The first one that is left
-// tells of a gap.
+// reports a gap.
 func (e *Engine) cacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	e.mu.Lock()
--- a/protocol/gossip/gossip_test.go
+++ b/protocol/gossip/gossip_test.go
@@ -2,10 +2,8 @@
 
 import (
 	"encoding/hex"
-	"flag"
 	"fmt"
 	"os"
-	"path/filepath"
 	"reflect"
 	"slices"
 	"strings"
@@ -14,6 +12,7 @@
 	"hingewinch.org/hingewinch/coordination"
 	"hingewinch.org/hingewinch/coordination/membership"
 	"hingewinch.org/hingewinch/coordination/routing"
+	"hingewinch.org/hingewinch/internal/golden"
 	"hingewinch.org/hingewinch/state/feed"
 )
 
@@ -115,26 +114,6 @@
 	}
 }
 
-var update = flag.Bool("update-golden", false, "write the golden files anew; only for a form that is new")
-
-// compareGolden compares text with a file of testdata.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	file := filepath.Join("testdata", "golden", name)
-	if *update {
-		if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs:\ngot:\n%s\nwant:\n%s", file, got, want)
-	}
-}
-
 func goldenHeartbeat() Heartbeat {
 	return Heartbeat{
 		Sender: membership.Member{Address: "10.0.0.1:7340", Domain: "z1", Incarnation: 7, Heartbeats: 9, StoreUnreachable: true},
@@ -171,13 +150,13 @@
 	}}
 	payload, err = encodeDocuments(&documents)
 	write("documents", payload, err)
-	compareGolden(t, "messages.txt", b.String())
+	golden.Compare(t, "messages.txt", b.String())
 }
 
 // TestOldMessagesAreRead decodes the golden messages: what another build sent is
 // understood, and compressed documents come through.
 func TestOldMessagesAreRead(t *testing.T) {
-	text, err := os.ReadFile(filepath.Join("testdata", "golden", "messages.txt"))
+	text, err := os.ReadFile(golden.File("messages.txt"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/state/config.go
+++ b/state/config.go
@@ -152,7 +152,7 @@
 func (c *Config) Text() []byte { return c.text }
 
 // Authenticate returns the workspace that owns an API key, or nil. The key is
-// hashed before it is looked up, so the time taken tells nothing of how much
+// hashed before it is looked up, so the time taken shows nothing of how much
 // of a wrong key was right.
 func (c *Config) Authenticate(key string) *Workspace {
 	return c.keys[sha256.Sum256([]byte(key))]
--- a/state/feed/feed.go
+++ b/state/feed/feed.go
@@ -47,7 +47,7 @@
 	items    map[string]Item
 	revision Revision
 	// horizon is the newest removal that was forgotten: what changed since an earlier
-	// revision can't be told without it.
+	// revision can't be listed without it.
 	horizon    Revision
 	tombstones []string
 }
--- a/transport/gateway/attempts.go
+++ b/transport/gateway/attempts.go
@@ -53,7 +53,7 @@
 	pool      *state.Pool
 	key       state.ChatKey
 	request   UpstreamRequest
-	// failed is told of each attempt without a response that the caller did not
+	// failed is called for each attempt without a response that the caller did not
 	// end: that one would say nothing of the upstream.
 	failed func(c *state.Candidate, o coordination.Outcome, err error)
 }
--- a/transport/gateway/chat.go
+++ b/transport/gateway/chat.go
@@ -122,7 +122,7 @@
 	g.answer(c, resp.StatusCode, protocol.ReturnHeader(resp.Header), body)
 }
 
-// answer writes a whole answer. The caller can tell from the length if it was
+// answer writes a whole answer. The caller can see from the length if it was
 // cut.
 func (g *Gateway) answer(c *call, status int, header http.Header, body []byte) {
 	h := c.w.Header()
--- a/transport/gateway/evidence.go
+++ b/transport/gateway/evidence.go
@@ -1,6 +1,6 @@
 // This file gives evidence of whether a request can have reached an upstream.
 // It stands below the HTTP client, at the connection, because the client's own
-// trace tells of a write only after the fact: between a cancelled call and the
+// trace reports a write only after the fact: between a cancelled call and the
 // client's writing goroutine there is a moment in which nothing is written yet
 // and something still may be. An attempt that is sealed can write nothing any
 // more.
@@ -83,7 +83,7 @@
 	}
 }
 
-// evidenceConn tells the attempt that uses it of each write. HTTP/1.1 gives a
+// evidenceConn reports each write to the attempt that uses it. HTTP/1.1 gives a
 // connection to one request at a time, and HTTP/2 is off towards upstreams.
 type evidenceConn struct {
 	net.Conn
--- a/transport/gateway/golden_test.go
+++ b/transport/gateway/golden_test.go
@@ -3,16 +3,12 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
-	"os"
-	"path/filepath"
 	"testing"
 
+	"hingewinch.org/hingewinch/internal/golden"
 	"hingewinch.org/hingewinch/transport/gateway"
 )
 
-var update = flag.Bool("update-golden", false, "write the golden files anew; only for a form that is new")
-
 // TestPublishedNamesAreKept holds the names on the metrics address and the fields
 // of the operators' answers.
 func TestPublishedNamesAreKept(t *testing.T) {
@@ -29,17 +25,5 @@
 		}
 		got.Write(append(text, '\n'))
 	}
-	file := filepath.Join("testdata", "golden", "names.txt")
-	if *update {
-		if err := os.WriteFile(file, got.Bytes(), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got.String() != string(want) {
-		t.Errorf("got:\n%s\nwant:\n%s", got.String(), want)
-	}
+	golden.Compare(t, "names.txt", got.String())
 }
--- a/transport/gateway/once.go
+++ b/transport/gateway/once.go
@@ -118,7 +118,7 @@
 
 // RunForPeer runs a request that a peer passed on. A request with a caller's own
 // key must show a fresh challenge: one that was held up on the way may be older
-// than the window, and nothing else in it can tell.
+// than the window, and nothing else in it can show that.
 func (o *OnceRunner) RunForPeer(ctx context.Context, r *OnceRequest, challenge string) OnceResult {
 	if !fleet.IsTicket(r.Key) && !o.issuer.IsFresh(challenge, o.age()) {
 		return OnceChallenge{o.issuer.Challenge(o.age())}
--- a/transport/gateway/oncerequest.go
+++ b/transport/gateway/oncerequest.go
@@ -29,7 +29,7 @@
 	return fleet.LedgerKey{Workspace: r.Workspace, Service: r.Service, Key: r.Key}
 }
 
-// fingerprint tells a repeat from another request under the same key.
+// fingerprint distinguishes a repeat from another request under the same key.
 func (r *OnceRequest) fingerprint() fleet.Fingerprint {
 	h := sha256.New()
 	for _, field := range [][]byte{[]byte(r.Method), []byte(r.Target), r.Body} {
--- a/transport/gateway/upstream.go
+++ b/transport/gateway/upstream.go
@@ -152,7 +152,7 @@
 	return resp, nil, nil
 }
 
-// failedOutcome tells from the evidence how an attempt without a response
+// failedOutcome finds from the evidence how an attempt without a response
 // ended.
 func failedOutcome(ctx context.Context, a *Attempt) coordination.Outcome {
 	if a.Seal() {
--- a/transport/gateway/watch.go
+++ b/transport/gateway/watch.go
@@ -41,8 +41,8 @@
 
 // NewWatcher returns a watcher that works until ctx ends. up should count its
 // bytes as control traffic.
-func NewWatcher(ctx context.Context, up *Upstreams, tell func(fleet.Event)) *Watcher {
-	return &Watcher{ctx: ctx, upstreams: up, post: tell, running: make(map[state.UpstreamID]*watch)}
+func NewWatcher(ctx context.Context, up *Upstreams, post func(fleet.Event)) *Watcher {
+	return &Watcher{ctx: ctx, upstreams: up, post: post, running: make(map[state.UpstreamID]*watch)}
 }
 
 // Set replaces the set of watched upstreams. A watch of an upstream that stays
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -53,7 +53,7 @@
 }
 
 // Serve answers a call. It returns when the caller has its final answer or has
-// left, which ctx tells.
+// left, which shows in ctx.
 func (r *Relay) Serve(ctx context.Context, c *Call, sink Sink) *Summary {
 	s := &serving{Relay: r, call: c, sink: sink, attempts: routing.NewAttempts(c.Route)}
 	for range routing.MaxChoices {
