--- a/coordination/routing/cache.go
+++ b/coordination/routing/cache.go
@@ -28,7 +28,7 @@
 // hold 127,500 tokens.
 const locationSizeUnit = 500
 
-func locationSize(tokens int) uint8 {
+func locationSize(tokens Tokens) uint8 {
 	return uint8(min(255, max(1, tokens/locationSizeUnit)))
 }
 
@@ -75,7 +75,7 @@
 
 // Record notes that a replica has read a prompt for this daemon. prompt is the
 // placement key, tokens the number of shared tokens.
-func (t *CacheTable) Record(prompt uint64, tokens int, replica LoadKey, now time.Time) {
+func (t *CacheTable) Record(prompt uint64, tokens Tokens, replica LoadKey, now time.Time) {
 	if t == nil {
 		return
 	}
--- a/coordination/routing/config.go
+++ b/coordination/routing/config.go
@@ -18,6 +18,8 @@
 	WorkspaceName string
 	// ConfigVersion orders configurations; a later one is higher.
 	ConfigVersion uint64
+	// Tokens counts the tokens of a prompt.
+	Tokens int
 )
 
 // Kind says how often a request may run.
--- a/coordination/routing/request.go
+++ b/coordination/routing/request.go
@@ -14,7 +14,7 @@
 // PromptPart is one part of a prompt, in the order in which it is read.
 type PromptPart struct {
 	ID     string
-	Tokens int
+	Tokens Tokens
 }
 
 // Request is what the decisions need to know of a caller's request.
@@ -30,8 +30,8 @@
 
 // SharedTokens returns how many tokens of the prompt other requests share: all
 // parts but the last, which belongs to this request or its session.
-func (r *Request) SharedTokens() int {
-	n := 0
+func (r *Request) SharedTokens() Tokens {
+	var n Tokens
 	for _, p := range r.shared() {
 		n += p.Tokens
 	}
--- a/coordination/routing/view.go
+++ b/coordination/routing/view.go
@@ -9,6 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"hingewinch.org/hingewinch/state"
+	"hingewinch.org/hingewinch/state/feed"
 )
 
 // Replica is one replica as it announced itself.
@@ -71,8 +72,8 @@
 // View is what traffic reads: one configuration and the replicas. It is
 // immutable.
 type View struct {
-	Table    *Table // nil until a configuration is known
-	Revision uint64 // of the documents that it was built from
+	Table    *Table        // nil until a configuration is known
+	Revision feed.Revision // of the documents that it was built from
 	Pools    map[ServiceName]*Pool
 	Domain   state.FailureDomain // of this daemon
 	Daemons  int                 // live daemons, this one counted
--- a/daemon/routes/catalog.go
+++ b/daemon/routes/catalog.go
@@ -136,7 +136,7 @@
 
 // view builds the view of the documents.
 func (c *catalog) view(now time.Time) *routing.View {
-	v := &routing.View{Table: c.table, Revision: uint64(c.feed.Revision()), Pools: make(map[routing.ServiceName]*routing.Pool)}
+	v := &routing.View{Table: c.table, Revision: c.feed.Revision(), Pools: make(map[routing.ServiceName]*routing.Pool)}
 	for _, r := range c.replicas {
 		p := poolOf(v, r.Service)
 		if r.Draining {
--- a/daemon/routes/log.go
+++ b/daemon/routes/log.go
@@ -225,9 +225,9 @@
 	e.Str("request", string(c.ID)).Str("route", c.Route.Name).Str("outcome", coordination.OutcomeName(s.Outcome)).
 		Str("reason", reasonOf(s.Outcome)).Int("status", s.Status).Bool("gone", s.Gone).Int("events", s.Events).
 		Int64("first_ms", s.FirstByte.Milliseconds()).Int64("total_ms", s.Total.Milliseconds()).
-		Uint64("revision", s.Revision)
+		Uint64("revision", uint64(s.Revision))
 	if len(c.Prompt) > 0 {
-		e.Str("prompt", strconv.FormatUint(c.Key(), 36)).Int("shared", c.SharedTokens())
+		e.Str("prompt", strconv.FormatUint(c.Key(), 36)).Int("shared", int(c.SharedTokens()))
 	}
 	for i := range s.Attempts {
 		a := &s.Attempts[i]
--- a/transport/relay/call.go
+++ b/transport/relay/call.go
@@ -9,6 +9,7 @@
 
 	"hingewinch.org/hingewinch/coordination"
 	"hingewinch.org/hingewinch/coordination/routing"
+	"hingewinch.org/hingewinch/state/feed"
 )
 
 // Call is one request of a caller, read whole.
@@ -82,8 +83,8 @@
 	FirstByte time.Duration // 0: none
 	Total     time.Duration
 	Events    int
-	Gone      bool   // the caller left
-	Revision  uint64 // of the documents on which the last attempt was decided
+	Gone      bool          // the caller left
+	Revision  feed.Revision // of the documents on which the last attempt was decided
 }
 
 // Observer takes note of decisions. Its methods must not block.
