--- a/cmd/hingectl/router.go
+++ b/cmd/hingectl/router.go
@@ -63,7 +63,7 @@
 func (c *routerMembersCommand) Execute([]string) error {
 	w := table()
 	defer w.Flush()
-	fmt.Fprintln(w, "ADDRESS\tZONE\tLIFE\tLEAVING")
+	fmt.Fprintln(w, "ADDRESS\tDOMAIN\tINCARNATION\tLEAVING")
 	return c.askAll(func(address string) error {
 		var list []routes.MemberAnswer
 		if err := ask(address, routes.PathMembers, &list); err != nil {
@@ -85,7 +85,7 @@
 func (c *routerReplicasCommand) Execute([]string) error {
 	w := table()
 	defer w.Flush()
-	fmt.Fprintln(w, "SERVICE\tREPLICA\tZONE\tADDRESS\tSTATE\tLOAD\tFAILED\tPASSED OVER")
+	fmt.Fprintln(w, "SERVICE\tREPLICA\tDOMAIN\tADDRESS\tSTATE\tLOAD\tFAILED\tEJECTED")
 	return c.askAll(func(address string) error {
 		var list []routes.ReplicaAnswer
 		if err := ask(address, routes.PathReplicas, &list); err != nil {
--- a/coordination/routing/eject.go
+++ b/coordination/routing/eject.go
@@ -9,7 +9,7 @@
 //  1. A replica that takes no connection, or is silent for longer than giveup.go
 //     allows, is ejected at once by the daemon that saw it.
 //  2. Any other failure ejects it if the fleet counted at least leastFailures and
-//     they are failureShare of all results. One daemon sees some 1.6 requests a
+//     they are at least failureShare of all results. One daemon sees some 1.6 requests a
 //     second at one replica, too few to judge by itself (581d2ed).
 //  3. An ejection lasts firstEjection, twice as long each time up to
 //     longestEjection, and is short again after ejectionMemory without one. After
