--- a/daemon/openai/daemon_test.go
+++ b/daemon/openai/daemon_test.go
@@ -4,7 +4,7 @@
 	"context"
 	"crypto/ecdsa"
 	"crypto/elliptic"
-	"crypto/rand"
+	crand "crypto/rand"
 	"crypto/tls"
 	"crypto/x509"
 	"encoding/json"
@@ -12,12 +12,13 @@
 	"fmt"
 	"io"
 	"math/big"
-	"net"
+	mrand "math/rand/v2"
 	"net/http"
 	"net/http/httptest"
 	"os"
 	"path/filepath"
 	"strings"
+	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -61,11 +62,23 @@
 	done     chan error
 }
 
+// testPort is the port of all listeners of daemons. It lies below the ports that the
+// system draws for others: a port that was drawn and given back may be drawn again
+// before the daemon listens on it.
+const testPort = 7350
+
+var (
+	addressesMu   sync.Mutex
+	addressesUsed = mrand.IntN(1 << 20)
+)
+
+// freeAddress returns a loopback address that no other listener of the tests has.
 func freeAddress() string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	Expect(err).NotTo(HaveOccurred())
-	defer l.Close()
-	return l.Addr().String()
+	addressesMu.Lock()
+	defer addressesMu.Unlock()
+	addressesUsed++
+	n := addressesUsed
+	return fmt.Sprintf("127.%d.%d.%d:%d", 1+n>>16, n>>8&255, n&255, testPort)
 }
 
 func serveHandler(h http.Handler) string {
@@ -305,23 +318,23 @@
 }
 
 func newAuthority(dir string) *authority {
-	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	k, err := ecdsa.GenerateKey(elliptic.P256(), crand.Reader)
 	Expect(err).NotTo(HaveOccurred())
 	t := &x509.Certificate{SerialNumber: big.NewInt(1), NotAfter: time.Now().Add(time.Hour), IsCA: true, BasicConstraintsValid: true}
-	der, err := x509.CreateCertificate(rand.Reader, t, t, &k.PublicKey, k)
+	der, err := x509.CreateCertificate(crand.Reader, t, t, &k.PublicKey, k)
 	Expect(err).NotTo(HaveOccurred())
 	writePEM(filepath.Join(dir, "ca.pem"), "CERTIFICATE", der)
 	return &authority{t, k}
 }
 
 func (a *authority) sign(dir, name string) {
-	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	k, err := ecdsa.GenerateKey(elliptic.P256(), crand.Reader)
 	Expect(err).NotTo(HaveOccurred())
 	t := &x509.Certificate{
 		SerialNumber: big.NewInt(2), NotAfter: time.Now().Add(time.Hour),
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
-	der, err := x509.CreateCertificate(rand.Reader, t, a.cert, &k.PublicKey, a.key)
+	der, err := x509.CreateCertificate(crand.Reader, t, a.cert, &k.PublicKey, a.key)
 	Expect(err).NotTo(HaveOccurred())
 	writePEM(filepath.Join(dir, name+".pem"), "CERTIFICATE", der)
 	keyDER, err := x509.MarshalECPrivateKey(k)
--- a/daemon/routes/daemon_test.go
+++ b/daemon/routes/daemon_test.go
@@ -7,7 +7,6 @@
 	"fmt"
 	"io"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -46,7 +45,6 @@
 // site is a store, replicas and daemons on loopback addresses of their own.
 type site struct {
 	store   *standin.Store
-	port    int    // of all peers
 	network string // the first three numbers of all addresses
 	daemons []*node
 	version int
@@ -64,15 +62,16 @@
 	err      error
 }
 
+// peersPort is the port of all peers. It lies below the ports that the system draws:
+// a daemon's other listeners stand on the same address and draw theirs, and one of
+// them could be given the peers' port before the peers' listener is opened.
+const peersPort = 7340
+
 func newSite() *site {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
-	Expect(err).NotTo(HaveOccurred())
-	port := l.Addr().(*net.TCPAddr).Port
-	Expect(l.Close()).To(Succeed())
-	// Each site has loopback addresses of its own: another process that draws the
-	// same port must not be in the way.
+	// Each site has loopback addresses of its own: another process with the same port
+	// must not be in the way.
 	network := fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(250))
-	return &site{store: standin.NewStore(50), port: port, network: network}
+	return &site{store: standin.NewStore(50), network: network}
 }
 
 func (s *site) configure(keys ...string) {
@@ -109,7 +108,7 @@
 	Expect(err).NotTo(HaveOccurred())
 	ip := fmt.Sprintf("%s.%d", s.network, 10+i)
 	settings := &routes.Settings{
-		ID: "d", Listen: routes.Listeners{Callers: ip + ":0", Readiness: ip + ":0", Operators: ip + ":0", Peers: fmt.Sprintf("%s:%d", ip, s.port)},
+		ID: "d", Listen: routes.Listeners{Callers: ip + ":0", Readiness: ip + ":0", Operators: ip + ":0", Peers: fmt.Sprintf("%s:%d", ip, peersPort)},
 		Store: endpoint.Address(), Level: "info",
 	}
 	settings.Domain = "z0"
