--- a/coordination/routing/cache.go
+++ b/coordination/routing/cache.go
@@ -187,10 +187,3 @@
 	}
 	return out
 }
-
-// Len returns how many prompts are remembered.
-func (t *CacheTable) Len() int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return len(t.prompts)
-}
--- a/coordination/routing/eject.go
+++ b/coordination/routing/eject.go
@@ -153,16 +153,6 @@
 	return out
 }
 
-// Usable reports whether a replica may be chosen.
-func (h *Health) Usable(r *Replica, now time.Time) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if rec := h.records[r.LoadKey()]; rec != nil && rec.ejected(now) {
-		return false
-	}
-	return !h.domainIsCutOff(r.Domain, now)
-}
-
 // Reachable reports whether a replica can be expected to answer, even if its
 // answers are errors: prompts can be copied from it.
 func (h *Health) Reachable(r *Replica, now time.Time) bool {
--- a/coordination/routing/suite_test.go
+++ b/coordination/routing/suite_test.go
@@ -1,24 +1,11 @@
 package routing_test
 
 import (
-	"flag"
 	"testing"
 
-	. "github.com/onsi/ginkgo/v2"
-	. "github.com/onsi/gomega"
+	"hingewinch.org/hingewinch/internal/spec"
 )
 
-// rapid draws from a fixed seed, so that each run has the same verdict; the flag
-// -rapid.seed on the command line still takes precedence.
-func init() {
-	if err := flag.Set("rapid.seed", "1"); err != nil {
-		panic(err)
-	}
-}
+func init() { spec.FixRapid() }
 
-func TestSuite(t *testing.T) {
-	RegisterFailHandler(Fail)
-	suite, reporter := GinkgoConfiguration()
-	suite.RandomSeed = 1
-	RunSpecs(t, "routing", suite, reporter)
-}
+func TestSuite(t *testing.T) { spec.Run(t, "routing") }
--- a/coordination/suite_test.go
+++ b/coordination/suite_test.go
@@ -4,16 +4,10 @@
 	"testing"
 	"time"
 
-	. "github.com/onsi/ginkgo/v2"
-	. "github.com/onsi/gomega"
+	"hingewinch.org/hingewinch/internal/spec"
 )
 
-func TestCoordination(t *testing.T) {
-	RegisterFailHandler(Fail)
-	suite, reporter := GinkgoConfiguration()
-	suite.RandomSeed = 1
-	RunSpecs(t, "coordination", suite, reporter)
-}
+func TestCoordination(t *testing.T) { spec.Run(t, "coordination") }
 
 // epoch is the time at which tests begin.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
--- a/daemon/openai/daemon_test.go
+++ b/daemon/openai/daemon_test.go
@@ -28,6 +28,7 @@
 	"github.com/phuslu/log"
 
 	"hingewinch.org/hingewinch/daemon/openai"
+	"hingewinch.org/hingewinch/internal/spec"
 	"hingewinch.org/hingewinch/internal/standin"
 	"hingewinch.org/hingewinch/protocol"
 	"hingewinch.org/hingewinch/state"
@@ -35,12 +36,7 @@
 	"hingewinch.org/hingewinch/transport/gateway"
 )
 
-func TestDaemon(t *testing.T) {
-	RegisterFailHandler(Fail)
-	suite, reporter := GinkgoConfiguration()
-	suite.RandomSeed = 1
-	RunSpecs(t, "daemon", suite, reporter)
-}
+func TestDaemon(t *testing.T) { spec.Run(t, "daemon") }
 
 const (
 	key      = "key-of-w"
--- a/internal/standin/members.go
+++ b/internal/standin/members.go
@@ -1,4 +1,6 @@
-// This file writes a member list in the form that the platform publishes.
+// This file writes a member list in the form that the platform publishes. The form is
+// written down a second time on purpose: a stand-in that shared the product's would
+// agree with it on a wrong one.
 
 package standin
 
--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"io"
 	"strings"
@@ -15,26 +14,16 @@
 
 	"hingewinch.org/hingewinch/coordination"
 	"hingewinch.org/hingewinch/coordination/fleet"
+	"hingewinch.org/hingewinch/internal/spec"
 	"hingewinch.org/hingewinch/internal/standin"
 	"hingewinch.org/hingewinch/protocol"
 	"hingewinch.org/hingewinch/protocol/peer"
 	"hingewinch.org/hingewinch/state"
 )
 
-// rapid draws from a fixed seed, so that each run has the same verdict; the flag
-// -rapid.seed on the command line still takes precedence.
-func init() {
-	if err := flag.Set("rapid.seed", "1"); err != nil {
-		panic(err)
-	}
-}
+func init() { spec.FixRapid() }
 
-func TestProtocol(t *testing.T) {
-	RegisterFailHandler(Fail)
-	suite, reporter := GinkgoConfiguration()
-	suite.RandomSeed = 1
-	RunSpecs(t, "protocol", suite, reporter)
-}
+func TestProtocol(t *testing.T) { spec.Run(t, "protocol") }
 
 var _ = Describe("a chat's identity", func() {
 	identity := func(body string) string {
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -8,15 +8,11 @@
 	. "github.com/onsi/gomega"
 
 	"hingewinch.org/hingewinch/coordination"
+	"hingewinch.org/hingewinch/internal/spec"
 	"hingewinch.org/hingewinch/state"
 )
 
-func TestState(t *testing.T) {
-	RegisterFailHandler(Fail)
-	suite, reporter := GinkgoConfiguration()
-	suite.RandomSeed = 1
-	RunSpecs(t, "state", suite, reporter)
-}
+func TestState(t *testing.T) { spec.Run(t, "state") }
 
 const good = `version: 3
 models:
--- a/transport/gateway/suite_test.go
+++ b/transport/gateway/suite_test.go
@@ -12,11 +12,9 @@
 	"testing"
 	"time"
 
-	. "github.com/onsi/ginkgo/v2"
-	. "github.com/onsi/gomega"
-
 	"hingewinch.org/hingewinch/coordination"
 	"hingewinch.org/hingewinch/coordination/fleet"
+	"hingewinch.org/hingewinch/internal/spec"
 	"hingewinch.org/hingewinch/internal/standin"
 	"hingewinch.org/hingewinch/protocol"
 	"hingewinch.org/hingewinch/state"
@@ -24,12 +22,7 @@
 	"hingewinch.org/hingewinch/transport/gateway"
 )
 
-func TestTransport(t *testing.T) {
-	RegisterFailHandler(Fail)
-	suite, reporter := GinkgoConfiguration()
-	suite.RandomSeed = 1
-	RunSpecs(t, "gateway", suite, reporter)
-}
+func TestTransport(t *testing.T) { spec.Run(t, "gateway") }
 
 const (
 	testKey  = "key-of-w"
