--- a/daemon/doc.go
+++ b/daemon/doc.go
@@ -1,7 +1,6 @@
-// Package daemon holds what the daemons of both front ends need once: servers on
-// their sockets and the reading of settings files. The daemons themselves stand
-// below it: routes serves the front end in production, openai the OpenAI
-// protocol.
+// Package daemon contains code shared by the daemons of both front ends: HTTP
+// servers bound to their sockets, and loading of settings files. The daemons are
+// subpackages: routes serves the production front end, openai the OpenAI protocol.
 //
 // # Usage
 //
--- a/daemon/listener.go
+++ b/daemon/listener.go
@@ -1,4 +1,4 @@
-// This file defines a server on its socket.
+// This file defines an HTTP server bound to its socket.
 
 package daemon
 
@@ -12,25 +12,26 @@
 	"github.com/rotisserie/eris"
 )
 
-// Version is the release, set by the linker.
+// Version is the release version, set by the linker.
 var Version = "dev"
 
-// Limits bound what a server bears of a client. There is none for writing a whole
-// answer: a stream may take long, and each write has a deadline of its own.
+// Limits bound what a client can demand of a server. There is no limit on the time
+// to write a whole response: streams can be long-lived, and every write has its own
+// deadline.
 type Limits struct {
-	ReadHeader  time.Duration // until a request's header has come
-	Idle        time.Duration // between two requests of a connection
+	ReadHeader  time.Duration // time to receive a request's header
+	Idle        time.Duration // between two requests on a connection
 	HeaderBytes int
 }
 
-// Listener is one server on its socket.
+// Listener is an HTTP server and the socket it serves.
 type Listener struct {
 	Server *http.Server
 	Socket net.Listener
 }
 
-// Listen opens a socket. The server has no handler yet. network is tcp or tcp4,
-// address IP:PORT.
+// Listen opens a socket. The caller sets the server's handler before Serve. network
+// is tcp or tcp4, address is IP:PORT.
 func Listen(network, address string, l Limits, errorLog *log.Logger) (*Listener, error) {
 	socket, err := net.Listen(network, address)
 	if err != nil {
@@ -41,18 +42,19 @@
 	}}, nil
 }
 
-// Address returns where the listener is served, as IP:PORT.
+// Address returns the listener's address as IP:PORT.
 func (l *Listener) Address() string { return l.Socket.Addr().String() }
 
-// Serve serves until Close or a planned stop. Any other end is sent to failed.
+// Serve accepts connections until Close or a graceful shutdown. Any other error is
+// sent to failed.
 func (l *Listener) Serve(failed chan<- error) {
 	if err := l.Server.Serve(l.Socket); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		failed <- eris.Wrapf(err, "serve on %s", l.Socket.Addr())
 	}
 }
 
-// Close ends the server at once and closes its socket. Errors mean that it was
-// closed before.
+// Close stops the server immediately and closes its socket. Errors are ignored: they
+// mean that it was closed before.
 func (l *Listener) Close() {
 	_ = l.Server.Close()
 	_ = l.Socket.Close()
--- a/daemon/routes/catalog.go
+++ b/daemon/routes/catalog.go
@@ -1,5 +1,5 @@
-// This file holds the documents that are known, and what they mean: the
-// configuration in force and the replicas.
+// This file keeps the documents known to this daemon and the state parsed from them:
+// the active configuration, the replicas and the evacuated failure domains.
 
 package routes
 
@@ -15,50 +15,52 @@
 	"hingewinch.org/hingewinch/state/feed"
 )
 
-// Documents says which of the store's documents are which, and reads them.
+// Documents classifies and parses the store's documents.
 type Documents interface {
-	// Config returns the document of the configuration, if it is known.
+	// Config returns the configuration document, if it is known.
 	Config(f *feed.Feed) (feed.Item, bool)
-	// ParseConfig reads it. The configuration is taken whole or not at all.
+	// ParseConfig parses a configuration document. A configuration is accepted as a
+	// whole or rejected.
 	ParseConfig(it feed.Item) (*routing.Table, error)
-	// ParseReplica reads the document of a replica. The error says why it names none.
+	// ParseReplica parses a replica's entry. The error says why the entry is unusable.
 	ParseReplica(it feed.Item) (routing.Replica, error)
 	feed.Order
-	// ReplicaID returns which replica a document is about; false if it is about
-	// something else.
+	// ReplicaID returns the replica whose entry has the given key; false if the key
+	// belongs to another kind of document.
 	ReplicaID(key string) (routing.ReplicaID, bool)
-	// EvacuatedDomain returns the failure domain whose evacuation a document is about;
-	// false if it is about something else.
+	// EvacuatedDomain returns the failure domain whose evacuation document has the given
+	// key; false if the key belongs to another kind of document.
 	EvacuatedDomain(key string) (state.FailureDomain, bool)
 }
 
-// sourceStore is the source, in the log, of documents that came from the store;
-// other sources are peers' addresses.
+// sourceStore is the logged source of documents read from the store; documents from
+// peers are logged with the peer's address.
 const sourceStore = "store"
 
-// maxReplicaLines is the number of documents that change at once up to which the log
-// has a line for each replica. A start in a large fleet changes thousands; the
-// line of the documents says how many.
+// maxReplicaLines is the largest number of simultaneous document changes for which the
+// log has a line for each replica. A start in a large fleet changes thousands; the
+// summary line about the documents gives their number.
 const maxReplicaLines = 100
 
-// catalog is the documents and what they mean. The control loop owns it.
+// catalog holds the documents and the state parsed from them. It is owned by the
+// control loop.
 type catalog struct {
 	documents Documents
 	log       *Log
 	feed      *feed.Feed
-	// table is the configuration in force, nil at first, and tableItem its document.
+	// table is the active configuration, nil until there is one; tableItem is its document.
 	table       *routing.Table
 	tableItem   feed.Item
-	replicas    map[string]routing.Replica // by key of their documents
+	replicas    map[string]routing.Replica // by document key
 	lists       map[routing.ServiceName]*routing.ReplicaList
-	unusable    map[string]unusableEntry // by key
+	unusable    map[string]unusableEntry // by document key
 	expired     *routing.ExpiredEntries
 	evacuations *routing.Evacuations
-	everything  *packing // nil: no peer has asked for all documents since the last change
+	everything  *packing // nil if no peer has requested all documents since the last change
 	changedAt   time.Time
 }
 
-// unusableEntry is an entry that names no replica, and why.
+// unusableEntry is a replica's entry that can't be used, with the reason.
 type unusableEntry struct {
 	id  routing.ReplicaID
 	why error
@@ -71,10 +73,10 @@
 	}
 }
 
-// apply takes over documents that changed in the feed. storeTrouble says that the
-// store was unreachable lately, so that entries may have expired though the
-// replicas live. It returns the replicas that have lost what they cached, because they turned
-// cold or started again.
+// apply updates the catalog from documents that changed in the feed. storeTrouble says
+// that the store was unreachable recently, so that entries of healthy replicas may have
+// expired. It returns the replicas that lost their prompt cache because they became cold
+// or restarted.
 func (c *catalog) apply(changed []feed.Item, source string, storeTrouble bool, now time.Time) (emptied []routing.LoadKey) {
 	c.everything = nil
 	logEach := len(changed) <= maxReplicaLines
@@ -90,7 +92,7 @@
 	return emptied
 }
 
-// States of replicas in the log and in operators' answers.
+// States of replicas in the log and in responses to operators.
 const (
 	stateReady     = "ready"
 	stateDraining  = "draining"
@@ -98,7 +100,7 @@
 	stateCold      = "cold"
 	stateWarm      = "warm"
 	stateRestarted = "restarted"
-	stateUnusable  = "unusable" // its entry names no replica
+	stateUnusable  = "unusable" // its entry can't be used
 )
 
 func stateName(r *routing.Replica) string {
@@ -108,9 +110,9 @@
 	return stateReady
 }
 
-// applyReplica takes over the document of a replica, if it is one. It returns the incarnation
-// that was known and has lost what it cached, if there is one: the replica turned cold, or
-// started again.
+// applyReplica updates a replica from its entry, and ignores other documents. If a known
+// incarnation lost its prompt cache because the replica became cold or restarted, it returns
+// the key of that incarnation.
 func (c *catalog) applyReplica(it feed.Item, storeTrouble, logEach bool, now time.Time) (emptied routing.LoadKey, ok bool) {
 	id, ok := c.documents.ReplicaID(it.Key)
 	if !ok {
@@ -150,10 +152,10 @@
 	return before.LoadKey(), known && (turnedCold || isRestart(&before, &r))
 }
 
-// isRestart reports whether two entries are of two starts of one replica.
+// isRestart reports whether two entries of a replica belong to different incarnations.
 func isRestart(before, r *routing.Replica) bool { return before.Incarnation() != r.Incarnation() }
 
-// logReplica writes what changed about a replica.
+// logReplica logs what changed in a replica's entry.
 func (c *catalog) logReplica(it feed.Item, before *routing.Replica, known bool, r *routing.Replica) {
 	if known && isRestart(before, r) {
 		c.log.Restarted(r.ID, r.Born, it.Revision)
@@ -166,7 +168,8 @@
 	}
 }
 
-// applyEvacuation takes in that a failure domain is evacuated or taken back.
+// applyEvacuation updates the evacuated failure domains from an evacuation document, and
+// ignores other documents.
 func (c *catalog) applyEvacuation(it feed.Item, now time.Time) {
 	domain, ok := c.documents.EvacuatedDomain(it.Key)
 	if !ok {
@@ -183,7 +186,8 @@
 	}
 }
 
-// applyConfig takes a newer configuration. One that can't be read changes nothing.
+// applyConfig activates a newer configuration. One that can't be parsed or has a lower
+// version is rejected.
 func (c *catalog) applyConfig(source string) {
 	it, ok := c.documents.Config(c.feed)
 	if !ok || c.table != nil && it.Revision == c.tableItem.Revision && bytes.Equal(it.Value, c.tableItem.Value) {
@@ -205,11 +209,11 @@
 	c.log.Config(t.Version, it.Revision, source)
 }
 
-// allReplicas returns the replicas that have entries.
+// allReplicas returns all replicas that have a usable entry.
 func (c *catalog) allReplicas() iter.Seq[routing.Replica] { return maps.Values(c.replicas) }
 
-// view builds the view of the documents. Replicas that leave by their own word are draining,
-// whatever their entries say.
+// view builds a view from the documents. Replicas that announced their departure in a response
+// are draining in the view, whatever their entries say.
 func (c *catalog) view(leavings *routing.Leavings, now time.Time) *routing.View {
 	v := &routing.View{Table: c.table, Position: c.feed.Position(), Pools: make(map[routing.ServiceName]*routing.Pool)}
 	for name, list := range c.lists {
@@ -220,8 +224,9 @@
 	return v
 }
 
-// pool returns the pool of a service with what is known besides the entries. It is the pool of
-// the entries where that is nothing.
+// pool returns the pool of a service: the replicas of the entries, adjusted for expired entries,
+// departures and evacuated failure domains. It returns entries itself if there is
+// nothing to adjust.
 func (c *catalog) pool(name routing.ServiceName, entries *routing.Pool, leavings *routing.Leavings, now time.Time) *routing.Pool {
 	p := entries.Overlay()
 	if restored := c.expired.Restore(name, p, now); len(restored) > 0 {
@@ -236,8 +241,8 @@
 	return p
 }
 
-// isService reports whether the configuration in force names a service. An entry with another
-// one is used once a configuration names it.
+// isService reports whether the active configuration defines a service. Entries of an unknown
+// service are kept, and used once a configuration defines it.
 func (c *catalog) isService(name routing.ServiceName) bool {
 	if c.table == nil {
 		return true
@@ -246,7 +251,7 @@
 	return ok
 }
 
-// coldStart returns how long the replicas of a service are cold after a start.
+// coldStart returns how long replicas of a service are cold after they start.
 func (c *catalog) coldStart(name routing.ServiceName) time.Duration {
 	if c.table == nil {
 		return 0
@@ -258,7 +263,7 @@
 	return s.ColdStart
 }
 
-// list returns the replicas of a service.
+// list returns the replica list of a service, creating it if needed.
 func (c *catalog) list(name routing.ServiceName) *routing.ReplicaList {
 	l := c.lists[name]
 	if l == nil {
@@ -268,7 +273,7 @@
 	return l
 }
 
-// answer returns what a peer is answered that asks for documents.
+// answer returns the response to a peer's request for documents.
 func (c *catalog) answer(q *documentsRequest) documentsAnswer {
 	at := c.feed.Position()
 	if q.knowsEras && at.Era < q.after.Era {
@@ -276,7 +281,7 @@
 	}
 	after := q.after.Revision
 	if q.knowsEras && q.after.Era != at.Era {
-		after = 0 // its revision says nothing of this era
+		after = 0 // revisions of different eras can't be compared
 	}
 	if after == 0 && !q.takesDigest {
 		return documentsAnswer{everything: c.packEverything()}
@@ -292,7 +297,7 @@
 	return documentsAnswer{documents: gossip.Documents{Items: items, Era: at.Era, Revision: at.Revision}}
 }
 
-// packEverything returns all documents, to be packed when the first peer is answered with them.
+// packEverything returns all documents. They are encoded when the first peer is sent them.
 func (c *catalog) packEverything() *packing {
 	at := c.feed.Position()
 	if c.everything == nil || c.everything.at != at {
--- a/daemon/routes/control.go
+++ b/daemon/routes/control.go
@@ -1,7 +1,6 @@
-// This file runs the control loop: the one goroutine that owns the documents, the
-// roster and what is sent to peers, and that publishes the view which traffic
-// reads. What it owns stands in files of its own: catalog.go, heartbeat.go,
-// sync.go.
+// This file implements the control loop: the goroutine that owns the documents, the
+// roster and the messages to peers, and publishes the views that the request path reads.
+// Parts of its state have their own files: catalog.go, heartbeat.go, sync.go.
 
 package routes
 
@@ -18,29 +17,30 @@
 )
 
 const (
-	// eventQueue is how many events may wait. Who posts one waits for room.
+	// eventQueue is the capacity of the event queue. Posting blocks while it is full.
 	eventQueue = 512
-	// heartbeatInterval is the time between two ticks, at each of which a heartbeat goes out in a
-	// small fleet.
+	// heartbeatInterval is the time between two ticks. A small fleet's daemon sends a
+	// heartbeat at each tick.
 	heartbeatInterval = 200 * time.Millisecond
-	// storeTroubleMemory is how long after the store was unreachable the expiry of a
-	// replica's entry is doubted.
+	// storeTroubleMemory is how long after a store outage an expired replica entry is not
+	// taken as proof that the replica is gone.
 	storeTroubleMemory = 5 * time.Second
-	// entriesReturn is how long after the store was read again its entries may be those of before:
-	// those of living replicas are back within about two seconds, and are passed on by peers.
+	// entriesReturn is how long entries may still be outdated after the store became readable
+	// again: live replicas renew their entries within about two seconds, and peers forward them.
 	entriesReturn = 3 * time.Second
-	// figuresInterval is how often the log says what control has cost.
+	// figuresInterval is how often the cost of the control loop is logged.
 	figuresInterval = 10 * time.Second
-	// pauseLimit is the time between two ticks above which the process was paused:
-	// what it knows is as old as the pause.
+	// pauseLimit is the time between two ticks above which the process is considered to have
+	// been paused, so that its state is as old as the pause.
 	pauseLimit = time.Second
-	// sizeTolerance is the part of a large fleet's size by which it must change
-	// before a view is built for it, as a divisor: there the number is an estimate
-	// that moves with each heartbeat.
+	// sizeTolerance limits how often a view is built because the size of a large fleet
+	// changed: the size must change by more than 1/sizeTolerance of its value. In a large
+	// fleet the size is an estimate that changes with each heartbeat.
 	sizeTolerance = 10
 )
 
-// tables are what the control loop shares with traffic. They guard themselves.
+// tables is the state that the control loop shares with the request path. Each table is safe
+// for concurrent use.
 type tables struct {
 	loads   *routing.Loads
 	health  *routing.Health
@@ -50,11 +50,12 @@
 	cold    *routing.ColdRates
 	budgets *routing.RetryBudgets
 	rests   *routing.Rests
-	// leavings are applied to each view that is built.
+	// leavings is applied to each view that is built.
 	leavings *routing.Leavings
 }
 
-// newTables returns empty tables of a daemon, which shares its retry budget with others.
+// newTables returns empty tables for a daemon of a fleet that is assumed to have at least the
+// given number of daemons, among which the retry budget is divided.
 func newTables(daemon routing.PeerID, rule routing.RetryRule, daemons int) tables {
 	return tables{
 		loads: routing.NewLoads(), health: routing.NewHealth(), cache: routing.NewCacheTable(), crowds: routing.NewCrowds(),
@@ -75,35 +76,36 @@
 	syncs      syncs
 	loans      loans
 
-	// openSince returns when the oldest idle connection to a replica that is open was opened.
+	// openSince returns when the oldest open idle connection to a replica was opened.
 	openSince func(routing.Incarnation) (time.Time, bool)
 
 	events chan event
 	view   atomic.Pointer[routing.View]
-	// configured is closed when the first configuration is in force.
+	// configured is closed when the first configuration becomes active.
 	configured chan struct{}
 	readPlan   atomic.Pointer[readPlan]
 
 	daemons int // in the view; see sizeChanged
-	// viewIsOld says that replicas leave which the view calls ready. They get nothing all the same
-	// (coordination/routing/barred.go); the next tick builds a view, for all that are new by then.
+	// viewIsOld says that replicas which are ready in the view have announced their departure. They
+	// get no requests in any case (coordination/routing/barred.go). The next tick builds one view
+	// for all such replicas.
 	viewIsOld      bool
 	storeLost      bool
-	storeUnreadAt  time.Time // when no daemon that is known could read the store
+	storeUnreadAt  time.Time // when the store was last unreadable for every known daemon
 	era            eraState
-	storeTroubleAt time.Time // when the store was last known to be unreachable, here or at a peer
+	storeTroubleAt time.Time // when the store was last known to be unreachable for this daemon or a peer
 	tickedAt       time.Time
 	startedAt      time.Time
 	figuresAt      time.Time
 }
 
-// readPlan is the plan of the store's reader.
+// readPlan says whether and how the reader reads the store.
 type readPlan struct {
 	membership.ReadPlan
-	ended chan struct{} // closed when another plan takes its place
+	ended chan struct{} // closed when the plan is replaced
 }
 
-// post hands an event to the loop and waits for room.
+// post queues an event for the control loop, and blocks while the queue is full.
 func (c *control) post(ctx context.Context, e event) {
 	select {
 	case c.events <- e:
@@ -111,7 +113,7 @@
 	}
 }
 
-// run owns the state until ctx ends.
+// run is the control loop. It processes events until ctx is canceled.
 func (c *control) run(ctx context.Context) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
@@ -196,7 +198,7 @@
 	}
 }
 
-// answer answers an operator.
+// answer handles a query or command of an operator.
 func (c *control) answer(q question, now time.Time) {
 	switch q := q.(type) {
 	case statusAsked:
@@ -214,7 +216,7 @@
 	}
 }
 
-// tick sends a heartbeat and takes care of what only time changes.
+// tick sends a heartbeat if one is due and runs all periodic work.
 func (c *control) tick(ctx context.Context, now time.Time) {
 	c.checkPause(now)
 	if c.storeLost {
@@ -254,8 +256,8 @@
 	}
 }
 
-// checkPause finds out that the process was paused, and ends the reader's wait: the
-// watch may have been cut meanwhile, and what it returned last is old.
+// checkPause detects that the process was paused. It then interrupts the reader's watch:
+// the connection may have been lost during the pause, and the last result is outdated.
 func (c *control) checkPause(now time.Time) {
 	last := c.tickedAt
 	c.tickedAt = now
@@ -268,7 +270,7 @@
 	}
 }
 
-// planReads takes up another plan for the store's reader if there is one.
+// planReads updates the reader's plan if it has changed.
 func (c *control) planReads(now time.Time) {
 	plan := c.roster.PlanReads(now, c.largeFleet())
 	if old := c.readPlan.Load(); old != nil && old.ReadPlan == plan {
@@ -277,7 +279,7 @@
 	c.setReadPlan(plan)
 }
 
-// setReadPlan replaces the reader's plan, which ends its present wait.
+// setReadPlan replaces the reader's plan, which interrupts its current wait.
 func (c *control) setReadPlan(plan membership.ReadPlan) {
 	old := c.readPlan.Swap(&readPlan{ReadPlan: plan, ended: make(chan struct{})})
 	if old != nil {
@@ -285,7 +287,7 @@
 	}
 }
 
-// setStoreLost takes in that this daemon lost or regained the store.
+// setStoreLost records that the store became unreachable or reachable for this daemon.
 func (c *control) setStoreLost(e storeReachable, now time.Time) {
 	if e.lost == c.storeLost {
 		return
@@ -298,8 +300,8 @@
 	c.log.Store(e.lost, e.err, c.catalog.feed.Revision())
 }
 
-// apply takes over documents that changed and publishes the view. Peers are sent the
-// new revision at once, so that one that the store turns away learns of it.
+// apply updates the catalog from changed documents and publishes a view. The new revision
+// is sent to peers immediately, so that peers which can't read the store learn of it.
 func (c *control) apply(changed []feed.Item, source string, now time.Time) {
 	if len(changed) == 0 {
 		return
@@ -308,16 +310,17 @@
 	c.announce(now)
 }
 
-// announce publishes a view and tells peers the new position.
+// announce publishes a view and sends the new position to peers.
 func (c *control) announce(now time.Time) {
 	c.publish(now)
 	c.sendPartial(c.pendingLocations(), now)
 }
 
-// takePage takes over a page of a list that goes on. The first page has the configuration: with ten
-// thousand replicas the last comes seconds later. A daemon that holds nothing yet waits for the
-// whole list: it would take callers before it knows most replicas. So does one that is in another era:
-// all that it holds would become former.
+// takePage applies one page of a list that is still being read. The first page contains the
+// configuration, and with ten thousand replicas the last page follows seconds later. A daemon
+// without documents waits for the whole list, because otherwise it would accept callers before it
+// knows most replicas. So does a daemon in another era, because entering the era turns all of its
+// documents into documents from before the restore.
 func (c *control) takePage(p *storePaged, now time.Time) {
 	f := c.catalog.feed
 	if f.Revision() > 0 && f.Position().Era == p.at.Era {
@@ -325,7 +328,7 @@
 	}
 }
 
-// publish builds a view and makes it visible to traffic.
+// publish builds a view and makes it visible to the request path.
 func (c *control) publish(now time.Time) {
 	c.viewIsOld = false
 	v := c.catalog.view(c.leavings, now)
@@ -336,7 +339,7 @@
 	}
 }
 
-// viewPosition returns where the documents of the view stand. Any goroutine may ask.
+// viewPosition returns the position of the view's documents. It may be called by any goroutine.
 func (c *control) viewPosition() feed.Position {
 	v := c.view.Load()
 	if v == nil {
@@ -345,10 +348,10 @@
 	return v.Position
 }
 
-// largeFleet reports whether the fleet is too large for all to send to all others.
+// largeFleet reports whether the fleet is too large for a full mesh of heartbeats.
 func (c *control) largeFleet() bool { return c.daemons > membership.FullMeshSize }
 
-// sizeChanged reports whether the number of daemons changed enough for a new view.
+// sizeChanged reports whether the number of daemons has changed enough to build a view.
 func (c *control) sizeChanged(n int) bool {
 	if !c.largeFleet() {
 		return n != c.daemons
--- a/daemon/routes/control_test.go
+++ b/daemon/routes/control_test.go
@@ -18,7 +18,7 @@
 	"hingewinch.org/hingewinch/state/feed"
 )
 
-// newTestControl returns a control loop that talks to nobody.
+// newTestControl returns a control loop without peers and network.
 func newTestControl(l *Log, d Documents) *control {
 	return &control{
 		tables: newTables("10.0.0.1:1", routing.RetryRule{Window: time.Second}, 1),
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestPauseEndsTheWait plays a process that was paused for some seconds: the
-// wait that it had begun before is given up, and the log says so.
+// TestPauseEndsTheWait simulates a process that was paused for some seconds. The reader's
+// wait from before the pause must be interrupted, and the pause logged.
 func TestPauseEndsTheWait(t *testing.T) {
 	var out bytes.Buffer
 	l := newLog(&out, "info", "d", newMetrics())
@@ -41,22 +41,22 @@
 	plan := c.readPlan.Load()
 	c.tick(context.Background(), begun.Add(heartbeatInterval))
 	if c.readPlan.Load() != plan {
-		t.Fatal("the plan changed although nothing happened")
+		t.Fatal("the plan changed for no reason")
 	}
 	c.tick(context.Background(), begun.Add(5*time.Second))
 	select {
 	case <-plan.ended:
 	default:
-		t.Fatal("the wait goes on after a pause")
+		t.Fatal("the wait continues after a pause")
 	}
 	l.Close()
 	if !strings.Contains(out.String(), "process was paused") {
-		t.Fatalf("log says nothing: %s", out.String())
+		t.Fatalf("the pause is not logged: %s", out.String())
 	}
 }
 
-// TestCallerEndsTheListeningOfAStart holds that a daemon that has just started leaves
-// the store to others until a caller needs a configuration.
+// TestCallerEndsTheListeningOfAStart checks that a daemon that has just started waits for
+// peers and does not read the store until a caller needs a configuration.
 func TestCallerEndsTheListeningOfAStart(t *testing.T) {
 	var out bytes.Buffer
 	l := newLog(&out, "info", "d", newMetrics())
@@ -74,15 +74,16 @@
 	select {
 	case <-listening.ended:
 	default:
-		t.Fatal("the reader does not learn that a caller waits")
+		t.Fatal("the plan is not replaced when a caller waits")
 	}
 	if !c.readPlan.Load().Reads {
-		t.Fatal("a caller waits, and the store is not read")
+		t.Fatal("the store is not read although a caller waits")
 	}
 }
 
-// TestStartAsksTheMembersThatItIsSent plays a daemon without documents that a seed sends
-// some members: it asks a few of them at once, and not again with each message.
+// TestStartAsksTheMembersThatItIsSent simulates a daemon without documents that receives
+// members from a seed. It must contact a few of them immediately, but not with every
+// message.
 func TestStartAsksTheMembersThatItIsSent(t *testing.T) {
 	var out bytes.Buffer
 	l := newLog(&out, "info", "d", newMetrics())
@@ -101,24 +102,25 @@
 	c.planReads(now)
 	receive(1, 20)
 	if want := 1 + firstContacts; len(sent) > want || len(sent) < firstContacts {
-		t.Fatalf("asked %d of 21 members, want %d and the sender", len(sent), firstContacts)
+		t.Fatalf("contacted %d of 21 members, want %d and the sender", len(sent), firstContacts)
 	}
 	before := len(sent)
 	receive(2, 20)
 	if len(sent) > before+1 {
-		t.Fatalf("asked %d more at once", len(sent)-before)
+		t.Fatalf("contacted %d more within a heartbeat interval", len(sent)-before)
 	}
 	c.apply(c.catalog.feed.ApplyList([]feed.Item{{Key: "config", Revision: 5}}, 5), "store", now)
 	clear(sent)
 	now = now.Add(time.Second)
 	receive(3, 20)
 	if len(sent) > 1 {
-		t.Fatalf("asked %d although it holds documents", len(sent))
+		t.Fatalf("contacted %d although it holds documents", len(sent))
 	}
 }
 
-// TestFirstDocumentsComeFromANearPeer plays a daemon without documents that a far seed
-// answers first: it waits a moment for others, and asks the one of its own domain.
+// TestFirstDocumentsComeFromANearPeer simulates a daemon without documents that hears from a
+// seed in another failure domain first. It must wait for firstSyncDelay and then ask the
+// peer in its own domain.
 func TestFirstDocumentsComeFromANearPeer(t *testing.T) {
 	var out bytes.Buffer
 	l := newLog(&out, "info", "d", newMetrics())
@@ -138,16 +140,16 @@
 	c.noteRevision(context.Background(), &gossip.Heartbeat{Sender: far, Revision: 5}, now)
 	c.noteRevision(context.Background(), &gossip.Heartbeat{Sender: near, Revision: 5}, now.Add(firstSyncDelay/2))
 	if c.syncs.underWay {
-		t.Fatal("asks the first that answers")
+		t.Fatal("asks the first peer without waiting")
 	}
 	c.handle(context.Background(), syncDue{}, now.Add(firstSyncDelay))
 	if from := <-asked; from != near.Address {
-		t.Fatalf("asks %s, not the near %s", from, near.Address)
+		t.Fatalf("asks %s, want %s, which is in its own domain", from, near.Address)
 	}
 }
 
-// TestReportsOfSilenceArePassedOnAndLogged plays three daemons' reports: the replica is
-// named in the log, and the reports go on to others once.
+// TestReportsOfSilenceArePassedOnAndLogged checks that reports of an silent replica
+// from three daemons are logged with the replica's id and forwarded once.
 func TestReportsOfSilenceArePassedOnAndLogged(t *testing.T) {
 	var out bytes.Buffer
 	l := newLog(&out, "info", "d", newMetrics())
@@ -170,15 +172,15 @@
 	c.sendSilences(now)
 	l.Close()
 	if sent != 1 {
-		t.Errorf("reports went out %d times", sent)
+		t.Errorf("reports were sent %d times, want once", sent)
 	}
 	if !strings.Contains(out.String(), `"replica":"replica-1","message":"replica: several daemons find it silent`) {
-		t.Errorf("the log says nothing: %s", out.String())
+		t.Errorf("the replica is not logged: %s", out.String())
 	}
 }
 
-// TestReportsOfCrowdsArePassedOn holds that the control loop passes a report of a crowded
-// replica on to peers, once.
+// TestReportsOfCrowdsArePassedOn checks that the control loop forwards a report of an
+// overloaded replica to peers once.
 func TestReportsOfCrowdsArePassedOn(t *testing.T) {
 	l := newLog(&bytes.Buffer{}, "info", "d", newMetrics())
 	defer l.Close()
@@ -203,22 +205,22 @@
 	select {
 	case payload = <-sent:
 	case <-time.After(10 * time.Second):
-		t.Fatal("nothing went out")
+		t.Fatal("no report was sent")
 	}
 	got, err := gossip.DecodeCrowds(payload)
 	if err != nil || len(got) != 1 || got[0].Homes != report.Homes {
-		t.Errorf("%+v, %v went out", got, err)
+		t.Errorf("sent %+v, %v", got, err)
 	}
 	c.post(ctx, crowdsReceived{reports: []routing.CrowdReport{report}})
 	c.post(ctx, crowdsDue{})
 	end()
 	<-ended
 	if len(sent) > 0 {
-		t.Errorf("the report went out %d times more", len(sent))
+		t.Errorf("the report was sent %d more times", len(sent))
 	}
 }
 
-// TestDatagramsBecomeEvents decodes what peers send, and what is neither.
+// TestDatagramsBecomeEvents decodes valid and invalid datagrams.
 func TestDatagramsBecomeEvents(t *testing.T) {
 	h := gossip.Heartbeat{Sender: testMember(1), Revision: 7}
 	heartbeat, err := gossip.EncodeHeartbeat(&h)
@@ -253,7 +255,9 @@
 	return membership.Member{Address: membership.Address(fmt.Sprintf("10.0.%d.%d:1", i/100, 2+i%100)), Domain: "a", Incarnation: 1, Heartbeats: 1}
 }
 
-// fewDocuments reads a configuration and replicas that hold nothing but their keys.
+// fewDocuments implements Documents with a fixed configuration and replicas whose keys are
+// their ids. The value of a replica's document optionally sets one property: "cold",
+// "unreadable", "service=NAME" or "born=NUMBER".
 type fewDocuments struct{}
 
 func (fewDocuments) Config(f *feed.Feed) (feed.Item, bool) { return f.Get("config") }
@@ -302,8 +306,8 @@
 	return routing.ReplicaID(key), strings.HasPrefix(key, "replica-")
 }
 
-// TestStartOfALargeFleetLeavesTheConfigurationInTheLog applies thousands of
-// documents at once: the lines that matter must not be among those left out.
+// TestStartOfALargeFleetLeavesTheConfigurationInTheLog applies thousands of documents at
+// once. The important lines must not be among those dropped by the log.
 func TestStartOfALargeFleetLeavesTheConfigurationInTheLog(t *testing.T) {
 	var out bytes.Buffer
 	l := newLog(&out, "info", "d", newMetrics())
@@ -316,7 +320,7 @@
 	c.apply(c.catalog.feed.Apply([]feed.Item{{Key: "replica-1", Revision: 5001, Gone: true}}), "store", time.Unix(1_000_001, 0))
 	l.Close()
 	if l.writer.droppedTotal() != 0 {
-		t.Errorf("%d lines were left out", l.writer.droppedTotal())
+		t.Errorf("%d lines were dropped", l.writer.droppedTotal())
 	}
 	for _, want := range []string{"configuration is in force", `"documents":4501`, `"replica":"replica-1","state":"gone"`} {
 		if !strings.Contains(out.String(), want) {
@@ -325,8 +329,8 @@
 	}
 }
 
-// TestSmallMovesOfALargeFleetBuildNoView holds that a view is built for a real
-// change of the fleet's size only.
+// TestSmallMovesOfALargeFleetBuildNoView checks that small changes of a large fleet's size
+// do not cause a new view.
 func TestSmallMovesOfALargeFleetBuildNoView(t *testing.T) {
 	for _, c := range []struct {
 		from, to int
@@ -338,8 +342,8 @@
 	}
 }
 
-// TestViewSaysWhetherTheFleetIsLarge holds that placement learns it from the same bound
-// as the heartbeats.
+// TestViewSaysWhetherTheFleetIsLarge checks that views and heartbeats use the same limit
+// for a large fleet.
 func TestViewSaysWhetherTheFleetIsLarge(t *testing.T) {
 	var out bytes.Buffer
 	l := newLog(&out, "info", "d", newMetrics())
@@ -354,8 +358,8 @@
 	}
 }
 
-// TestLogIsBoundedAndNeverBlocks writes far more than the buffer holds to a
-// writer that takes nothing.
+// TestLogIsBoundedAndNeverBlocks logs far more than the buffer holds while the underlying
+// writer blocks.
 func TestLogIsBoundedAndNeverBlocks(t *testing.T) {
 	release := make(chan struct{})
 	l := newLog(blocked{release}, "info", "d", newMetrics())
@@ -372,13 +376,13 @@
 		t.Fatal("logging blocks")
 	}
 	if l.writer.droppedTotal() == 0 {
-		t.Fatal("nothing was left out, so the log has no bound")
+		t.Fatal("no lines were dropped, so the buffer is unbounded")
 	}
 	close(release)
 	l.Close()
 }
 
-// blocked is a writer that takes nothing until it is released.
+// blocked is a writer that blocks until release is closed.
 type blocked struct{ release chan struct{} }
 
 func (b blocked) Write(p []byte) (int, error) {
@@ -386,8 +390,8 @@
 	return len(p), nil
 }
 
-// TestEvacuatedReplicasLeaveTheView evacuates a domain and takes it back, by documents as the
-// store and peers give them, one of which comes late: the newest holds.
+// TestEvacuatedReplicasLeaveTheView begins and ends the evacuation of a failure domain. A
+// document that arrives late must not override a newer one.
 func TestEvacuatedReplicasLeaveTheView(t *testing.T) {
 	var out bytes.Buffer
 	l := newLog(&out, "info", "d", newMetrics())
@@ -405,7 +409,7 @@
 	}
 	apply(feed.Item{Key: "evacuate-z", Revision: 4, Gone: true})
 	if len(pool().Ready) != 0 {
-		t.Fatal("an old document takes the domain back")
+		t.Fatal("an old document ended the evacuation")
 	}
 	if a := c.statusAnswer(now); len(a.Evacuated) != 1 || a.Evacuated[0] != "z" {
 		t.Errorf("operators see %v as evacuated", a.Evacuated)
@@ -415,7 +419,7 @@
 	}
 	apply(feed.Item{Key: "evacuate-z", Revision: 6, Gone: true})
 	if len(pool().Ready) != 2 || !pool().Ready[0].IsCold(now.Add(testColdStart-1)) || pool().Ready[0].IsCold(now.Add(testColdStart)) {
-		t.Fatalf("taken back as %+v, want two that are cold for %v", pool().Ready, testColdStart)
+		t.Fatalf("after the evacuation %+v, want two replicas that are cold for %v", pool().Ready, testColdStart)
 	}
 	if a := c.statusAnswer(now); len(a.Evacuated) != 0 || a.Cold != 2 {
 		t.Errorf("operators see %v as evacuated and %d cold replicas", a.Evacuated, a.Cold)
@@ -428,8 +432,8 @@
 	}
 }
 
-// TestAColdReplicaHoldsNoPrompts turns a known replica cold: what it had cached is lost, and
-// what a new one holds is not, which is cold from its first entry.
+// TestAColdReplicaHoldsNoPrompts checks that a known replica which becomes cold is reported as
+// having lost its cache, and a replica that is cold from its first entry is not.
 func TestAColdReplicaHoldsNoPrompts(t *testing.T) {
 	var out bytes.Buffer
 	l := newLog(&out, "info", "d", newMetrics())
@@ -447,7 +451,7 @@
 	} {
 		lost := c.catalog.apply(c.catalog.feed.Apply([]feed.Item{step.item}), sourceStore, false, now)
 		if len(lost) != step.lost {
-			t.Errorf("step %d: %d replicas lost what they cached, want %d", i, len(lost), step.lost)
+			t.Errorf("step %d: %d replicas lost their cache, want %d", i, len(lost), step.lost)
 		}
 	}
 }
--- a/daemon/routes/daemon.go
+++ b/daemon/routes/daemon.go
@@ -1,4 +1,4 @@
-// This file puts a daemon together.
+// This file assembles a daemon from its parts.
 
 package routes
 
@@ -19,29 +19,30 @@
 	"hingewinch.org/hingewinch/transport/relay"
 )
 
-// Limits of the servers. They are wider than those that the configuration publishes
-// for callers, which net/http could not apply: it takes its limits before a
-// configuration is known. An answer has the deadline of its request.
+// Limits of the servers. They are wider than the limits that the configuration defines for
+// callers. net/http can't enforce those, because its limits are set before a configuration
+// is known. Responses are bound by the deadline of their request.
 const (
 	readHeaderTimeout = 10 * time.Second
 	callerIdleTimeout = 75 * time.Second
 	maxHeaderBytes    = 64 << 10
 )
 
-// Outside is the platform that the daemon runs on.
+// Outside is the platform-specific part of a daemon.
 type Outside struct {
 	Store Store
-	// HistoryGone is the store's error that it must be listed again.
+	// HistoryGone is the error of a watch whose start revision the store no longer has; the
+	// store must be listed again.
 	HistoryGone error
 	Documents   Documents
 	Codec       relay.Codec
-	// Front builds the callers' handler.
+	// Front returns the handler for callers' requests.
 	Front func(d *Daemon) http.Handler
-	// ReadyPath is asked by the balancer.
+	// ReadyPath is the path of the load balancer's readiness check.
 	ReadyPath string
 }
 
-// Daemon is one running daemon.
+// Daemon is a daemon of the production front end.
 type Daemon struct {
 	Relay   *relay.Relay
 	Log     *Log
@@ -59,8 +60,7 @@
 	callers, readiness, operators, documents, scrapers *daemon.Listener // scrapers may be nil
 }
 
-// New opens the listeners and puts the parts together. Nothing is served before
-// Run.
+// New opens the listeners and assembles a daemon. Nothing is served before Run.
 func New(s *Settings, o Outside, logTo io.Writer) (*Daemon, error) {
 	d := &Daemon{settings: s, outside: o, Metrics: newMetrics(), started: clock.Now(), pool: relay.NewPool()}
 	d.Log = newLog(logTo, s.Level, string(s.ID), d.Metrics)
@@ -73,7 +73,7 @@
 	return d, nil
 }
 
-// The garbage collector runs when the heap has grown by collectPercent, and works harder near
+// The garbage collector runs when the heap has grown by collectPercent. The soft memory limit is
 // memoryShare of the process's memory.
 const (
 	collectPercent = 60
@@ -108,14 +108,14 @@
 	return nil
 }
 
-// listen opens a server. Its messages are not logged: net/http has a line for each
-// caller that hangs up.
+// listen opens a listener. The server's own messages are discarded, because net/http logs a
+// line for each caller that disconnects.
 func listen(address string) (*daemon.Listener, error) {
 	l := daemon.Limits{ReadHeader: readHeaderTimeout, Idle: callerIdleTimeout, HeaderBytes: maxHeaderBytes}
 	return daemon.Listen("tcp4", address, l, stdlog.New(io.Discard, "", 0))
 }
 
-// wire puts the parts together.
+// wire connects the parts of the daemon and sets the listeners' handlers.
 func (d *Daemon) wire() {
 	s := d.settings
 	t := newTables(routing.PeerID(s.advertised()), s.retryRule(), max(leastFleet, len(s.Seeds)))
@@ -157,8 +157,8 @@
 	}
 }
 
-// Incarnations are numbered by the time of their start, in units that are shorter
-// than any restart and from a day on that keeps the numbers short on the wire.
+// A daemon's incarnation number is its start time, counted from an epoch that keeps the
+// numbers short on the wire, in units shorter than any restart takes.
 const (
 	incarnationUnit  = 100 * time.Millisecond
 	incarnationEpoch = 1_577_836_800 // 2020-01-01, in seconds
@@ -168,16 +168,16 @@
 	return membership.Incarnation(max(1, now.Sub(time.Unix(incarnationEpoch, 0))/incarnationUnit))
 }
 
-// leastFleet is the size of the fleet that is assumed for the shares of the retry
-// budget until more daemons are known: that of today's sites.
+// leastFleet is the minimum fleet size assumed for dividing the retry budget until more
+// daemons are known: the size of the existing sites.
 const leastFleet = 8
 
-// View returns the newest view.
+// View returns the current view.
 func (d *Daemon) View() *routing.View { return d.control.view.Load() }
 
 // ViewForCaller returns the view for a request whose caller waits for the given time.
-// While the daemon knows no configuration yet, it waits for the first one for a part
-// of that time.
+// Until the daemon has its first configuration, ViewForCaller waits for it for part of
+// that time.
 func (d *Daemon) ViewForCaller(ctx context.Context, left time.Duration) *routing.View {
 	if v := d.View(); v.Table != nil {
 		return v
@@ -193,10 +193,10 @@
 	return d.View()
 }
 
-// Stopping reports whether a planned stop has begun.
+// Stopping reports whether a graceful shutdown has started.
 func (d *Daemon) Stopping() bool { return d.stopping.Load() }
 
-// ready reports whether the daemon should get new callers.
+// ready reports whether the daemon should receive new callers.
 func (d *Daemon) ready() bool { return !d.Stopping() && d.View().Table != nil }
 
 func (d *Daemon) readyHandler() http.Handler {
--- a/daemon/routes/daemon_test.go
+++ b/daemon/routes/daemon_test.go
@@ -26,7 +26,7 @@
 	"hingewinch.org/hingewinch/transport"
 )
 
-// buffer is a log that tests read while it is written.
+// buffer is a log output that can be read while it is written.
 type buffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -44,10 +44,10 @@
 	return b.b.String()
 }
 
-// site is a store, replicas and daemons on loopback addresses of their own.
+// site is a store, replicas and daemons, each daemon on its own loopback address.
 type site struct {
 	store   *standin.Store
-	network string // the first three numbers of all addresses
+	network string // first three octets of all addresses
 	daemons []*node
 	version int
 }
@@ -60,18 +60,18 @@
 	log      *buffer
 	stop     context.CancelFunc
 	sent     atomic.Int64
-	done     chan struct{} // closed when it has ended
+	done     chan struct{} // closed when the daemon has stopped
 	err      error
 }
 
-// peersPort is the port of all peers. It lies below the ports that the system draws:
-// a daemon's other listeners stand on the same address and draw theirs, and one of
-// them could be given the peers' port before the peers' listener is opened.
+// peersPort is the port of all daemons' peer listeners. It is below the ephemeral port range:
+// a daemon's other listeners use ephemeral ports on the same address, and one of them could
+// otherwise be assigned peersPort before the peer listener is opened.
 const peersPort = 7340
 
 func newSite() *site {
-	// Each site has loopback addresses of its own: another process with the same port
-	// must not be in the way.
+	// Each site uses its own loopback addresses, to avoid conflicts with other processes that
+	// use the same port.
 	network := fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(250))
 	return &site{store: standin.NewStore(50), network: network}
 }
@@ -82,7 +82,7 @@
 	s.store.Put("op/config", []byte(fmt.Sprintf(`{"version":%d,"routes":[{"name":"r","host":"h.example","path_prefix":"/p/","kind":"non_idempotent","timeout_ms":2000,"target_latency_ms":300,"service":"gate","max_attempts":2}],"services":[{"name":"gate"}],"tenants":[{"name":"t","api_keys":%s}]}`, s.version, quoted)))
 }
 
-// replica starts a replica and announces it.
+// replica starts a replica and writes its entry to the store.
 func (s *site) replica(id string, handle http.HandlerFunc) *httptest.Server {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -103,10 +103,10 @@
 	s.store.Put("servers/"+id, []byte(fmt.Sprintf(`{"service":"gate","address":%q,"zone":"z0","slots":6,"state":%q}`, server.Listener.Addr(), state)))
 }
 
-// start starts a daemon; seeds are the numbers of other daemons.
+// start starts a daemon. seeds are the indexes of other daemons.
 func (s *site) start(seeds ...int) *node { return s.startWhile(standin.StoreServes, seeds...) }
 
-// startWhile starts a daemon that the store treats in a certain way.
+// startWhile starts a daemon whose store endpoint is in the given mode.
 func (s *site) startWhile(m standin.StoreMode, seeds ...int) *node {
 	i := len(s.daemons)
 	endpoint, err := s.store.Open()
@@ -162,7 +162,7 @@
 	return resp.StatusCode == 200
 }
 
-// ask asks the operators' address.
+// ask sends a query to the operators' listener and decodes the JSON response.
 func (n *node) ask(path string, into any) {
 	resp, err := http.Get("http://" + n.Address(routes.ServesOperators) + path)
 	if err != nil {
@@ -178,7 +178,7 @@
 	return a
 }
 
-// send sends a request and returns the status and who answered.
+// send sends a request and returns the status and the id of the replica that answered.
 func (n *node) send(key string) (int, string) {
 	r, _ := http.NewRequest("POST", "http://"+n.Address(routes.ServesCallers)+"/p/x", strings.NewReader("body"))
 	r.Host = "h.example"
@@ -204,7 +204,7 @@
 	return list
 }
 
-// release lets a content be sent again and returns the status.
+// release releases requests with a content and returns the status of the command.
 func (n *node) release(content string) int {
 	resp, err := http.Post("http://"+n.Address(routes.ServesOperators)+routes.PathRelease+"?content="+url.QueryEscape(content), "", nil)
 	Expect(err).NotTo(HaveOccurred())
@@ -223,11 +223,11 @@
 		s.configure("k1")
 	})
 
-	It("hears of crowded replicas in traffic and in its control loop alike", func() {
+	It("shares overloaded replicas between the request path and the control loop", func() {
 		Expect(newSite().start().SharesCrowds()).To(BeTrue())
 	})
 
-	It("holds back in the whole fleet what three replicas ended under, also in a daemon that starts later, until an operator releases it", func() {
+	It("quarantines a content in the whole fleet after three replicas crashed while serving it, also in a daemon that starts later, until an operator releases it", func() {
 		Expect(newSite().start().SharesCrashes()).To(BeTrue())
 		var cured atomic.Bool
 		for i := range 5 {
@@ -262,7 +262,7 @@
 		Eventually(c.statusOfK1, 3*time.Second).Should(Equal(200))
 	})
 
-	It("serves once it knows a configuration, and is not ready before", func() {
+	It("serves once it has a configuration, and is not ready before", func() {
 		s.replica("i1", fine)
 		endpoint, err := s.store.Open()
 		Expect(err).NotTo(HaveOccurred())
@@ -274,7 +274,7 @@
 		Expect(by).To(Equal("i1"))
 	})
 
-	It("starts with the store away: not ready and 503, never 401 or 404; then learns from a peer", func() {
+	It("starts while the store is unreachable: not ready and 503, never 401 or 404; then learns from a peer", func() {
 		s.replica("i1", fine)
 		a := s.start()
 		Eventually(a.ready, 3*time.Second).Should(BeTrue())
@@ -284,7 +284,7 @@
 		Expect(b.statusOfK1()).To(Equal(200))
 	})
 
-	It("answers 503 while nothing is known", func() {
+	It("responds with 503 while it has no configuration", func() {
 		n := s.startWhile(standin.StoreResets)
 		Expect(n.ready()).To(BeFalse())
 		Expect(n.statusOfK1()).To(Equal(503))
@@ -300,13 +300,13 @@
 		Eventually(status, 3*time.Second).Should(Receive(Equal(200)))
 	})
 
-	DescribeTable("obeys what the store answers others while it is turned away itself", func(mode standin.StoreMode) {
+	DescribeTable("applies changes that another daemon reads while the store rejects it", func(mode standin.StoreMode) {
 		server := s.replica("i1", fine)
 		s.replica("i2", fine)
 		a, b := s.start(), s.start(0)
 		Eventually(func() int { return a.status().Daemons }, 3*time.Second).Should(Equal(2))
 		Eventually(b.ready, 3*time.Second).Should(BeTrue())
-		// The one that reads is turned away; the other learns first.
+		// The daemon that reads the store is rejected, and the other one learns of the change first.
 		a.endpoint.SetMode(mode)
 		s.configure("k2")
 		s.announce("i1", server, "draining")
@@ -322,7 +322,7 @@
 		Entry("busy", standin.StoreBusy), Entry("resets", standin.StoreResets), Entry("silent", standin.StoreSilent),
 	)
 
-	It("learns of changes that no watch returned, when the history is gone", func() {
+	It("learns of changes that no watch returned, after the store's history is compacted", func() {
 		s.replica("i1", fine)
 		n := s.start()
 		Eventually(n.ready, 3*time.Second).Should(BeTrue())
@@ -333,7 +333,7 @@
 		Eventually(n.statusOfK1, 2*time.Second, 20*time.Millisecond).Should(Equal(401))
 	})
 
-	It("learns within a second what no watch returned, in every daemon, also when the reader with short watches has just gone", func() {
+	It("learns within a second of changes that no watch returned, in every daemon, also when the reader with short watches has just lost the store", func() {
 		s.replica("i1", fine)
 		a, b, c := s.start(), s.start(0), s.start(0)
 		for _, n := range []*node{a, b, c} {
@@ -342,7 +342,7 @@
 		}
 		s.store.SilenceWatches()
 		s.configure("k2")
-		a.endpoint.SetMode(standin.StoreBusy) // a has the lowest address: it has the short watches
+		a.endpoint.SetMode(standin.StoreBusy) // a has the lowest address and therefore the short watches
 		time.Sleep(100 * time.Millisecond)
 		s.store.CompactSilently()
 		begun := time.Now()
@@ -352,11 +352,11 @@
 		Expect(time.Since(begun)).To(BeNumerically("<", 1500*time.Millisecond))
 	})
 
-	It("learns within a second what no watch returned, while its watch is cut silently", func() {
+	It("learns within a second of changes that no watch returned, while its watch is silently cut off", func() {
 		s.replica("i1", fine)
 		n := s.start()
 		Eventually(n.ready, 3*time.Second).Should(BeTrue())
-		time.Sleep(500 * time.Millisecond) // the watch waits
+		time.Sleep(500 * time.Millisecond) // until the watch is waiting
 		s.store.SilenceWatches()
 		s.configure("k2")
 		s.store.CompactSilently()
@@ -365,7 +365,7 @@
 		Expect(time.Since(begun)).To(BeNumerically("<", time.Second))
 	})
 
-	It("asks the store seldom while nothing changes", func() {
+	It("makes few calls to the store while nothing changes", func() {
 		a, b, c := s.start(), s.start(0), s.start(0)
 		for _, n := range []*node{a, b, c} {
 			Eventually(func() int { return n.status().Daemons }, 3*time.Second).Should(Equal(3))
@@ -384,7 +384,7 @@
 		s.configure("k2")
 		Eventually(b.statusOfK1, 2*time.Second).Should(Equal(401))
 		Eventually(a.statusOfK1, 2*time.Second).Should(Equal(401))
-		// A peer that comes back from a cut still knows the old one only.
+		// A peer that was cut off may still have only the old configuration.
 		for range 20 {
 			Expect(a.statusOfK1()).To(Equal(401))
 			Expect(b.statusOfK1()).To(Equal(401))
@@ -392,7 +392,7 @@
 		}
 	})
 
-	It("keeps the last good configuration when one can't be read", func() {
+	It("keeps the last valid configuration when a new one can't be parsed", func() {
 		s.replica("i1", fine)
 		n := s.start()
 		Eventually(n.ready, 3*time.Second).Should(BeTrue())
@@ -406,7 +406,7 @@
 		Expect(n.statusOfK1()).To(Equal(200))
 	})
 
-	It("goes on with what it knows while the store is down", func() {
+	It("continues with the known documents while the store is down", func() {
 		s.replica("i1", fine)
 		n := s.start()
 		Eventually(n.ready, 3*time.Second).Should(BeTrue())
@@ -417,7 +417,7 @@
 		Eventually(func() bool { return n.status().StoreLost }, 3*time.Second).Should(BeFalse())
 	})
 
-	It("goes on serving on replicas that vanish together in the store's trouble", func() {
+	It("keeps using replicas whose entries expire together during a store outage", func() {
 		s.replica("i1", fine)
 		s.replica("i2", fine)
 		s.replica("i3", fine)
@@ -431,10 +431,10 @@
 		n.endpoint.SetMode(standin.StoreServes)
 		Eventually(func() int { return n.status().Replicas }, 3*time.Second).Should(BeZero())
 		Expect(n.statusOfK1()).To(Equal(200))
-		Eventually(n.log.String, time.Second).Should(ContainSubstring("used on"))
+		Eventually(n.log.String, time.Second).Should(ContainSubstring("keeping the replicas in use"))
 	})
 
-	It("takes as gone what is still missing two seconds after the store's return", func() {
+	It("stops using replicas whose entries are still missing two seconds after a store outage", func() {
 		var ran atomic.Int64
 		count := func(w http.ResponseWriter, _ *http.Request) { ran.Add(1); fmt.Fprint(w, "x") }
 		s.replica("i1", count)
@@ -454,7 +454,7 @@
 		Expect(ran.Load()).To(Equal(before))
 	})
 
-	DescribeTable("sends nothing to replicas that left unannounced, however many", func(pause time.Duration) {
+	DescribeTable("sends nothing to replicas that are gone without draining, however many", func(pause time.Duration) {
 		var left atomic.Bool
 		late := atomic.Int64{}
 		gone := func(w http.ResponseWriter, _ *http.Request) {
@@ -490,7 +490,7 @@
 		server := s.replica("i1", func(w http.ResponseWriter, _ *http.Request) { ran++; fmt.Fprint(w, "x") })
 		n := s.start()
 		Eventually(n.ready, 3*time.Second).Should(BeTrue())
-		// The entry now names an id that is not at that address.
+		// The entry now has an id that is not served at its address.
 		s.store.Delete("servers/i1")
 		s.announce("i9", server, "ready")
 		Eventually(func() int { return n.status().Replicas }, 2*time.Second).Should(Equal(1))
@@ -501,10 +501,10 @@
 		Expect(ran).To(Equal(before))
 	})
 
-	It("stops as planned: not ready at once, serves what comes and what runs, then ends", func() {
+	It("shuts down gracefully: not ready immediately, serves new and open requests, then exits", func() {
 		release := make(chan struct{})
 		finish := sync.OnceFunc(func() { close(release) })
-		defer finish() // a case that fails earlier must not hang on the replica
+		defer finish() // so that a spec that fails earlier does not hang on the replica
 		s.replica("i1", func(w http.ResponseWriter, _ *http.Request) { <-release; fmt.Fprint(w, "late") })
 		n := s.start()
 		Eventually(n.ready, 3*time.Second).Should(BeTrue())
@@ -520,10 +520,10 @@
 		Expect(<-answers).To(Equal(200))
 		<-n.done
 		Expect(n.err).NotTo(HaveOccurred())
-		Expect(n.log.String()).To(ContainSubstring("planned stop begins"))
+		Expect(n.log.String()).To(ContainSubstring("graceful shutdown started"))
 	})
 
-	It("ends within its grace though a replica is silent", func() {
+	It("exits within its grace period although a replica is silent", func() {
 		s.replica("i1", func(http.ResponseWriter, *http.Request) { time.Sleep(3 * time.Second) })
 		n := s.start()
 		Eventually(n.ready, 3*time.Second).Should(BeTrue())
@@ -535,7 +535,7 @@
 		Expect(time.Since(begun)).To(BeNumerically("<", 2*time.Second))
 	})
 
-	It("comes back after a kill and learns what changed meanwhile", func() {
+	It("restarts after a kill and learns what changed in the meantime", func() {
 		s.replica("i1", fine)
 		a, b := s.start(), s.start(0)
 		Eventually(b.ready, 3*time.Second).Should(BeTrue())
@@ -561,7 +561,7 @@
 		Eventually(func() bool { return other.status().ReadsStore }, 2*time.Second).Should(BeTrue())
 	})
 
-	It("logs a line for a request with its id, its replica and what decided", func() {
+	It("logs a line for each request with its id, its replica and its outcome", func() {
 		s.replica("i1", fine)
 		n := s.start()
 		Eventually(n.ready, 3*time.Second).Should(BeTrue())
@@ -574,7 +574,7 @@
 		))
 	})
 
-	It("shows operators its members, its replicas and why one is ejected, and the time line", func() {
+	It("shows operators its members, its replicas and why one is ejected, and the timeline", func() {
 		server := s.replica("i1", fine)
 		s.replica("i2", fine)
 		a, b := s.start(), s.start(0)
--- a/daemon/routes/doc.go
+++ b/daemon/routes/doc.go
@@ -1,20 +1,20 @@
-// Package routes is the daemon of the front end in production: requests by host and
-// path, replicas and configuration from a store that can only be read.
+// Package routes implements the daemon of the production front end. It routes requests
+// by host and path, and learns replicas and configuration from a read-only store.
 //
-// It owns what the daemon knows, for the life of the process. One goroutine, the
-// control loop (control.go), owns the documents (catalog.go), the roster, what is
-// sent to peers (heartbeat.go) and fetched from them (sync.go); it takes typed
-// events (events.go) and publishes an immutable routing.View. A second goroutine
-// reads the store (store.go), a third receives heartbeats (peers.go). Traffic
-// reads views and never waits for the control loop.
+// The package owns the daemon's in-memory state. One goroutine, the control loop
+// (control.go), owns the documents (catalog.go), the roster, and the messages sent to
+// peers (heartbeat.go) and documents fetched from them (sync.go). It processes typed
+// events (events.go) and publishes an immutable routing.View. A second goroutine reads
+// the store (store.go), and a third receives datagrams from peers (peers.go). The
+// request path reads views and never waits for the control loop.
 //
-// It relies on coordination/routing and coordination/membership for decisions, on
-// transport/relay for requests, and on an [Outside] for all that is peculiar to a
-// platform.
+// Decisions are made in coordination/routing and coordination/membership, requests are
+// forwarded by transport/relay, and everything specific to a platform is in an
+// [Outside].
 //
 // # Usage
 //
 //	settings, err := routes.LoadSettings(file)
 //	d, err := routes.New(settings, outside, os.Stdout)
-//	err = d.Run(ctx) // until ctx ends, then a planned stop
+//	err = d.Run(ctx) // until ctx is canceled, then shuts down gracefully
 package routes
--- a/daemon/routes/era.go
+++ b/daemon/routes/era.go
@@ -1,6 +1,6 @@
-// This file is the part of the control loop that enters another era of the store: the store came back
-// from a copy of itself, and its revisions begin anew after that of the copy. What the documents of
-// before are worth then is decided in state/feed; how long, here.
+// This file is the part of the control loop that handles a restore of the store from a backup. A
+// restore begins a new era, in which revisions continue from that of the backup. state/feed decides
+// which documents from before the restore are kept; this file decides for how long.
 
 package routes
 
@@ -11,23 +11,23 @@
 )
 
 const (
-	// missingTime is how long a document that the copy lacks is held. The users: replicas that live
-	// have written their entries again within about two seconds.
+	// missingTime is how long a document that the backup lacks is kept. According to the users, live
+	// replicas rewrite their entries within about two seconds.
 	missingTime = 3 * time.Second
-	// standingTime is how long a document that is newer by its own word stands against the copy's.
-	// The entry of a replica that has gone expires there in a few of its heartbeats, one that says
-	// ready after it said draining is written again.
+	// standingTime is how long a document that is newer by its own content is preferred over the
+	// backup's. By then the entry of a replica that is gone has expired in the store, within a few of
+	// the replica's heartbeats, and an entry that says ready where it said draining has been rewritten.
 	standingTime = 10 * time.Second
 )
 
-// eraState is what the control loop knows of the store's eras beside the feed's.
+// eraState is the control loop's state about the store's eras, in addition to the feed's.
 type eraState struct {
 	enteredAt time.Time
-	// restored says that this process has seen the store come back from a copy.
+	// restored says that the store was restored from a backup while this process was running.
 	restored bool
 }
 
-// takeList takes over a whole list of the store or of a peer. One of an era that is over is left out.
+// takeList applies a complete list from the store or a peer. A list of an earlier era is ignored.
 func (c *control) takeList(items []feed.Item, at feed.Position, source string, now time.Time) {
 	f := c.catalog.feed
 	from := f.Position()
@@ -42,7 +42,8 @@
 	c.noteEra(from, source, len(changed), now)
 }
 
-// noteEra notes that the feed may have entered another era, with some documents that changed.
+// noteEra handles the feed's change to another era, if there was one since it was at from. changed is
+// the number of documents that changed with it.
 func (c *control) noteEra(from feed.Position, source string, changed int, now time.Time) {
 	at := c.catalog.feed.Position()
 	if at.Era == from.Era {
@@ -52,11 +53,11 @@
 	c.roster.SetEraKnown()
 	if from.Era > 0 {
 		c.era.restored = true
-		c.storeTroubleAt = now // entries of living replicas may be missing
+		c.storeTroubleAt = now // entries of live replicas may be missing
 		c.log.Era(from, at, source, changed, c.version())
 	}
 	if source != sourceStore {
-		// A watch that waits in the old era ends.
+		// Interrupt a watch that waits for changes of the old era.
 		c.setReadPlan(c.readPlan.Load().ReadPlan)
 	}
 	if changed == 0 {
@@ -64,27 +65,27 @@
 	}
 }
 
-// settleFormer ends the time for which documents of before hold without the store's word.
+// settleFormer drops documents from before the restore once the time for which they are kept is over.
 func (c *control) settleFormer(now time.Time) {
 	f, age := c.catalog.feed, now.Sub(c.era.enteredAt)
 	if age >= missingTime {
 		if gone := f.DropMissing(); len(gone) > 0 {
-			c.log.Former(len(gone), "documents were not written again after the store came back; they are gone")
+			c.log.Former(len(gone), "documents were not rewritten after the store was restored; treating them as deleted")
 			c.apply(gone, sourceStore, now)
 		}
 	}
 	if age >= standingTime {
 		if yielded := f.Yield(); len(yielded) > 0 {
-			c.log.Former(len(yielded), "the store stays with older documents than were known; they are in force")
+			c.log.Former(len(yielded), "the restored store still has older documents than were known; using them")
 			c.apply(yielded, sourceStore, now)
 		}
 	}
 }
 
-// placeEra returns the era in which a message counts that names one, or none. A build that knows no
-// eras goes by revisions alone, which may be those of before a return. They count where there is nothing
-// better: this daemon does not reach the store, nor does one that names an era, and has not seen the
-// store come back.
+// placeEra returns the era in which a peer's message is interpreted, given the era that it names, or 0
+// if it names none. Builds without support for eras send revisions only, which may be from before a
+// restore. Such revisions are interpreted in the current era only as a last resort: if this daemon can't
+// reach the store, no live peer that names an era can read it, and this process has seen no restore.
 func (c *control) placeEra(named feed.Era, now time.Time) feed.Era {
 	if named == 0 && c.storeLost && !c.era.restored && !c.roster.EraIsRead(now) {
 		return c.catalog.feed.Position().Era
--- a/daemon/routes/events.go
+++ b/daemon/routes/events.go
@@ -1,5 +1,5 @@
-// This file defines what the control loop takes. The events are sealed: a type
-// switch over them is complete.
+// This file defines the events that the control loop processes. The set of event types is
+// sealed, so that a type switch can cover all of them.
 
 package routes
 
@@ -10,69 +10,70 @@
 	"hingewinch.org/hingewinch/state/feed"
 )
 
-// event is what the control loop takes.
+// event is an input of the control loop.
 type event interface{ isEvent() }
 
-// question is what an operator asks of the control loop.
+// question is a query or command of an operator.
 type question interface {
 	event
 	isQuestion()
 }
 
 type (
-	// storeListed is a whole list from the store.
+	// storeListed carries a complete list of the store.
 	storeListed struct {
 		items []feed.Item
 		at    feed.Position
 	}
-	// storePaged is a page of a list that goes on: the documents whose keys come after one and up
-	// to another, which is empty on the last page.
+	// storePaged carries one page of a list that is being read: the documents with keys greater
+	// than after and up to upTo. upTo is empty on the last page.
 	storePaged struct {
 		items       []feed.Item
 		after, upTo string
 		at          feed.Position // of the list
 	}
-	// storeChanged is what a watch of the store returned.
+	// storeChanged carries the changes that a watch of the store returned.
 	storeChanged struct{ feed.Changes }
-	// storeReachable says that the store was lost or regained.
+	// storeReachable says that the store became unreachable or reachable.
 	storeReachable struct {
 		lost bool
-		err  error // why it was lost
+		err  error // why the store is unreachable
 	}
-	// heartbeatReceived is a peer's heartbeat.
+	// heartbeatReceived carries a peer's heartbeat.
 	heartbeatReceived struct{ heartbeat gossip.Heartbeat }
-	// silencesReceived are a peer's reports of silent replicas.
+	// silencesReceived carries a peer's reports of silent replicas.
 	silencesReceived struct{ reports []routing.SilenceReport }
-	// crowdsReceived are a peer's reports of crowded replicas.
+	// crowdsReceived carries a peer's reports of overloaded replicas.
 	crowdsReceived struct{ reports []routing.CrowdReport }
-	// crowdsDue says that reports of crowded replicas are to be sent.
+	// crowdsDue says that reports of overloaded replicas are to be sent.
 	crowdsDue struct{}
-	// crashesReceived are a peer's reports of requests that replicas ended under.
+	// crashesReceived carries a peer's reports of requests during which replicas crashed.
 	crashesReceived struct{ reports []routing.CrashReport }
-	// crashesDue says that such reports are to be sent.
+	// crashesDue says that crash reports are to be sent.
 	crashesDue struct{}
-	// livesReceived are a peer's reports of replicas that are said to have ended and live.
+	// livesReceived carries a peer's reports of replicas that are alive although they were
+	// reported as terminated.
 	livesReceived struct{ reports []routing.LifeReport }
-	// livesDue says that such reports are to be sent.
+	// livesDue says that liveness reports are to be sent.
 	livesDue struct{}
-	// leavingsReceived are a peer's reports of replicas that leave by their own word.
+	// leavingsReceived carries a peer's reports of replicas that announced their departure.
 	leavingsReceived struct{ reports []routing.LeavingReport }
-	// leavingsDue says that such reports are to be sent.
+	// leavingsDue says that reports of departures are to be sent.
 	leavingsDue struct{}
-	// loanWanted says that a request lacks a retry at a service, or a part of one. The reply
-	// channel has room for one answer.
+	// loanWanted requests a budget transfer, because the budget of a service lacks the missing amount for
+	// one retry. The reply channel has a buffer of one.
 	loanWanted struct {
 		service routing.ServiceName
 		missing routing.Retries
 		reply   chan<- routing.Retries
 	}
-	// loanAsksReceived are a peer's requests for loans.
+	// loanAsksReceived carries a peer's requests for budget transfers.
 	loanAsksReceived struct{ asks []gossip.LoanAsk }
-	// loansReceived are a peer's loans.
+	// loansReceived carries a peer's budget transfers.
 	loansReceived struct{ loans []gossip.Loan }
-	// syncDue says that the time before a sync has passed.
+	// syncDue says that the delay before fetching documents from a peer has passed.
 	syncDue struct{}
-	// synced is a peer's answer to a request for documents.
+	// synced carries a peer's response to a request for documents, or the error.
 	synced struct {
 		asked  documentsRequest
 		answer documentsAnswer
@@ -81,27 +82,26 @@
 	}
 	// callerWaits says that a caller waits for the first configuration.
 	callerWaits struct{}
-	// stopBegun says that a planned stop has begun.
+	// stopBegun says that a graceful shutdown has started.
 	stopBegun struct{}
 	// documentsAsked is a peer's request for documents.
 	documentsAsked struct {
 		request documentsRequest
 		reply   chan<- documentsAnswer
 	}
-	// statusAsked, membersAsked and replicasAsked are operators' questions. Their
-	// reply channels have room for one answer.
+	// statusAsked, membersAsked, replicasAsked and heldAsked are queries of operators. Their
+	// reply channels have a buffer of one.
 	statusAsked   struct{ reply chan<- StatusAnswer }
 	membersAsked  struct{ reply chan<- []MemberAnswer }
 	replicasAsked struct{ reply chan<- []ReplicaAnswer }
 	heldAsked     struct{ reply chan<- []HeldAnswer }
-	// releaseAsked is an operator's wish to let a content be sent again. The answer is
-	// whether it was known.
+	// releaseAsked is an operator's command to release a quarantined content. The reply says whether the content was known.
 	releaseAsked struct {
 		content routing.ContentKey
 		reply   chan<- bool
 	}
-	// restLifted is an operator's wish to end the rest of a replica. The answer is whether it
-	// rested.
+	// restLifted is an operator's command to end the backoff that a replica requested. The reply
+	// says whether there was one.
 	restLifted struct {
 		replica routing.ReplicaID
 		reply   chan<- bool
--- a/daemon/routes/export_test.go
+++ b/daemon/routes/export_test.go
@@ -2,7 +2,7 @@
 
 import "hingewinch.org/hingewinch/daemon"
 
-// Serving names one of the daemon's listeners.
+// Serving identifies one of the daemon's listeners.
 type Serving int
 
 // The daemon's listeners.
@@ -12,7 +12,7 @@
 	ServesOperators
 )
 
-// Address returns where a listener is served.
+// Address returns the address of a listener.
 func (d *Daemon) Address(s Serving) string {
 	l := [...]*daemon.Listener{ServesCallers: d.callers, ServesReadiness: d.readiness, ServesOperators: d.operators}[s]
 	return l.Address()
@@ -23,14 +23,14 @@
 	return daemon.ParseSettings(file, text, defaultSettings(), (*Settings).check)
 }
 
-// SharesCrowds reports whether traffic reports crowded replicas to the control loop, and
-// hears of them from it.
+// SharesCrowds reports whether the request path and the control loop share the table of
+// overloaded replicas.
 func (d *Daemon) SharesCrowds() bool {
 	return d.control.crowds != nil && d.Relay.Placer.Crowds == d.control.crowds
 }
 
-// SharesCrashes reports whether traffic reports the ends of replicas to the control loop, and
-// hears of them from it.
+// SharesCrashes reports whether the request path and the control loop share the table of
+// replica crashes.
 func (d *Daemon) SharesCrashes() bool {
 	return d.control.crashes != nil && d.Relay.Crashes == d.control.crashes
 }
--- a/daemon/routes/golden_test.go
+++ b/daemon/routes/golden_test.go
@@ -17,11 +17,11 @@
 	"hingewinch.org/hingewinch/transport/relay"
 )
 
-// These tests hold what other builds, scrapers and operators' scripts read, byte by
-// byte or name by name. A change here is a change of a published form: a fleet
-// runs two builds during each replacement.
+// These tests check the formats that other builds, scrapers and operators' scripts read, byte
+// by byte or name by name. A change here changes a published interface: a fleet runs two
+// builds during each upgrade.
 
-// TestMetricsKeepTheirNames holds the names on the metrics address.
+// TestMetricsKeepTheirNames checks the names of the metrics.
 func TestMetricsKeepTheirNames(t *testing.T) {
 	var b bytes.Buffer
 	if err := newMetrics().WriteText(&b); err != nil {
@@ -30,7 +30,7 @@
 	golden.Compare(t, "metrics.txt", b.String())
 }
 
-// TestOperatorsAnswersKeepTheirFields holds the JSON of the operators' address.
+// TestOperatorsAnswersKeepTheirFields checks the JSON of the responses to operators.
 func TestOperatorsAnswersKeepTheirFields(t *testing.T) {
 	var b strings.Builder
 	for _, a := range []any{StatusAnswer{}, MemberAnswer{}, ReplicaAnswer{Why: "silent"}, HeldAnswer{}} {
@@ -43,11 +43,11 @@
 	golden.Compare(t, "operators.txt", b.String())
 }
 
-// fieldName finds the names of a log line's fields.
+// fieldName matches the field names of a log line.
 var fieldName = regexp.MustCompile(`"([a-z_]+)":`)
 
-// TestLogLinesKeepTheirFields holds the fields of the lines that operators' scripts
-// filter by; the sentence at a line's end is free.
+// TestLogLinesKeepTheirFields checks the field names of log lines, by which operators' scripts
+// filter. The messages are not part of the interface.
 func TestLogLinesKeepTheirFields(t *testing.T) {
 	var out bytes.Buffer
 	l := newLog(&out, "debug", "d1", newMetrics())
@@ -110,8 +110,7 @@
 	golden.Compare(t, "log.txt", b.String())
 }
 
-// TestSettingsKeepTheirKeys reads a file with every key; an unknown one would be an
-// error.
+// TestSettingsKeepTheirKeys parses a file with every key. An unknown key would be an error.
 func TestSettingsKeepTheirKeys(t *testing.T) {
 	s, err := ParseSettings("f", []byte(`id: d1
 domain: z
--- a/daemon/routes/heartbeat.go
+++ b/daemon/routes/heartbeat.go
@@ -1,5 +1,5 @@
-// This file is the part of the control loop that sends heartbeats to other daemons
-// and takes theirs in. Where they go is decided in coordination/membership.
+// This file is the part of the control loop that sends and receives heartbeats. Their
+// targets are chosen in coordination/membership.
 
 package routes
 
@@ -14,33 +14,34 @@
 )
 
 const (
-	// sampleInterval is how many heartbeats of a small fleet go out for each that
-	// names members; in between only new members are named.
+	// sampleInterval is the interval, in heartbeats of a small fleet, at which a heartbeat
+	// contains a sample of the members. The others contain one only after new members were
+	// found.
 	sampleInterval = 5
-	// largeFleetTicks is how many ticks lie between two heartbeats of a large fleet,
-	// which keeps what a daemon spends on control from growing with the fleet.
+	// largeFleetTicks is the number of ticks between two heartbeats in a large fleet. It keeps
+	// a daemon's control traffic from growing with the fleet.
 	largeFleetTicks = 2
-	// maxLocations is how many cache locations a heartbeat announces, and
-	// maxLocationsLarge how many in a large fleet, where each is forwarded by all.
+	// maxLocations is the maximum number of cache locations in a heartbeat, and
+	// maxLocationsLarge the maximum in a large fleet, where every daemon forwards them.
 	maxLocations      = 25
 	maxLocationsLarge = 20
-	// partialTargets is how many daemons a partial heartbeat of a large fleet goes
-	// to. What it brings is forwarded, so that fewer do than of a whole one.
+	// partialTargets is the number of targets of a partial heartbeat in a large fleet. Its
+	// content is forwarded, so that fewer targets are enough than for a full heartbeat.
 	partialTargets = 3
-	// firstContacts is how many of the members that it is sent a daemon without documents contacts at
-	// once. One of six is likely to hold documents when a whole fleet starts; else all would ask the
-	// seeds, which they find first.
+	// firstContacts is the number of members that a daemon without documents contacts
+	// immediately. One of six is likely to hold documents when a whole fleet starts. Otherwise
+	// all daemons would ask the seeds, which they find first.
 	firstContacts = 6
 )
 
-// heartbeats is the state of sending.
+// heartbeats is the state for sending heartbeats.
 type heartbeats struct {
 	send        func(to membership.Address, payload []byte)
 	rng         *rand.Rand
 	ticks       int
 	sent        int
-	sampleDue   bool      // the next heartbeat names members
-	contactedAt time.Time // when members were contacted for want of documents
+	sampleDue   bool      // the next heartbeat contains a sample of the members
+	contactedAt time.Time // when members were last contacted to find documents
 }
 
 // tickHeartbeat sends a heartbeat if one is due at this tick.
@@ -50,14 +51,15 @@
 		c.sendHeartbeat(now)
 		return
 	}
-	// Cache locations are announced at once: each daemon that does not know one has
-	// the prompt read again.
+	// Cache locations are announced immediately: a daemon that does not know where a
+	// prompt is cached has it processed again.
 	if locations := c.pendingLocations(); len(locations) > 0 {
 		c.sendPartial(locations, now)
 	}
 }
 
-// newHeartbeat returns a heartbeat that says which documents this daemon holds.
+// newHeartbeat returns a heartbeat with the fields common to all heartbeats, which include
+// the position of this daemon's documents.
 func (c *control) newHeartbeat(now time.Time) gossip.Heartbeat {
 	h := gossip.Heartbeat{
 		Sender: c.roster.NextHeartbeat(), Stamp: c.log.timeline.Stamp(),
@@ -68,7 +70,7 @@
 	return h
 }
 
-// sendHeartbeat sends a whole heartbeat.
+// sendHeartbeat sends a full heartbeat.
 func (c *control) sendHeartbeat(now time.Time) {
 	b := &c.heartbeats
 	h := c.newHeartbeat(now)
@@ -79,7 +81,7 @@
 	c.spread(&h, now)
 }
 
-// sendPartial sends a partial heartbeat: the revision of the documents, and cache
+// sendPartial sends a partial heartbeat: the position of the documents, and cache
 // locations if there are any.
 func (c *control) sendPartial(locations []routing.CacheLocation, now time.Time) {
 	h := c.newHeartbeat(now)
@@ -87,15 +89,15 @@
 	c.spread(&h, now)
 }
 
-// sendBootstrap sends some members to a daemon that has just been found, and says
-// which documents it can be asked for. One that has just started waits for that.
+// sendBootstrap sends a newly found daemon a sample of the members and the position of
+// this daemon's documents. A daemon that has just started waits for this.
 func (c *control) sendBootstrap(to membership.Member, now time.Time) {
 	h := c.newHeartbeat(now)
 	h.Partial, h.Members = true, c.roster.Bootstrap(to, now, c.heartbeats.rng)
 	c.sendTo([]membership.Address{to.Address}, &h)
 }
 
-// sendTo sends a heartbeat to some daemons.
+// sendTo sends a heartbeat to the given daemons.
 func (c *control) sendTo(to []membership.Address, h *gossip.Heartbeat) {
 	payload, err := gossip.EncodeHeartbeat(h)
 	c.sendPayload(to, payload, err)
@@ -106,8 +108,7 @@
 	c.sendTo(c.targets(h.Partial, now), h)
 }
 
-// sendPayload sends an encoded datagram to some daemons, or logs why it could not be
-// encoded.
+// sendPayload sends an encoded datagram to the given daemons, or logs the encoding error.
 func (c *control) sendPayload(to []membership.Address, payload []byte, err error) {
 	if err != nil {
 		c.log.HeartbeatFailed(err)
@@ -118,8 +119,8 @@
 	}
 }
 
-// targets returns where a heartbeat goes; in a large fleet a partial one goes to some of
-// them only.
+// targets returns the daemons to send a heartbeat to. In a large fleet a partial heartbeat
+// goes to a random subset of the targets of a full one.
 func (c *control) targets(partial bool, now time.Time) []membership.Address {
 	rng := c.heartbeats.rng
 	targets := c.roster.Targets(now, rng)
@@ -130,7 +131,8 @@
 	return targets
 }
 
-// pendingLocations takes the cache locations for the next heartbeat.
+// pendingLocations removes the cache locations for the next heartbeat from the queue and
+// returns them.
 func (c *control) pendingLocations() []routing.CacheLocation {
 	if c.largeFleet() {
 		return c.cache.TakePending(maxLocationsLarge)
@@ -138,7 +140,7 @@
 	return c.cache.TakePending(maxLocations)
 }
 
-// receiveHeartbeat takes in a peer's heartbeat.
+// receiveHeartbeat processes a peer's heartbeat.
 func (c *control) receiveHeartbeat(ctx context.Context, h *gossip.Heartbeat, now time.Time) {
 	c.log.timeline.Observe(h.Stamp)
 	c.observeMembers(h, now)
@@ -157,7 +159,8 @@
 	c.noteRevision(ctx, h, now)
 }
 
-// observeMembers takes in the members that a heartbeat names, its sender included.
+// observeMembers adds the sender of a heartbeat and the members that it contains to the
+// roster.
 func (c *control) observeMembers(h *gossip.Heartbeat, now time.Time) {
 	if c.roster.IsNew(h.Sender, now) {
 		c.introduceReports(h.Sender.Address, now)
@@ -177,8 +180,8 @@
 	}
 }
 
-// contact sends a heartbeat to some members at once, but not more often than others go
-// out. Each that finds this daemon by it answers, and says which documents it holds.
+// contact sends a heartbeat to some of the members, at most once per heartbeatInterval.
+// Each member to which this daemon is new responds with the position of its documents.
 func (c *control) contact(members []membership.Member, now time.Time) {
 	if len(members) == 0 || now.Sub(c.heartbeats.contactedAt) < heartbeatInterval {
 		return
@@ -194,7 +197,7 @@
 	c.sendTo(to, &h)
 }
 
-// observeRequests takes in a peer's counts of its requests at replicas.
+// observeRequests processes a peer's load counts and health evidence about replicas.
 func (c *control) observeRequests(h *gossip.Heartbeat, now time.Time) {
 	loadAge, evidenceAge := routing.PeerLoadAge, routing.PeerEvidenceAge
 	if c.largeFleet() {
@@ -205,7 +208,8 @@
 	c.health.Observe(peer, h.Evidence, now, evidenceAge)
 }
 
-// observeDomains passes on when daemons of the other domains were last seen.
+// observeDomains tells the health tracker when daemons of the other failure domains were last
+// seen.
 func (c *control) observeDomains() {
 	domains := c.roster.Domains()
 	delete(domains, c.domain)
--- a/daemon/routes/loans.go
+++ b/daemon/routes/loans.go
@@ -1,5 +1,5 @@
-// This file is the part of the control loop that borrows retries of other daemons, and lends
-// them. How much, and when, is decided in coordination/routing/loan.go.
+// This file is the part of the control loop that transfers retry budget between daemons: it requests
+// retries from others and grants theirs. coordination/routing/loan.go decides when and how much.
 
 package routes
 
@@ -12,19 +12,19 @@
 	"hingewinch.org/hingewinch/protocol/gossip"
 )
 
-// loans is what this daemon has asked for.
+// loans is the state of the budget transfers that this daemon requested.
 type loans struct {
 	last gossip.LoanID
 	open map[gossip.LoanID]openLoan
 }
 
-// openLoan is a loan that was asked for.
+// openLoan is a requested transfer that has not arrived yet.
 type openLoan struct {
 	reply chan<- routing.Retries
-	until time.Time // when nobody waits for it any more
+	until time.Time // deadline of the requester
 }
 
-// askForLoan asks a daemon of the own failure domain.
+// askForLoan requests a transfer from another daemon of this daemon's failure domain.
 func (c *control) askForLoan(w *loanWanted, now time.Time) {
 	lender, ok := c.roster.Neighbour(now, c.heartbeats.rng)
 	if !ok {
@@ -42,7 +42,7 @@
 	sendReports(c, []membership.Address{lender}, []gossip.LoanAsk{ask}, gossip.EncodeLoanAsks)
 }
 
-// lend answers requests for loans.
+// lend responds to a peer's requests for budget transfers.
 func (c *control) lend(asks []gossip.LoanAsk, now time.Time) {
 	for _, a := range asks {
 		loan := gossip.Loan{ID: a.ID, Lent: c.budgets.Lend(a.Service, a.Missing, now)}
@@ -53,7 +53,7 @@
 	}
 }
 
-// takeLoans hands loans to those who wait for them. One that comes twice counts once.
+// takeLoans delivers transfers to their requesters. Duplicates are ignored.
 func (c *control) takeLoans(loans []gossip.Loan) {
 	for _, l := range loans {
 		if o, ok := c.loans.open[l.ID]; ok {
@@ -63,7 +63,7 @@
 	}
 }
 
-// forget drops the loans that nobody waits for.
+// forget drops transfers whose deadline has passed.
 func (l *loans) forget(now time.Time) {
 	for id, o := range l.open {
 		if now.After(o.until) {
@@ -72,7 +72,8 @@
 	}
 }
 
-// borrow asks a daemon for what is missing of a retry at a service, and returns what it lends.
+// borrow requests the missing part of one retry at a service from another daemon, and returns
+// the amount transferred.
 func (c *control) borrow(ctx context.Context, service routing.ServiceName, missing routing.Retries) routing.Retries {
 	ctx, cancel := context.WithTimeout(ctx, routing.LoanTimeout)
 	defer cancel()
--- a/daemon/routes/loans_test.go
+++ b/daemon/routes/loans_test.go
@@ -11,16 +11,16 @@
 	"hingewinch.org/hingewinch/protocol/gossip"
 )
 
-// lendingPair is two daemons of one failure domain that send each other datagrams.
+// lendingPair simulates two daemons of one failure domain that send each other datagrams.
 type lendingPair struct {
 	controls map[membership.Address]*control
-	copies   int // of each datagram that arrive
+	copies   int // number of times that each datagram is delivered
 	now      time.Time
 }
 
 const borrower, lender membership.Address = "10.0.0.1:1", "10.0.0.2:1"
 
-// newLendingPair returns daemons whose parts are seven tenths of a retry.
+// newLendingPair returns daemons whose shares of the retry budget are 0.7 retries each.
 func newLendingPair(t *testing.T) *lendingPair {
 	var out bytes.Buffer
 	l := newLog(&out, "info", "d", newMetrics())
@@ -52,7 +52,7 @@
 	}
 }
 
-// want has the borrower ask for what it lacks, and returns what it has been lent; 0 if nothing came.
+// want has the borrower request a transfer, and returns the amount received, or 0 if there was no response.
 func (p *lendingPair) want(missing routing.Retries) routing.Retries {
 	reply := make(chan routing.Retries, 1)
 	p.controls[borrower].handle(context.Background(), loanWanted{service: "s", missing: missing, reply: reply}, p.now)
@@ -67,36 +67,36 @@
 func TestDaemonsLendWhatTheyHaveLeft(t *testing.T) {
 	p := newLendingPair(t)
 	if lent := p.want(0.3); lent < 0.3 {
-		t.Fatalf("lent %v, want .3", lent)
+		t.Fatalf("lent %v, want 0.3", lent)
 	}
 	if lent := p.want(1); lent > 0.4 || lent < 0.39 {
-		t.Fatalf("lent %v, want what is left of .7", lent)
+		t.Fatalf("lent %v, want what is left of 0.7", lent)
 	}
 	if lent := p.want(1); lent != 0 {
-		t.Fatalf("lent %v of what is spent", lent)
+		t.Fatalf("lent %v from a spent budget", lent)
 	}
 	if asked, given := p.controls[borrower].log.metrics.LoansAsked.Count(), p.controls[lender].log.metrics.LoansGiven.Count(); asked != 3 || given != 2 {
-		t.Errorf("%d loans are counted as asked for and %d as given, want 3 and 2", asked, given)
+		t.Errorf("counted %d requested and %d granted transfers, want 3 and 2", asked, given)
 	}
 	p.now = p.now.Add(11 * time.Second)
 	p.controls[borrower].roster.Observe([]membership.Member{{Address: lender, Domain: "a", Incarnation: 1, Heartbeats: 2}}, p.now)
 	if lent := p.want(0.3); lent < 0.3 {
-		t.Fatalf("lent %v after a window, want .3", lent)
+		t.Fatalf("lent %v after a window, want 0.3", lent)
 	}
 }
 
-// TestALoanThatComesTwiceCountsOnce plays datagrams that arrive twice: what is asked for twice is
-// lent twice, and one of the two is lost.
+// TestALoanThatComesTwiceCountsOnce delivers each datagram twice. The lender then grants the transfer
+// twice, but the borrower must use only one of the two.
 func TestALoanThatComesTwiceCountsOnce(t *testing.T) {
 	p := newLendingPair(t)
 	p.copies = 2
 	if lent := p.want(0.3); lent < 0.3 || lent > 0.302 {
-		t.Fatalf("lent %v, want .3 once", lent)
+		t.Fatalf("lent %v, want 0.3 once", lent)
 	}
 }
 
-// TestALoanThatIsNotAnsweredIsGivenUp plays a lender of an earlier build, which drops what it does
-// not know: the request waits for a moment, and the daemon keeps nothing of it.
+// TestALoanThatIsNotAnsweredIsGivenUp simulates a lender of an earlier build, which ignores requests
+// for transfers. The borrower must give up after LoanTimeout and drop the transfer.
 func TestALoanThatIsNotAnsweredIsGivenUp(t *testing.T) {
 	p := newLendingPair(t)
 	c := p.controls[borrower]
@@ -115,15 +115,16 @@
 	}
 	c.loans.forget(p.now.Add(time.Second))
 	if len(c.loans.open) != 0 {
-		t.Fatal("a loan that nobody waits for is kept")
+		t.Fatal("an expired transfer is kept")
 	}
 }
 
-// TestADaemonAloneBorrowsNothing holds that one that knows no other of its domain answers at once.
+// TestADaemonAloneBorrowsNothing checks that a daemon which knows no other daemon in its failure domain
+// gets an immediate response of 0.
 func TestADaemonAloneBorrowsNothing(t *testing.T) {
 	p := newLendingPair(t)
 	p.controls[borrower].roster = membership.NewRoster(membership.Member{Address: borrower, Domain: "a"}, nil)
 	if lent := p.want(0.3); lent != 0 {
-		t.Fatalf("lent %v by nobody", lent)
+		t.Fatalf("lent %v without a lender", lent)
 	}
 }
--- a/daemon/routes/log.go
+++ b/daemon/routes/log.go
@@ -1,6 +1,6 @@
-// This file writes the structured log: a line for each decision that touches a
-// request or changes the daemon's state. Operators filter by the names of the
-// fields, which golden_test.go holds.
+// This file writes the structured log: one line for each decision that affects a
+// request or changes the daemon's state. Operators filter by the field names, which
+// golden_test.go checks.
 
 package routes
 
@@ -24,11 +24,11 @@
 	"hingewinch.org/hingewinch/transport/relay"
 )
 
-// errOlderVersion rejects a configuration that is newer in the store and has a lower
-// version.
-var errOlderVersion = errors.New("configuration has a lower version than the one in force; write a higher one")
+// errOlderVersion rejects a configuration document that is newer in the store but has a
+// lower version than the active one.
+var errOlderVersion = errors.New("configuration has a lower version than the active one; use a higher version")
 
-// Prefixes of the log lines, one for each part.
+// Prefixes of the log messages, one for each component.
 const (
 	prefixRequest = "request: "
 	prefixControl = "control: "
@@ -38,10 +38,11 @@
 	prefixDaemon  = "daemon: "
 )
 
-// timelineEvents is how many events a daemon keeps for the time line: some minutes of them.
+// timelineEvents is the number of events that a daemon keeps for the timeline, which is
+// enough for some minutes.
 const timelineEvents = 512
 
-// Log is the log of a daemon. It is safe for use by many goroutines.
+// Log is the log of a daemon. It is safe for concurrent use.
 type Log struct {
 	logger   log.Logger
 	writer   *backgroundWriter
@@ -50,7 +51,7 @@
 	done     chan struct{}
 	ended    chan struct{}
 	once     sync.Once
-	unreadAt atomic.Int64 // when a line last said that an answer can't be read, in Unix nanoseconds
+	unreadAt atomic.Int64 // when invalid fields of a response were last logged, in Unix nanoseconds
 }
 
 // newLog returns a log that writes to out until Close.
@@ -85,45 +86,46 @@
 	}
 }
 
-// Close writes what is held and ends the background writing.
+// Close writes the buffered lines and stops background writing.
 func (l *Log) Close() {
 	l.once.Do(func() { close(l.done) })
 	<-l.ended
 }
 
-// Started says that the daemon serves.
+// Started logs that the daemon has started to serve.
 func (l *Log) Started(callers string) {
-	l.timeline.Record(coordination.EventStarted, callers, "", "daemon serves")
+	l.timeline.Record(coordination.EventStarted, callers, "", "daemon started")
 	l.logger.Info().Str("callers", callers).Msg(prefixDaemon + "started")
 }
 
-// Stopping says that a planned stop begins.
+// Stopping logs that a graceful shutdown has started.
 func (l *Log) Stopping() {
-	l.timeline.Record(coordination.EventStopBegun, "", "", "planned stop begins")
-	l.logger.Info().Msg(prefixDaemon + "planned stop begins")
+	l.timeline.Record(coordination.EventStopBegun, "", "", "graceful shutdown started")
+	l.logger.Info().Msg(prefixDaemon + "graceful shutdown started")
 }
 
-// Stopped says that the daemon ends. err is nil after a planned stop.
+// Stopped logs that the daemon exits. err is nil after a graceful shutdown.
 func (l *Log) Stopped(err error) {
 	l.logger.Info().AnErr("error", err).Msg(prefixDaemon + "ended")
 }
 
-// Reloaded says that the settings were read again after a signal.
+// Reloaded logs that the settings file was checked after a SIGHUP. Changed settings take effect at the next
+// start.
 func (l *Log) Reloaded(changed bool, err error) {
 	e := l.logger.Info()
 	if err != nil {
 		e = l.logger.Error().Err(err)
 	}
-	e.Bool("changed", changed).Msg(prefixDaemon + "settings were read again")
+	e.Bool("changed", changed).Msg(prefixDaemon + "settings file was checked again; changes take effect at the next start")
 }
 
-// Paused says that the process was paused.
+// Paused logs that the process was paused.
 func (l *Log) Paused(d time.Duration) {
 	l.timeline.Record(coordination.EventPaused, "", "", "process was paused for %s", d.Round(time.Millisecond))
 	l.logger.Warn().Int64("ms", d.Milliseconds()).Msg(prefixControl + "process was paused; reading the store again")
 }
 
-// Figures says what control has cost since the start.
+// Figures logs the cost of the control loop since the daemon's start.
 func (l *Log) Figures(daemons int, at feed.Revision) {
 	m := l.metrics
 	l.logger.Info().Int("daemons", daemons).Uint64("revision", uint64(at)).Int64("store_calls", m.StoreCalls.Count()).
@@ -131,10 +133,10 @@
 		Int64("pulls", m.Syncs.Count()).Int64("pulled_bytes", m.SyncedBytes.Count()).Msg(prefixDaemon + "figures so far")
 }
 
-// Store says that the store was lost or regained. err is why it was lost.
+// Store logs that the store became unavailable, with the error, or available again.
 func (l *Log) Store(lost bool, err error, at feed.Revision) {
 	if lost {
-		const text = "lost; serving with the last documents"
+		const text = "unavailable; serving with the last known documents"
 		l.timeline.Record(coordination.EventPlatform, "store", "", text)
 		l.logger.Warn().AnErr("error", err).Uint64("revision", uint64(at)).Msg(prefixStore + text)
 		return
@@ -143,48 +145,48 @@
 	l.logger.Info().Uint64("revision", uint64(at)).Msg(prefixStore + "regained")
 }
 
-// Era says that the store came back from a copy of itself, and who said so: the store or a peer's
-// address. differs is how many documents are others than before, kept the version of the configuration
-// in force.
+// Era logs that the store was restored from a backup. source is where this was learned from: the store
+// or a peer's address. differs is the number of documents that changed, and kept is the version of the
+// active configuration.
 func (l *Log) Era(from, to feed.Position, source string, differs int, kept routing.ConfigVersion) {
-	l.timeline.Record(coordination.EventPlatform, "store", "", "era %d begins", uint64(to.Era))
+	l.timeline.Record(coordination.EventPlatform, "store", "", "restored from a backup; era %d begins", uint64(to.Era))
 	l.metrics.StoreEras.Inc(1)
 	l.logger.Warn().Uint64("from_era", uint64(from.Era)).Uint64("from_revision", uint64(from.Revision)).
 		Uint64("era", uint64(to.Era)).Uint64("revision", uint64(to.Revision)).Str("source", source).
-		Int("documents", differs).Uint64("version", uint64(kept)).Msg(prefixStore + "came back from a copy of itself; what was written last is written again")
+		Int("documents", differs).Uint64("version", uint64(kept)).Msg(prefixStore + "restored from a backup; changes made after the backup are missing until they are written again")
 }
 
-// Former says what became of documents of before that the store's copy lacks, or has older ones of.
+// Former logs how documents from before a restore were handled that the restored store lacks or has older
+// versions of.
 func (l *Log) Former(n int, text string) {
 	l.logger.Warn().Int("documents", n).Msg(prefixControl + text)
 }
 
-// Documents says that documents changed. source is the store or a peer's address.
+// Documents logs that documents changed. source is the store or a peer's address.
 func (l *Log) Documents(n int, source string, at feed.Position) {
 	l.logger.Info().Int("documents", n).Str("source", source).Uint64("revision", uint64(at.Revision)).Uint64("era", uint64(at.Era)).Msg(prefixControl + "documents changed")
 }
 
-// Config says that a configuration is in force.
+// Config logs that a configuration became active.
 func (l *Log) Config(v routing.ConfigVersion, at feed.Revision, source string) {
 	l.timeline.Record(coordination.EventConfigTaken, strconv.FormatUint(uint64(v), 10), "", "%s", "from "+source)
 	l.logger.Info().Uint64("version", uint64(v)).Uint64("revision", uint64(at)).Str("source", source).Msg(prefixControl + "configuration is in force")
 }
 
-// Rejected says that a document can't be used.
+// Rejected logs that a configuration document was rejected.
 func (l *Log) Rejected(key string, err error) {
 	l.timeline.Record(coordination.EventConfigRefused, key, "", "%s", err.Error())
-	l.logger.Error().Str("key", key).Err(err).Msg(prefixControl + "document is rejected; the last good one stays in force")
+	l.logger.Error().Str("key", key).Err(err).Msg(prefixControl + "document is rejected; the last valid one stays active")
 }
 
-// NotUnderstood says that a part of a document is not known, and what holds in its
-// place.
+// NotUnderstood logs that part of a document is unknown, and what is used instead.
 func (l *Log) NotUnderstood(key, warning string) {
 	l.logger.Warn().Str("key", key).Str("warning", warning).Msg(prefixControl + "part of a document is not understood")
 }
 
-// Evacuation says that a failure domain is evacuated or was taken back.
+// Evacuation logs that the evacuation of a failure domain began or ended.
 func (l *Log) Evacuation(d state.FailureDomain, begun bool, at feed.Revision) {
-	text := "failure domain was taken back; its replicas count as cold for a while"
+	text := "evacuation of failure domain ended; its replicas count as cold for a while"
 	if begun {
 		text = "failure domain is evacuated; its replicas get no requests"
 		l.metrics.Evacuations.Inc(1)
@@ -193,50 +195,50 @@
 	l.logger.Warn().Str("domain", string(d)).Bool("evacuated", begun).Uint64("revision", uint64(at)).Msg(prefixControl + text)
 }
 
-// HeldBack says that requests of a content are not sent any more because replicas end under
-// them.
+// HeldBack logs that requests with a content are quarantined from now on because replicas crash
+// while serving them.
 func (l *Log) HeldBack(content routing.ContentKey) {
-	l.timeline.Record(coordination.EventAttemptFailed, content.String(), "", "requests are held back: replicas end under them")
+	l.timeline.Record(coordination.EventAttemptFailed, content.String(), "", "requests are quarantined: replicas crash while serving them")
 	l.metrics.ContentsHeld.Inc(1)
 	l.logger.Warn().Str("content", content.String()).Msg(prefixRequest + "held back from now on; replicas end under it")
 }
 
-// Released says that an operator let a content be sent again.
+// Released logs that an operator released a quarantined content.
 func (l *Log) Released(content routing.ContentKey) {
 	l.timeline.Record(coordination.EventAttemptFailed, content.String(), "", "requests were released by an operator")
 	l.logger.Warn().Str("content", content.String()).Msg(prefixRequest + "released by an operator")
 }
 
-// Peer says that a daemon was found.
+// Peer logs that a daemon was discovered.
 func (l *Log) Peer(m membership.Member) {
 	l.timeline.Record(coordination.EventPeerState, string(m.Address), "", "found")
 	l.logger.Info().Str("peer", string(m.Address)).Str("domain", string(m.Domain)).Uint64("life", uint64(m.Incarnation)).Msg(prefixPeer + "found")
 }
 
-// SyncFailed says that a peer did not send its documents.
+// SyncFailed logs that documents could not be fetched from a peer.
 func (l *Log) SyncFailed(from membership.Address, err error) {
 	l.logger.Warn().Str("peer", string(from)).Err(err).Msg(prefixPeer + "sent no documents")
 }
 
-// HeartbeatFailed says that a heartbeat could not be sent.
+// HeartbeatFailed logs that a heartbeat or another datagram could not be encoded.
 func (l *Log) HeartbeatFailed(err error) {
 	l.logger.Error().Err(err).Msg(prefixPeer + "heartbeat can't be encoded; check listen.peers and peer_address")
 }
 
-// Denied says that a request was not let in.
+// Denied logs that a request was not admitted.
 func (l *Log) Denied(id routing.RequestID, d routing.Denial) {
 	l.metrics.Denied.Inc(1)
 	l.logger.Info().Str("request", string(id)).Str("reason", denialNames[d]).Msg(prefixRequest + "denied")
 }
 
-// denialNames are the reasons in the log.
+// denialNames are the logged reasons of denials.
 var denialNames = map[routing.Denial]string{
 	routing.NoConfiguration: "no_configuration",
 	routing.NoRoute:         "no_route",
 	routing.UnknownKey:      "unknown_key",
 }
 
-// Finished says how a request ended.
+// Finished logs the result of a request and its attempts.
 func (l *Log) Finished(c *relay.Call, s *relay.Summary) {
 	l.metrics.finished(s)
 	e := l.logger.Info()
@@ -260,7 +262,7 @@
 	e.Msg(prefixRequest + "ended")
 }
 
-// noReport stands in the log where a replica did not say what it holds.
+// noReport is logged as the reported load if the replica did not report any.
 const noReport = -1
 
 func reportedLoad(l relay.ReportedLoad) int {
@@ -270,7 +272,8 @@
 	return l.Requests
 }
 
-// answeredWell reports whether a request needs no line above the info level.
+// answeredWell reports whether a request was answered without a server error, so that it is
+// not logged above the info level.
 func answeredWell(s *relay.Summary) bool {
 	a, ok := s.Outcome.(coordination.Answered)
 	return ok && a.Status < http.StatusInternalServerError
--- a/daemon/routes/log_replicas.go
+++ b/daemon/routes/log_replicas.go
@@ -1,4 +1,4 @@
-// This file writes the lines of the log that are about replicas.
+// This file writes the log lines about replicas.
 
 package routes
 
@@ -14,26 +14,26 @@
 	"hingewinch.org/hingewinch/transport/relay"
 )
 
-// Replica says that a replica is ready, draining or gone.
+// Replica logs that a replica became ready, draining or gone.
 func (l *Log) Replica(id routing.ReplicaID, stage string, at feed.Revision) {
 	l.timeline.Record(coordination.EventUpstreamState, string(id), "", "%s", stage)
 	l.logger.Info().Str("replica", string(id)).Str("state", stage).Uint64("revision", uint64(at)).Msg(prefixReplica + "state changed")
 }
 
-// Restarted says that a replica started again under its id.
+// Restarted logs that a replica restarted with the same id.
 func (l *Log) Restarted(id routing.ReplicaID, born routing.Born, at feed.Revision) {
 	l.timeline.Record(coordination.EventUpstreamState, string(id), "", "%s", stateRestarted)
-	l.logger.Info().Str("replica", string(id)).Str("state", stateRestarted).Int64("born", int64(born)).Uint64("revision", uint64(at)).Msg(prefixReplica + "started again under its id; what was known of it is dropped")
+	l.logger.Info().Str("replica", string(id)).Str("state", stateRestarted).Int64("born", int64(born)).Uint64("revision", uint64(at)).Msg(prefixReplica + "restarted with the same id; previous state is dropped")
 }
 
-// Unusable says that an entry names no replica.
+// Unusable logs that an entry can't be used.
 func (l *Log) Unusable(key string, at feed.Revision, err error) {
 	l.timeline.Record(coordination.EventUpstreamState, key, "", "%s", err.Error())
 	l.metrics.UnusableEntries.Inc(1)
 	l.logger.Warn().Str("key", key).Uint64("revision", uint64(at)).Err(err).Msg(prefixReplica + "entry names no replica")
 }
 
-// Cold says that a replica is cold for a while, or with 0 that it is warm again.
+// Cold logs that a replica is cold for the given time, or warm if it is 0.
 func (l *Log) Cold(id routing.ReplicaID, d time.Duration, at feed.Revision) {
 	stage := stateWarm
 	if d > 0 {
@@ -44,44 +44,44 @@
 	l.logger.Info().Str("replica", string(id)).Str("state", stage).Int64("cold_ms", d.Milliseconds()).Uint64("revision", uint64(at)).Msg(prefixReplica + "state changed")
 }
 
-// Restored says that replicas are used on although their entries expired; left is how
-// many others the service has.
+// Restored logs that replicas of a service are kept in use although their entries expired.
+// left is the number of ready replicas with entries.
 func (l *Log) Restored(s routing.ServiceName, expired, left int) {
-	l.timeline.Record(coordination.EventListDoubted, string(s), "", "%d entries expired together, %d replicas are left", expired, left)
+	l.timeline.Record(coordination.EventListDoubted, string(s), "", "%d entries expired at about the same time, %d replicas are left", expired, left)
 	l.logger.Warn().Str("service", string(s)).Int("vanished", expired).Int("left", left).
-		Msg(prefixReplica + "entries expired while the store was unreachable; replicas are used on")
+		Msg(prefixReplica + "entries expired while the store was unreachable; keeping the replicas in use")
 }
 
-// Ejected says that a replica gets no requests for a while.
+// Ejected logs that a replica temporarily gets no requests.
 func (l *Log) Ejected(r *routing.Replica, c *relay.Call, cause error) {
 	l.timeline.Record(coordination.EventAttemptFailed, string(r.ID), state.RequestID(c.ID), "%s", "ejected: "+cause.Error())
 	l.metrics.Ejections.Inc(1)
 	l.logger.Warn().Str("replica", string(r.ID)).Str("request", string(c.ID)).AnErr("cause", cause).Msg(prefixReplica + "ejected for a while")
 }
 
-// EndedUnder says that a replica ended while it had a request.
+// EndedUnder logs that a replica crashed while serving a request.
 func (l *Log) EndedUnder(r *routing.Replica, c *relay.Call) {
 	l.metrics.EndedUnder.Inc(1)
 	l.logger.Warn().Str("replica", string(r.ID)).Str("request", string(c.ID)).Str("content", c.Content.String()).
 		Str("workspace", string(c.Workspace)).Str("route", c.Route.Name).Msg(prefixReplica + "ended while it had a request")
 }
 
-// Lives says that a replica which was held to have ended lives, as other daemons know.
+// Lives logs that a replica which was considered terminated is alive, as reported by other daemons.
 func (l *Log) Lives(id routing.ReplicaID) {
-	l.timeline.Record(coordination.EventUpstreamState, string(id), "", "has not ended: it answers other daemons")
-	l.logger.Info().Str("replica", string(id)).Msg(prefixReplica + "has not ended; it answers other daemons on connections from before")
+	l.timeline.Record(coordination.EventUpstreamState, string(id), "", "has not terminated: it answers other daemons")
+	l.logger.Info().Str("replica", string(id)).Msg(prefixReplica + "has not terminated; it answers other daemons on connections opened before its reported termination")
 }
 
-// Crowded says that a replica holds too much and is avoided for a moment, and that the prompt
-// of a request may get more homes.
+// Crowded logs that a replica is overloaded and briefly avoided. The prompt of the request may be
+// cached at additional replicas.
 func (l *Log) Crowded(r *routing.Replica, c *relay.Call, load relay.ReportedLoad) {
 	l.metrics.Crowded.Inc(1)
 	l.logger.Info().Str("replica", string(r.ID)).Str("request", string(c.ID)).Str("prompt", strconv.FormatUint(c.Key(), 36)).
 		Int("reported_load", reportedLoad(load)).Msg(prefixReplica + "crowded; avoided for a moment")
 }
 
-// Said counts what a replica said of itself in an answer. What can't be read has a line, one a
-// second at most: a replica may say it in each answer.
+// Said counts what a replica reported about itself in a response. Invalid fields are logged at most
+// once per second, because a replica may send them in each response.
 func (l *Log) Said(r *routing.Replica, c *relay.Call, says relay.Statement) {
 	if says.Rest > 0 {
 		l.metrics.RestsAsked.Inc(1)
@@ -96,43 +96,43 @@
 	now := clock.Now().UnixNano()
 	if last := l.unreadAt.Load(); now-last >= int64(time.Second) && l.unreadAt.CompareAndSwap(last, now) {
 		l.logger.Warn().Str("replica", string(r.ID)).Str("request", string(c.ID)).Strs("fields", says.NotUnderstood).
-			Msg(prefixReplica + "answer has fields that can't be read; they say nothing")
+			Msg(prefixReplica + "ignoring invalid fields of a response")
 	}
 }
 
-// Rests says that a replica asked for rest and gets nothing from this daemon for a while. One
-// that asks again meanwhile has no further line.
+// Rests logs that a replica requested a backoff (Retry-After), during which this daemon sends it
+// nothing. Further requests for a backoff during that time are not logged.
 func (l *Log) Rests(r *routing.Replica, c *relay.Call, left time.Duration) {
-	l.timeline.Record(coordination.EventUpstreamState, string(r.ID), state.RequestID(c.ID), "asked for %s of rest", left.Round(time.Millisecond))
+	l.timeline.Record(coordination.EventUpstreamState, string(r.ID), state.RequestID(c.ID), "requested a backoff of %s", left.Round(time.Millisecond))
 	l.metrics.Resting.Inc(1)
-	l.logger.Info().Str("replica", string(r.ID)).Str("request", string(c.ID)).Int64("rest_ms", left.Milliseconds()).Msg(prefixReplica + "asked for rest; it gets nothing from this daemon for so long")
+	l.logger.Info().Str("replica", string(r.ID)).Str("request", string(c.ID)).Int64("rest_ms", left.Milliseconds()).Msg(prefixReplica + "requested a backoff; this daemon sends it no requests for that time")
 }
 
-// RestLifted says that an operator ended the rest of a replica.
+// RestLifted logs that an operator ended the backoff that a replica requested.
 func (l *Log) RestLifted(id routing.ReplicaID) {
-	l.timeline.Record(coordination.EventUpstreamState, string(id), "", "its rest was lifted by an operator")
+	l.timeline.Record(coordination.EventUpstreamState, string(id), "", "its backoff was lifted by an operator")
 	l.logger.Warn().Str("replica", string(id)).Msg(prefixReplica + "rest was lifted by an operator")
 }
 
-// Leaves says that a replica said in an answer that it leaves.
+// Leaves logs that a replica announced its departure in a response.
 func (l *Log) Leaves(r *routing.Replica, c *relay.Call) {
-	l.timeline.Record(coordination.EventUpstreamState, string(r.ID), state.RequestID(c.ID), "says that it leaves")
-	l.logger.Info().Str("replica", string(r.ID)).Str("request", string(c.ID)).Int64("born", int64(r.Born)).Msg(prefixReplica + "says in an answer that it leaves; it gets nothing more")
+	l.timeline.Record(coordination.EventUpstreamState, string(r.ID), state.RequestID(c.ID), "announced its departure")
+	l.logger.Info().Str("replica", string(r.ID)).Str("request", string(c.ID)).Int64("born", int64(r.Born)).Msg(prefixReplica + "announced its departure in a response; it gets no more requests")
 }
 
-// Replaced says that another replica answered at a replica's address.
+// Replaced logs that another replica answered at a replica's address.
 func (l *Log) Replaced(r *routing.Replica, c *relay.Call) {
 	l.timeline.Record(coordination.EventUpstreamState, string(r.ID), state.RequestID(c.ID), "another replica answers at its address")
-	l.logger.Info().Str("replica", string(r.ID)).Str("request", string(c.ID)).Int64("born", int64(r.Born)).Msg(prefixReplica + "another one answers at its address; it gets nothing more")
+	l.logger.Info().Str("replica", string(r.ID)).Str("request", string(c.ID)).Int64("born", int64(r.Born)).Msg(prefixReplica + "another replica answers at its address; it gets no more requests")
 }
 
-// LeavesByReport says that another daemon knows by an answer that a replica leaves or has gone.
+// LeavesByReport logs that another daemon reported a replica as shutting down or gone.
 func (l *Log) LeavesByReport(id routing.ReplicaID) {
-	l.timeline.Record(coordination.EventUpstreamState, string(id), "", "leaves or has gone, by another daemon's word")
-	l.logger.Info().Str("replica", string(id)).Msg(prefixReplica + "leaves or has gone, by another daemon's word; it gets nothing more")
+	l.timeline.Record(coordination.EventUpstreamState, string(id), "", "shutting down or gone, as reported by another daemon")
+	l.logger.Info().Str("replica", string(id)).Msg(prefixReplica + "shutting down or gone, as reported by another daemon; it gets no more requests")
 }
 
-// FoundSilent says that a replica gets no requests because other daemons find it silent.
+// FoundSilent logs that a replica gets no requests because other daemons found it silent.
 func (l *Log) FoundSilent(id routing.ReplicaID) {
 	l.timeline.Record(coordination.EventAttemptFailed, string(id), "", "several daemons find it silent")
 	l.metrics.FoundSilent.Inc(1)
--- a/daemon/routes/logwriter.go
+++ b/daemon/routes/logwriter.go
@@ -1,5 +1,5 @@
-// This file holds log lines in memory and writes them in the background. What does
-// not fit is dropped and counted, so that logging never holds up a request.
+// This file buffers log lines and writes them in the background. Lines that do not fit
+// in the buffer are dropped and counted, so that logging never blocks a request.
 
 package routes
 
@@ -10,13 +10,12 @@
 )
 
 const (
-	// logBufferBytes bounds the lines that wait; logFlushInterval is how long they wait at most.
+	// logBufferBytes is the size of the buffer; logFlushInterval is how often it is written.
 	logBufferBytes   = 256 << 10
 	logFlushInterval = 250 * time.Millisecond
 )
 
-// backgroundWriter holds lines until the next flush. It is safe for use by many
-// goroutines.
+// backgroundWriter buffers lines until the next flush. It is safe for concurrent use.
 type backgroundWriter struct {
 	out io.Writer
 
@@ -24,10 +23,10 @@
 	buffer  []byte
 	spare   []byte // the buffer of the last flush
 	dropped int64  // lines since the last flush
-	total   int64  // of all dropped lines
+	total   int64  // dropped lines since the start
 }
 
-// Write takes one line, or drops it.
+// Write buffers one line, or drops it if the buffer is full.
 func (w *backgroundWriter) Write(p []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -40,7 +39,7 @@
 	return len(p), nil
 }
 
-// flush writes what is held, and returns how many lines were dropped since the
+// flush writes the buffered lines, and returns how many lines were dropped since the
 // last flush.
 func (w *backgroundWriter) flush() int64 {
 	w.mu.Lock()
@@ -50,7 +49,7 @@
 	out := w.spare
 	w.mu.Unlock()
 	if len(out) > 0 {
-		_, _ = w.out.Write(out) // there is nowhere to report a failed log
+		_, _ = w.out.Write(out) // there is nowhere to report that the log can't be written
 	}
 	return dropped
 }
--- a/daemon/routes/metrics.go
+++ b/daemon/routes/metrics.go
@@ -1,4 +1,4 @@
-// This file defines the counters and histograms of a daemon.
+// This file defines the metrics of a daemon.
 
 package routes
 
@@ -12,7 +12,7 @@
 	"hingewinch.org/hingewinch/transport/relay"
 )
 
-// Metrics are the figures of a daemon.
+// Metrics are the counters and histograms of a daemon.
 type Metrics struct {
 	registry metrics.Registry
 
@@ -23,60 +23,60 @@
 	CallerGone metrics.Counter
 	Denied     metrics.Counter
 	Retries    metrics.Counter
-	// LoansAsked counts the times that another daemon was asked for a retry, and LoansGiven those
-	// that this one lent one, or a part.
+	// LoansAsked counts the transfers of retry budget that this daemon requested from others, and
+	// LoansGiven the transfers that it granted, in whole or in part.
 	LoansAsked     metrics.Counter
 	LoansGiven     metrics.Counter
 	Spilled        metrics.Counter
 	Copied         metrics.Counter
 	NewConnections metrics.Counter
 	Ejections      metrics.Counter
-	// FoundSilent counts the replicas that only other daemons found silent.
+	// FoundSilent counts the replicas that were silent according to other daemons' reports.
 	FoundSilent metrics.Counter
-	// Crowded counts the requests that found their replica crowded.
+	// Crowded counts the requests that found their replica overloaded.
 	Crowded metrics.Counter
-	// EndedUnder counts the requests whose replica ended while it had them.
+	// EndedUnder counts the requests whose replica crashed while serving them.
 	EndedUnder metrics.Counter
-	// ContentsHeld counts the contents that were held back because replicas end under them.
+	// ContentsHeld counts the contents that were quarantined because replicas crash while serving them.
 	ContentsHeld metrics.Counter
-	// RestsAsked counts the answers that asked for a time without requests, and LeavingSaid
-	// those that said that their replica leaves.
+	// RestsAsked counts the responses that requested a backoff, and LeavingSaid those that
+	// announced the departure of their replica.
 	RestsAsked metrics.Counter
-	// Resting counts the times at which a replica that did not rest began to, AllResting the
-	// requests that were refused because all rested that could serve them.
+	// Resting counts the backoffs that began, not counting extensions. AllResting counts the
+	// requests refused because every replica that could serve them had requested a backoff.
 	Resting     metrics.Counter
 	AllResting  metrics.Counter
 	LeavingSaid metrics.Counter
-	// NotUnderstood counts the fields of answers that could not be read.
+	// NotUnderstood counts the invalid fields of responses.
 	NotUnderstood metrics.Counter
-	// UnusableEntries counts the entries that named no replica when they changed.
+	// UnusableEntries counts the changes of entries that made them, or left them, unusable.
 	UnusableEntries metrics.Counter
-	// Cold counts the replicas that turned cold, Evacuations the failure domains that
-	// operators evacuated.
+	// Cold counts how often a replica became cold, Evacuations how often a failure domain was
+	// evacuated.
 	Cold        metrics.Counter
 	Evacuations metrics.Counter
 	StoreCalls  metrics.Counter
-	// StoreEras counts how often the store came back from a copy of itself, and StoreOlder its answers
-	// that were not believed because they were older than what was known.
+	// StoreEras counts the restores of the store from a backup. StoreOlder counts the store's
+	// responses that were rejected because they were older than the known documents.
 	StoreEras  metrics.Counter
 	StoreOlder metrics.Counter
 	Syncs      metrics.Counter
-	// SyncedBytes and HeartbeatBytes are payloads, without headers of lower layers.
+	// SyncedBytes and HeartbeatBytes count payload bytes, without headers of lower layers.
 	SyncedBytes        metrics.Counter
 	HeartbeatBytes     metrics.Counter
 	HeartbeatsSent     metrics.Counter
 	HeartbeatsReceived metrics.Counter
 	FirstByte          metrics.Histogram // milliseconds
 	Total              metrics.Histogram // milliseconds
-	// LoadMissed is by how many requests a replica held more than the daemon believed
-	// when it chose it, the sent one left out; Coverage is the percentage of the fleet's
-	// daemons that the belief contained. Together they say whether the load bound of
-	// routing holds, and if not, whether for want of news.
+	// LoadMissed is the number of requests by which a replica's reported load exceeded the
+	// estimate that it was chosen by, without the request itself. Coverage is the percentage
+	// of the fleet's daemons that the estimate included. Together they show whether the load
+	// bound of routing holds, and if not, whether missing load reports are the cause.
 	LoadMissed metrics.Histogram
 	Coverage   metrics.Histogram
 }
 
-// sampleSize and sampleAlpha shape the histograms' reservoirs.
+// sampleSize and sampleAlpha are the parameters of the histograms' exponentially decaying samples.
 const (
 	sampleSize  = 512
 	sampleAlpha = 0.015
@@ -129,7 +129,7 @@
 	return m
 }
 
-// finished counts a request that has ended.
+// finished updates the metrics for a completed request.
 func (m *Metrics) finished(s *relay.Summary) {
 	m.Requests.Inc(1)
 	switch s.Outcome.(type) {
@@ -173,10 +173,10 @@
 
 const percent = 100
 
-// quantiles are those of the metrics page.
+// quantiles are the exported quantiles of the histograms.
 var quantiles = []float64{0.5, 0.9, 0.99, 0.999}
 
-// WriteText writes all metrics as [transport.WriteMetrics] does.
+// WriteText writes all metrics in the text format of [transport.WriteMetrics].
 func (m *Metrics) WriteText(w io.Writer) error {
 	return transport.WriteMetrics(w, m.registry, quantiles)
 }
--- a/daemon/routes/operator.go
+++ b/daemon/routes/operator.go
@@ -1,6 +1,7 @@
-// This file serves operators and scrapers: status, members, replicas, what is held back, time
-// line and metrics, to be read only, and the release of what is held back. The names of the
-// fields are published.
+// This file implements the HTTP interface for operators and scrapers: queries for status, members,
+// replicas, quarantined contents, timeline and metrics, and the commands to release a quarantined content
+// and to end a replica's backoff.
+// The field names are part of the published interface.
 
 package routes
 
@@ -26,15 +27,15 @@
 	PathMembers  = "/members"
 	PathReplicas = "/replicas"
 	PathMetrics  = "/metrics"
-	// PathHeld lists the contents that are held back. A POST to PathRelease with a content
-	// lets it be sent again, at all daemons.
+	// PathHeld lists the quarantined contents. A POST to PathRelease with a
+	// content releases its requests at all daemons.
 	PathHeld    = "/held"
 	PathRelease = "/release"
-	// A POST to PathLift with a replica ends the rest that it asked this daemon for.
+	// A POST to PathLift with a replica ends the backoff that the replica requested of this daemon.
 	PathLift = "/lift"
 )
 
-// StatusAnswer is the answer to GET /status.
+// StatusAnswer is the response to GET /status.
 type StatusAnswer struct {
 	Daemon      state.DaemonID        `json:"daemon"`
 	Domain      state.FailureDomain   `json:"domain"`
@@ -43,7 +44,7 @@
 	UptimeMS    int64                 `json:"uptime_ms"`
 	Version     routing.ConfigVersion `json:"config_version"`
 	Revision    feed.Revision         `json:"revision"`
-	Era         feed.Era              `json:"era"`            // of the revision: how often the store came back from a copy
+	Era         feed.Era              `json:"era"`            // of the revision: how often the store was restored from a backup
 	ChangedMS   int64                 `json:"changed_ms_ago"` // since the documents changed; -1: never
 	StoreLost   bool                  `json:"store_lost"`
 	ReadsStore  bool                  `json:"reads_store"`
@@ -52,16 +53,16 @@
 	Replicas    int                   `json:"replicas"`
 	LinesLost   int64                 `json:"log_lines_left_out"`
 	Connections int                   `json:"idle_connections"`
-	// Evacuated are the failure domains that operators evacuate.
+	// Evacuated lists the evacuated failure domains.
 	Evacuated []state.FailureDomain `json:"evacuated_domains"`
 	Cold      int                   `json:"cold_replicas"`
-	// Build is the revision that the program was built from, and Reads the kinds of messages of
-	// other daemons that it reads: two builds side by side show here.
+	// Build is the revision that the program was built from, and Reads lists the kinds of messages
+	// that it accepts from other daemons. They show if two builds run side by side.
 	Build string   `json:"build"`
 	Reads []string `json:"reads"`
 }
 
-// MemberAnswer is one daemon in the answer to GET /members.
+// MemberAnswer is one daemon in the response to GET /members.
 type MemberAnswer struct {
 	Address     membership.Address     `json:"address"`
 	Domain      state.FailureDomain    `json:"domain"`
@@ -69,17 +70,17 @@
 	Leaving     bool                   `json:"leaving"`
 }
 
-// HeldAnswer is one content in the answer to GET /held.
+// HeldAnswer is one content in the response to GET /held.
 type HeldAnswer struct {
 	Content string `json:"content"` // as in the log
-	// Workspace is empty if the configuration in force has none of the caller's.
+	// Workspace is empty if the active configuration no longer has the caller's workspace.
 	Workspace routing.WorkspaceName `json:"workspace"`
-	Replicas  []string              `json:"replicas"` // that ended; a number for one that is not known any more
-	EndedMS   int64                 `json:"ended_ms"` // since the last of them ended
-	Refused   int                   `json:"refused"`  // requests that this daemon held back
+	Replicas  []string              `json:"replicas"` // that crashed; a number for a replica that is no longer known
+	EndedMS   int64                 `json:"ended_ms"` // since the last of them crashed
+	Refused   int                   `json:"refused"`  // requests that this daemon refused
 }
 
-// askTimeout bounds how long an operator waits for the control loop.
+// askTimeout bounds the wait for the control loop's reply to an operator.
 const askTimeout = time.Second
 
 func (d *Daemon) operatorHandler() http.Handler {
@@ -105,17 +106,17 @@
 	return mux
 }
 
-// metricsHandler serves the figures to scrapers.
+// metricsHandler serves the metrics to scrapers.
 func (d *Daemon) metricsHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathMetrics, func(w http.ResponseWriter, _ *http.Request) {
-		_ = d.Metrics.WriteText(w) // the scraper comes again
+		_ = d.Metrics.WriteText(w) // the scraper retries
 	})
 	return mux
 }
 
-// ask puts a question to the control loop and writes its answer, after complete, if
-// there is one, has added what the loop does not know.
+// ask sends a query to the control loop and writes the reply as JSON. complete, unless nil,
+// first adds what the control loop does not know.
 func ask[T any](c *control, w http.ResponseWriter, r *http.Request, question func(reply chan T) event, complete func(*T)) {
 	a, ok := await(c, w, r, question)
 	if !ok {
@@ -127,8 +128,8 @@
 	writeJSON(w, a)
 }
 
-// await puts a question to the control loop. Where there is no answer it says so to the
-// operator, and returns false.
+// await sends a query to the control loop and waits for the reply. If there is none, it
+// responds with an error and returns false.
 func await[T any](c *control, w http.ResponseWriter, r *http.Request, question func(reply chan T) event) (a T, ok bool) {
 	reply := make(chan T, 1)
 	c.post(r.Context(), question(reply))
@@ -136,7 +137,7 @@
 	case a = <-reply:
 		return a, true
 	case <-time.After(askTimeout):
-		http.Error(w, "the control loop does not answer", http.StatusServiceUnavailable)
+		http.Error(w, "the control loop does not respond", http.StatusServiceUnavailable)
 	case <-r.Context().Done():
 	}
 	return a, false
@@ -144,10 +145,10 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // the operator sees a cut answer
+	_ = json.NewEncoder(w).Encode(v) // the operator sees the truncated response
 }
 
-// statusAnswer is what the control loop knows of the status.
+// statusAnswer returns the part of the status that the control loop knows.
 func (c *control) statusAnswer(now time.Time) StatusAnswer {
 	a := StatusAnswer{
 		Domain: c.domain, Revision: c.catalog.feed.Revision(), Era: c.catalog.feed.Position().Era, ChangedMS: -1, StoreLost: c.storeLost,
@@ -170,7 +171,7 @@
 	return a
 }
 
-// completeStatus adds what the daemon knows beside the control loop.
+// completeStatus adds the part of the status that the control loop does not know.
 func (d *Daemon) completeStatus(a *StatusAnswer) {
 	a.Daemon, a.Ready, a.Stopping = d.settings.ID, d.ready(), d.Stopping()
 	a.UptimeMS = clock.Since(d.started).Milliseconds()
@@ -178,11 +179,11 @@
 	a.LinesLost, a.Connections = d.Log.writer.droppedTotal(), d.pool.Idle()
 }
 
-// shownRevision is how many characters of a revision are shown.
+// shownRevision is the number of characters shown of the build's revision.
 const shownRevision = 12
 
-// buildRevision returns the revision that the program was built from, with a plus if it was
-// changed, or "unknown".
+// buildRevision returns the revision that the program was built from, or "unknown". A plus sign
+// marks a build from a modified work tree.
 func buildRevision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -208,7 +209,7 @@
 	return out
 }
 
-// heldAnswers lists what is held back.
+// heldAnswers lists the quarantined contents.
 func (c *control) heldAnswers(now time.Time) []HeldAnswer {
 	out := []HeldAnswer{}
 	for _, h := range c.crashes.AllHeld(now) {
@@ -221,7 +222,7 @@
 	return out
 }
 
-// workspace returns the workspace of a caller, if the configuration has it.
+// workspace returns the workspace of a caller, or "" if the active configuration lacks it.
 func (c *control) workspace(caller routing.CallerKey) routing.WorkspaceName {
 	if c.catalog.table == nil {
 		return ""
@@ -230,7 +231,8 @@
 	return name
 }
 
-// replicaName returns the id of a replica, or its number if it is gone.
+// replicaName returns the id of a replica, or its key as a number if the replica is no longer in
+// the view.
 func (c *control) replicaName(key routing.LoadKey) string {
 	if id, ok := c.view.Load().ReplicaOf(key); ok {
 		return string(id)
@@ -238,7 +240,8 @@
 	return strconv.FormatUint(uint64(key), 10)
 }
 
-// release lets a content be sent again, here and, by the report that goes out, at all daemons.
+// release releases requests with a content, here and, by a report to the peers, at all daemons. It
+// returns false if the content is not known.
 func (c *control) release(content routing.ContentKey, now time.Time) bool {
 	known := c.crashes.Acquit(content, now)
 	if known {
@@ -247,7 +250,7 @@
 	return known
 }
 
-// release answers an operator who lets a content be sent again.
+// release handles an operator's command to release requests with a content.
 func (d *Daemon) release(w http.ResponseWriter, r *http.Request) {
 	content, err := routing.ParseContentKey(r.URL.Query().Get("content"))
 	if err != nil {
@@ -255,10 +258,11 @@
 		return
 	}
 	order(d.control, w, r, func(reply chan bool) event { return releaseAsked{content, reply} },
-		"no replica is known to have ended under this content; GET "+PathHeld+" lists those that are held back")
+		"no replica is known to have crashed while serving this content; GET "+PathHeld+" lists the quarantined contents")
 }
 
-// order has the control loop do what an operator asks for. Where there is nothing to do it says so.
+// order has the control loop execute an operator's command. If there was nothing to do, it responds
+// with status 404 and the text in nothing.
 func order(c *control, w http.ResponseWriter, r *http.Request, question func(reply chan bool) event, nothing string) {
 	done, ok := await(c, w, r, question)
 	switch {
--- a/daemon/routes/operator_replicas.go
+++ b/daemon/routes/operator_replicas.go
@@ -1,4 +1,5 @@
-// This file answers operators who ask for the replicas, and those who end the rest of one.
+// This file handles operators' queries for the replicas, and their commands to end the backoff that
+// a replica requested.
 
 package routes
 
@@ -10,26 +11,27 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// ReplicaAnswer is one replica in the answer to GET /replicas.
+// ReplicaAnswer is one replica in the response to GET /replicas.
 type ReplicaAnswer struct {
 	ID       routing.ReplicaID   `json:"id"`
 	Service  routing.ServiceName `json:"service"`
 	Domain   state.FailureDomain `json:"domain"`
 	Address  string              `json:"address"`
 	State    string              `json:"state"`
-	Load     int                 `json:"load"` // requests, of all daemons
+	Load     int                 `json:"load"` // number of requests, from all daemons
 	Ejected  bool                `json:"passed_over"`
 	Why      string              `json:"why,omitempty"` // why it gets no requests
-	FailRate float64             `json:"fail_rate"`     // share of failures as this daemon counted them
-	ColdMS   int64               `json:"cold_ms"`       // how much longer it is cold
-	Born     routing.Born        `json:"born"`          // when it started, in Unix milliseconds; 0: it does not say
-	// RestMS is how much longer it rests, as it asked this daemon for in its answer to a request.
+	FailRate float64             `json:"fail_rate"`     // share of failed requests, as counted by this daemon
+	ColdMS   int64               `json:"cold_ms"`       // remaining time for which it is cold
+	Born     routing.Born        `json:"born"`          // when it started, in Unix milliseconds; 0 if its entry does not say
+	// RestMS is the remaining backoff that the replica requested of this daemon, and RestBy the
+	// request in whose response it did.
 	RestMS  int64             `json:"rest_ms"`
 	RestBy  routing.RequestID `json:"rest_by,omitempty"`
-	Leaving bool              `json:"leaving"` // by its own word, whatever its entry says
+	Leaving bool              `json:"leaving"` // it announced its departure in a response, whatever its entry says
 }
 
-// Reasons why a replica gets no requests, or few; others are those of routing.Health.
+// Reasons why a replica gets no or few requests, in addition to those of routing.Health.
 const (
 	whyEvacuated = "its failure domain is evacuated"
 	whyCold      = "it is cold and gets few requests or none"
@@ -76,7 +78,8 @@
 	return a
 }
 
-// liftRest ends the rest of a replica at this daemon.
+// liftRest ends the backoff that a replica requested of this daemon. It returns false if there is
+// none.
 func (c *control) liftRest(id routing.ReplicaID, now time.Time) bool {
 	rested := c.rests.Lift(id, now)
 	if rested {
@@ -85,9 +88,9 @@
 	return rested
 }
 
-// liftRest answers an operator who ends the rest of a replica.
+// liftRest handles an operator's command to end the backoff that a replica requested.
 func (d *Daemon) liftRest(w http.ResponseWriter, r *http.Request) {
 	id := routing.ReplicaID(r.URL.Query().Get("replica"))
 	order(d.control, w, r, func(reply chan bool) event { return restLifted{id, reply} },
-		"this replica does not rest here; GET "+PathReplicas+" shows those that do")
+		"this replica is not backing off at this daemon; GET "+PathReplicas+" shows the replicas that are")
 }
--- a/daemon/routes/peers.go
+++ b/daemon/routes/peers.go
@@ -1,4 +1,5 @@
-// This file talks to other daemons: heartbeats as datagrams, documents over HTTP.
+// This file implements the communication with other daemons: heartbeats and reports as UDP
+// datagrams, documents over HTTP.
 
 package routes
 
@@ -23,21 +24,21 @@
 )
 
 const (
-	// pathDocuments is where a daemon answers peers that ask for documents.
+	// pathDocuments is the path at which a daemon serves documents to peers.
 	pathDocuments = "/news"
-	// peerDialTimeout bounds the connection to a peer: links within a region take milliseconds.
+	// peerDialTimeout bounds connecting to a peer. Links within a region take milliseconds.
 	peerDialTimeout = 300 * time.Millisecond
-	// peerIdleTimeout is how long a connection to a peer is kept for the next request.
+	// peerIdleTimeout is how long an idle connection to a peer is kept.
 	peerIdleTimeout = 5 * time.Second
-	// receiveRetry is the pause after a failed read of the socket.
+	// receiveRetry is the pause after a failed read from the socket.
 	receiveRetry = 100 * time.Millisecond
 )
 
-// syncTimeouts bound a peer's silence. What a daemon that has just started is sent
-// may take seconds on a small link.
+// syncTimeouts bound how long a peer may send nothing. There is no bound on a complete response: the
+// documents sent to a daemon that has just started can take seconds on a slow link.
 var syncTimeouts = transport.Timeouts{FirstByte: 600 * time.Millisecond, Idle: 400 * time.Millisecond}
 
-// peers is the daemon's socket for heartbeats and its client for documents.
+// peers holds the socket for datagrams and the HTTP client for fetching documents.
 type peers struct {
 	socket  *net.UDPConn
 	client  *http.Client
@@ -60,9 +61,9 @@
 	return &peers{socket: socket, client: &http.Client{Transport: pool}, metrics: m}, nil
 }
 
-// send sends a datagram. A lost one is made good by the next, so neither an address
-// that can't be read nor a failed write is reported: both would be for each
-// heartbeat to a peer that is gone.
+// send sends a datagram. Lost datagrams are compensated for by later ones, so invalid
+// addresses and failed writes are not reported. They would be reported for each heartbeat
+// to a peer that is gone.
 func (p *peers) send(to membership.Address, payload []byte) {
 	at, err := netip.ParseAddrPort(string(to))
 	if err != nil {
@@ -73,9 +74,9 @@
 	_, _ = p.socket.WriteToUDPAddrPort(payload, at)
 }
 
-// receive hands heartbeats to the control loop until the socket is closed. Datagrams
-// that are none, from whomever, are dropped without a line: anyone could fill the
-// log with them.
+// receive passes datagrams to the control loop as events until ctx is canceled. Datagrams
+// that can't be decoded are dropped without logging, because anyone could fill the log
+// with them.
 func (p *peers) receive(ctx context.Context, c *control) {
 	buf := make([]byte, gossip.MaxHeartbeatBytes+1)
 	for ctx.Err() == nil {
@@ -94,7 +95,7 @@
 	}
 }
 
-// decodeDatagram returns the event that a datagram brings.
+// decodeDatagram decodes a datagram into an event.
 func decodeDatagram(payload []byte) (event, error) {
 	switch {
 	case gossip.IsSilences(payload):
@@ -123,18 +124,18 @@
 	return heartbeatReceived{heartbeat: h}, err
 }
 
-// Parameters of a request for documents. A build that does not know the last three leaves them out
-// of account, and answers with everything where it can't say what changed.
+// Query parameters of a request for documents. Builds that don't know the last three ignore them,
+// and respond with all documents if they can't determine what changed.
 const (
 	paramAfter  = "after"  // a revision
-	paramDigest = "digest" // a digest is taken
-	paramParts  = "parts"  // a bit for each part, in hexadecimal
-	paramEra    = "era"    // of the revision; 0: the store does not say
-	// statusDigest marks an answer that is a digest.
+	paramDigest = "digest" // set if the requester accepts a digest
+	paramParts  = "parts"  // bitmap of the requested parts, in hexadecimal
+	paramEra    = "era"    // of the revision; 0 if the store does not name its era
+	// statusDigest is the status of a response that is a digest.
 	statusDigest = http.StatusPreconditionFailed
 )
 
-// fetch asks a peer for documents.
+// fetch requests documents from a peer.
 func (p *peers) fetch(ctx context.Context, from membership.Address, q documentsRequest) (documentsAnswer, error) {
 	p.metrics.Syncs.Inc(1)
 	var answer documentsAnswer
@@ -155,7 +156,7 @@
 		answer, err = decodeAnswer(b.Bytes(), isDigest)
 		return err
 	})
-	return answer, eris.Wrap(err, "ask for documents")
+	return answer, eris.Wrap(err, "fetch documents")
 }
 
 func decodeAnswer(payload []byte, isDigest bool) (documentsAnswer, error) {
@@ -167,7 +168,7 @@
 	return documentsAnswer{documents: documents}, err
 }
 
-// encode returns the query of a request.
+// encode returns the request as a URL query.
 func (q *documentsRequest) encode() string {
 	v := url.Values{paramAfter: {strconv.FormatUint(uint64(q.after.Revision), 10)}}
 	if q.knowsEras {
@@ -182,7 +183,7 @@
 	return v.Encode()
 }
 
-// decodeRequest is the reverse.
+// decodeRequest parses the URL query of a request.
 func decodeRequest(v url.Values) (documentsRequest, error) {
 	after, err := strconv.ParseUint(v.Get(paramAfter), 10, 64)
 	if err != nil {
@@ -207,7 +208,7 @@
 	return q, err
 }
 
-// documentsHandler answers peers that ask for documents.
+// documentsHandler serves documents to peers.
 func documentsHandler(c *control) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+pathDocuments, func(w http.ResponseWriter, r *http.Request) {
@@ -234,5 +235,5 @@
 		return
 	}
 	w.WriteHeader(status)
-	_, _ = w.Write(payload) // the peer finds out, and asks again
+	_, _ = w.Write(payload) // the peer detects a truncated response and requests it again
 }
--- a/daemon/routes/replicas_test.go
+++ b/daemon/routes/replicas_test.go
@@ -16,11 +16,10 @@
 	"hingewinch.org/hingewinch/state/feed"
 )
 
-// These tests hold what the control loop does with ends of replicas, with replicas that start
-// again under their id, and with entries that name none.
+// These tests cover how the control loop handles crashes of replicas, replicas that restart with
+// the same id, and unusable entries.
 
-// quietControl returns a control loop with few documents that talks to nobody and whose log
-// nobody reads.
+// quietControl returns a control loop whose datagrams and log are discarded.
 func quietControl(t *testing.T) *control {
 	l := newLog(io.Discard, "info", "d", newMetrics())
 	t.Cleanup(l.Close)
@@ -29,13 +28,14 @@
 	return c
 }
 
-// TestDaemonThatStartsIsSentWhatIsHeldBack plays a peer that is found, that goes on, and that
-// starts again within the time in which it still counts as live.
+// TestDaemonThatStartsIsSentWhatIsHeldBack simulates a peer that is newly found, keeps running, and
+// restarts while it is still considered live. It must be sent the known crashes when it is found and
+// after its restart.
 func TestDaemonThatStartsIsSentWhatIsHeldBack(t *testing.T) {
 	c := quietControl(t)
 	now := time.Unix(1_000_000, 0)
 	c.planReads(now)
-	var kinds []bool // of the datagrams to the peer: whether each carries reports of ends
+	var kinds []bool // for each datagram to the peer, whether it contains crash reports
 	c.heartbeats.send = func(_ membership.Address, payload []byte) { kinds = append(kinds, gossip.IsCrashes(payload)) }
 	for i := range 3 {
 		r := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint(i))})
@@ -56,46 +56,47 @@
 		return n
 	}
 	if receive() != 1 || !kinds[0] {
-		t.Error("a daemon that is found is not sent what is held back, before all else")
+		t.Error("a newly found daemon is not sent the known crashes first")
 	}
 	if receive() != 0 {
-		t.Error("a daemon that goes on is sent it again")
+		t.Error("a daemon that keeps running is sent the known crashes again")
 	}
 	peer.Incarnation++
 	peer.Heartbeats = 0
 	if receive() != 1 {
-		t.Error("a daemon that started again is not sent it")
+		t.Error("a restarted daemon is not sent the known crashes")
 	}
 	tick := func() {
 		now = now.Add(heartbeatInterval)
 		c.tick(context.Background(), now)
 	}
-	tick() // sends what is new
+	tick() // sends the new reports
 	kinds = nil
 	for range 3 * repeatTicks {
 		tick()
 	}
 	repeated := len(slices.DeleteFunc(kinds, func(isCrashes bool) bool { return !isCrashes }))
 	if repeated != 3 {
-		t.Errorf("%d datagrams repeat what is known in 3 s, want 3", repeated)
+		t.Errorf("%d datagrams repeat the known crashes in 3 s, want 3", repeated)
 	}
 }
 
-// TestReplicasThatOthersSawEndGetNothing plays a peer's report of an end.
+// TestReplicasThatOthersSawEndGetNothing checks that a replica gets no requests after a peer reported
+// its crash.
 func TestReplicasThatOthersSawEndGetNothing(t *testing.T) {
 	c := quietControl(t)
 	r := routing.NewReplica(routing.Replica{ID: "replica-1", Service: "s"})
 	now := time.Unix(1_000_000, 0)
 	c.handle(context.Background(), crashesReceived{reports: []routing.CrashReport{{Content: 5, Replica: r.LoadKey()}}}, now)
 	if _, why := c.health.Explain(&r, now); why == "" {
-		t.Error("a replica that has ended by a peer's report gets requests")
+		t.Error("a replica whose crash was reported by a peer gets requests")
 	}
 }
 
-// TestReplicaThatStartsAgainUnderItsIdIsKnownForNothing plays a replica that comes back under
-// its id: what was known of its former incarnation, here and at peers, is not held of the new
-// one, also where a peer's older news arrives later. What daemons say that know no incarnations
-// holds as before.
+// TestReplicaThatStartsAgainUnderItsIdIsKnownForNothing checks that load and health of a replica's
+// former incarnation, from this daemon and from peers, are not attributed to its new one, even if a
+// peer's outdated report arrives later. Reports of daemons that do not distinguish incarnations
+// must still be understood.
 func TestReplicaThatStartsAgainUnderItsIdIsKnownForNothing(t *testing.T) {
 	c := quietControl(t)
 	now := time.Unix(1_000_000, 0)
@@ -110,7 +111,7 @@
 	}
 	unsaid := write("")
 	if keys := c.catalog.apply([]feed.Item{{Key: "replica-1", Value: []byte("born=1"), Revision: 2}}, "store", false, now); !slices.Contains(keys, unsaid.LoadKey()) {
-		t.Errorf("what the start that said nothing of itself had cached is not dropped: %v", keys)
+		t.Errorf("the cache of the incarnation without a start time is not dropped: %v", keys)
 	}
 	revision++
 	former := write("born=1")
@@ -130,35 +131,36 @@
 	check := func(when string) {
 		t.Helper()
 		if n := c.loads.Of(r.LoadKey(), now); n != 0 {
-			t.Errorf("%s: it holds %d requests", when, n)
+			t.Errorf("%s: its load is %d", when, n)
 		}
 		if _, why := c.health.Explain(&r, now); why != "" {
 			t.Errorf("%s: it gets no requests: %s", when, why)
 		}
 		if c.view.Load().IsReady(&former) || !c.view.Load().IsReady(&r) {
-			t.Errorf("%s: the view does not tell the two apart", when)
+			t.Errorf("%s: the view does not distinguish the two incarnations", when)
 		}
 	}
 	check("after the restart")
 	peerSays(former.LoadKey())
-	check("after a peer's older news")
+	check("after a peer's outdated report")
 	write("born=1-written-before")
 	if got := c.view.Load().Pool("s").Ready[0]; got.Born != 1 {
-		t.Errorf("the newest entry does not hold: %+v", got)
+		t.Errorf("the newest entry is not used: %+v", got)
 	}
 	r = write("born=2")
 	c.apply(c.catalog.feed.Apply([]feed.Item{{Key: "replica-1", Value: []byte("born=1"), Revision: revision - 1}}), "10.0.0.9:1", now)
 	if got := c.view.Load().Pool("s").Ready[0]; got.Born != 2 {
-		t.Errorf("an older entry that came late replaced a newer one: %+v", got)
+		t.Errorf("an older entry that arrived late replaced a newer one: %+v", got)
 	}
 	byID := routing.NewReplica(routing.Replica{ID: r.ID})
 	if id, ok := c.view.Load().ReplicaOf(byID.LoadKey()); !ok || id != r.ID {
-		t.Error("what a daemon says that knows no incarnations names nothing")
+		t.Error("a report of a daemon that does not distinguish incarnations matches no replica")
 	}
 }
 
-// TestEntriesOfOtherWritersNameNoReplica overwrites good entries with one that can't be read and
-// writes ones of unknown services beside them.
+// TestEntriesOfOtherWritersNameNoReplica checks that entries which can't be parsed and entries of
+// unknown services add no replicas, and become usable once they are corrected or the service is
+// configured. Such entries come from other writers to the store.
 func TestEntriesOfOtherWritersNameNoReplica(t *testing.T) {
 	var out bytes.Buffer
 	m := newMetrics()
@@ -174,14 +176,14 @@
 	c.apply(c.catalog.feed.ApplyList(items, 2), "store", now)
 	ready := func() int { return len(c.view.Load().Pool("s").Ready) }
 	if ready() != 499 {
-		t.Fatalf("%d replicas of a page of 500 with one that can't be read", ready())
+		t.Fatalf("%d replicas from 500 entries of which one can't be parsed", ready())
 	}
 	change := func(key, value string, at feed.Revision) {
 		c.apply(c.catalog.feed.Apply([]feed.Item{{Key: key, Value: []byte(value), Revision: at}}), "store", now)
 	}
 	change("replica-007", "unreadable", 3)
 	if ready() != 498 || len(c.view.Load().Pool("s").Expired) != 0 {
-		t.Errorf("%d replicas after a good entry was overwritten, %d to copy from", ready(), len(c.view.Load().Pool("s").Expired))
+		t.Errorf("%d ready and %d expired replicas after a valid entry was overwritten", ready(), len(c.view.Load().Pool("s").Expired))
 	}
 	listed := 0
 	for _, a := range c.replicaAnswers(now) {
@@ -190,22 +192,22 @@
 		}
 	}
 	if listed != 2 || m.UnusableEntries.Count() != 2 {
-		t.Errorf("operators see %d entries that name no replica, the counter %d, want 2", listed, m.UnusableEntries.Count())
+		t.Errorf("operators see %d unusable entries, the metric is %d, want 2", listed, m.UnusableEntries.Count())
 	}
 	change("replica-007", "", 4)
 	if ready() != 499 {
-		t.Errorf("%d replicas after the good entry came again", ready())
+		t.Errorf("%d replicas after the valid entry was restored", ready())
 	}
 	change("replica-900", "service=later", 5)
 	if len(c.view.Load().Pool("later").Ready) != 0 {
-		t.Error("a service that no configuration names has a replica")
+		t.Error("a service that is not configured has a replica")
 	}
 	change("config", "later", 6)
 	if len(c.view.Load().Pool("later").Ready) != 1 {
-		t.Error("the entry is not usable once a configuration names its service")
+		t.Error("the entry is not used once its service is configured")
 	}
 	l.Close()
 	if n := strings.Count(out.String(), "entry names no replica"); n != 2 {
-		t.Errorf("%d lines, want one for each entry and change", n)
+		t.Errorf("%d log lines, want one for each change to an unusable entry", n)
 	}
 }
--- a/daemon/routes/reports.go
+++ b/daemon/routes/reports.go
@@ -1,7 +1,8 @@
-// This file is the part of the control loop that passes reports on to other daemons: which
-// replicas are silent (coordination/routing/silence.go), which are crowded (crowd.go), under
-// which requests replicas end (crash.go), of which ends that is not true (lives.go), and which
-// replicas leave by their own word (leaving.go). They are rare, and go out as datagrams of their own.
+// This file is the part of the control loop that forwards reports to other daemons: which
+// replicas are silent (coordination/routing/silence.go) or overloaded (crowd.go), which
+// requests replicas crashed under (crash.go), which reported terminations are disproved (lives.go),
+// and which replicas announced their departure (leaving.go). Reports are rare and sent in
+// datagrams of their own.
 
 package routes
 
@@ -15,30 +16,31 @@
 )
 
 const (
-	// reportsDelay is how long reports of crowded replicas and of ends wait for others, which bounds
-	// the datagrams that they cost.
+	// reportsDelay is how long reports are collected before they are sent, which limits the
+	// number of datagrams.
 	reportsDelay = 10 * time.Millisecond
-	// repeatTicks is how many ticks lie between two times at which what is known of ends and of
-	// replicas that leave is repeated to a daemon drawn by chance: one datagram of each a
-	// second, 1.4 KB at most. A daemon that missed all has been sent a part by some other within
-	// a second on average, at any size of the fleet.
+	// repeatTicks is the number of ticks after which known crashes and departures are
+	// repeated to a randomly chosen daemon: one datagram of each kind per second, 1.4 KB at most.
+	// A daemon that missed all reports is sent a part of them by some other daemon within one
+	// second on average, at any fleet size.
 	repeatTicks = 5
-	// closeDelay is how long the end of a process may take to close a connection here.
+	// closeDelay bounds the time between a replica's termination and the close of its connections
+	// being seen here.
 	closeDelay = 300 * time.Millisecond
-	// introductions bounds the datagrams of each kind with which a daemon that has just started
-	// is sent what is known: some 60 contents that are held back, 400 replicas that leave. The
-	// rest is repeated to it.
+	// introductions limits the datagrams of each kind that are sent to a daemon that has just
+	// started. They hold about 60 quarantined contents and 400 departures. The rest
+	// reaches it by repetition.
 	introductions = 4
 )
 
-// repeats is the state of repeating.
+// repeats is the state of the periodic repetition of reports.
 type repeats struct {
 	ticks    int
-	crashes  routing.ContentKey // where the next datagram begins
+	crashes  routing.ContentKey // position at which the next datagram begins
 	leavings routing.LoadKey
 }
 
-// sendReports sends reports to some daemons, if there are any.
+// sendReports sends reports, if there are any, to the given daemons.
 func sendReports[R any](c *control, to []membership.Address, reports []R, encode func([]R) ([]byte, error)) {
 	if len(reports) == 0 {
 		return
@@ -47,14 +49,14 @@
 	c.sendPayload(to, payload, err)
 }
 
-// spreadReports sends reports to as many daemons as a whole heartbeat, if there are any.
+// spreadReports sends reports, if there are any, to the targets of a full heartbeat.
 func spreadReports[R any](c *control, reports []R, encode func([]R) ([]byte, error), now time.Time) {
 	if len(reports) > 0 {
 		sendReports(c, c.targets(false, now), reports, encode)
 	}
 }
 
-// logReplicas writes a line for each replica of the view that is among some.
+// logReplicas calls line for each of the replicas that is in the view.
 func (c *control) logReplicas(keys []routing.LoadKey, line func(routing.ReplicaID)) {
 	for _, key := range keys {
 		if id, ok := c.view.Load().ReplicaOf(key); ok {
@@ -63,34 +65,34 @@
 	}
 }
 
-// sendSilences passes reports of silent replicas on, if any wait. They go to as many daemons as a
-// whole heartbeat: each is passed on once only.
+// sendSilences forwards pending reports of silent replicas. They go to the targets of a full
+// heartbeat, because each daemon forwards a report only once.
 func (c *control) sendSilences(now time.Time) {
 	spreadReports(c, c.health.TakeSilences(gossip.MaxSilences, now), gossip.EncodeSilences, now)
 }
 
-// awaitMoreReports has the reports sent that wait, by the event that says so, together with
-// those that come within reportsDelay.
+// awaitMoreReports posts the event due after reportsDelay, so that pending reports are sent together
+// with those that are added until then.
 func (c *control) awaitMoreReports(ctx context.Context, due event) {
 	time.AfterFunc(reportsDelay, func() { c.post(ctx, due) })
 }
 
-// sendCrowds passes reports of crowded replicas on.
+// sendCrowds forwards pending reports of overloaded replicas.
 func (c *control) sendCrowds(now time.Time) {
 	spreadReports(c, c.crowds.TakeReports(gossip.MaxCrowds, now), gossip.EncodeCrowds, now)
 }
 
-// receiveSilences takes in a peer's reports of silent replicas.
+// receiveSilences processes a peer's reports of silent replicas.
 func (c *control) receiveSilences(reports []routing.SilenceReport, now time.Time) {
 	c.logReplicas(c.health.ObserveSilences(reports, now), c.log.FoundSilent)
 }
 
-// sendCrashes passes reports of ends on, if any wait.
+// sendCrashes forwards pending crash reports.
 func (c *control) sendCrashes(now time.Time) {
 	spreadReports(c, c.crashes.TakeReports(gossip.MaxCrashes, now), gossip.EncodeCrashes, now)
 }
 
-// receiveCrashes takes in a peer's reports of ends.
+// receiveCrashes processes a peer's crash reports.
 func (c *control) receiveCrashes(reports []routing.CrashReport, now time.Time) {
 	reports = c.health.Believable(reports, now)
 	c.health.ReportEnds(reports, now)
@@ -99,7 +101,8 @@
 	}
 }
 
-// disproveEnds looks for open connections to replicas that are held to have ended.
+// disproveEnds looks for open connections to replicas that are considered terminated. An open
+// connection proves that the replica has not terminated since it was opened.
 func (c *control) disproveEnds(now time.Time) {
 	for _, key := range c.health.Ended(now) {
 		r := c.view.Load().Replica(key)
@@ -112,28 +115,28 @@
 	}
 }
 
-// sendLives passes reports of replicas that live on, if any wait.
+// sendLives forwards pending liveness reports.
 func (c *control) sendLives(now time.Time) {
 	spreadReports(c, c.health.TakeLives(gossip.MaxLives, now), gossip.EncodeLives, now)
 }
 
-// receiveLives takes in a peer's reports of replicas that live.
+// receiveLives processes a peer's liveness reports.
 func (c *control) receiveLives(reports []routing.LifeReport, now time.Time) {
 	c.logReplicas(c.health.ObserveLives(reports, now), c.log.Lives)
 }
 
-// sendLeavings passes reports of replicas that leave on, if any wait.
+// sendLeavings forwards pending reports of departures.
 func (c *control) sendLeavings(now time.Time) {
 	spreadReports(c, c.leavings.TakeReports(gossip.MaxLeavings, now), gossip.EncodeLeavings, now)
 }
 
-// receiveLeavings takes in a peer's reports of replicas that leave.
+// receiveLeavings processes a peer's reports of departures.
 func (c *control) receiveLeavings(reports []routing.LeavingReport, now time.Time) {
 	c.logReplicas(c.leavings.Observe(reports, now), c.log.LeavesByReport)
 }
 
-// repeatReports sends one daemon a part of what is known of ends and of replicas that leave, of
-// which it finds out first what their entries say.
+// repeatReports sends a part of the known crashes and departures to one randomly chosen
+// daemon. Before that it updates the departures from the replicas' entries.
 func (c *control) repeatReports(now time.Time) {
 	r := &c.repeats
 	if r.ticks++; r.ticks%repeatTicks != 0 {
@@ -151,8 +154,8 @@
 	r.leavings = c.sendKnownLeavings(to, r.leavings, now)
 }
 
-// introduceReports sends a daemon that has just been found what is known, before it learns of
-// documents and takes requests.
+// introduceReports sends a newly found daemon the known crashes and departures, before it
+// learns of documents and accepts requests.
 func (c *control) introduceReports(to membership.Address, now time.Time) {
 	peer := []membership.Address{to}
 	var content routing.ContentKey
@@ -169,15 +172,15 @@
 	}
 }
 
-// sendKnownCrashes sends a datagram of what is known of ends, from a content on. It returns
-// where the next one begins, 0 after the last.
+// sendKnownCrashes sends one datagram of known crashes, beginning after the given content. It returns
+// the position at which the next datagram begins, or 0 after the last one.
 func (c *control) sendKnownCrashes(to []membership.Address, after routing.ContentKey, now time.Time) routing.ContentKey {
 	reports, last := c.crashes.All(after, gossip.MaxCrashes, now)
 	sendReports(c, to, reports, gossip.EncodeCrashes)
 	return last
 }
 
-// sendKnownLeavings does the same with replicas that leave.
+// sendKnownLeavings sends one datagram of departures, as sendKnownCrashes does for crashes.
 func (c *control) sendKnownLeavings(to []membership.Address, after routing.LoadKey, now time.Time) routing.LoadKey {
 	reports, last := c.leavings.All(after, gossip.MaxLeavings, now)
 	sendReports(c, to, reports, gossip.EncodeLeavings)
--- a/daemon/routes/restored_test.go
+++ b/daemon/routes/restored_test.go
@@ -16,8 +16,8 @@
 	"hingewinch.org/hingewinch/transport"
 )
 
-// writtenDocuments reads configurations whose version is their text, and replicas that say "draining"
-// or "ready".
+// writtenDocuments parses configurations whose version is their text, and replicas whose text begins
+// with "draining" or "ready".
 type writtenDocuments struct{ fewDocuments }
 
 func (writtenDocuments) ParseConfig(it feed.Item) (*routing.Table, error) {
@@ -42,7 +42,7 @@
 	return feed.Age{Known: err == nil, Write: v}
 }
 
-// config and replica are documents as the store holds them.
+// config and replica return documents in the format of writtenDocuments.
 func config(version int, at feed.Revision) feed.Item {
 	return feed.Item{Key: "config", Value: []byte(strconv.Itoa(version)), Revision: at}
 }
@@ -51,8 +51,8 @@
 	return feed.Item{Key: "replica-" + strconv.Itoa(id), Value: []byte(state), Revision: at}
 }
 
-// newRestoredPair returns a daemon that reads the store and one that asks it, both at revision 29 of
-// the store's first era.
+// newRestoredPair returns a daemon that reads the store (peer) and one that fetches from it (daemon),
+// both at revision 29 of the store's first era.
 func newRestoredPair(t *testing.T) *syncedPair {
 	p := newSyncedPair(t)
 	for _, c := range []*control{p.daemon, p.peer} {
@@ -66,18 +66,19 @@
 	return p
 }
 
-// list has the peer read a list of the store.
+// list simulates that the peer lists the store.
 func (p *syncedPair) list(era feed.Era, at feed.Revision, items ...feed.Item) {
 	p.peer.handle(context.Background(), storeListed{items: items, at: feed.Position{Era: era, Revision: at}}, p.now)
 }
 
-// watch has the peer read a change.
+// watch simulates that the peer receives a change from the store.
 func (p *syncedPair) watch(era feed.Era, it feed.Item) {
 	p.peer.handle(context.Background(), storeChanged{feed.Changes{Items: []feed.Item{it}, At: feed.Position{Era: era, Revision: it.Revision}}}, p.now)
 }
 
 // TestAChangeWhoseRevisionIsGivenOutAgainIsInForceEverywhere guards against refusing a confirmed route,
-// and sending to a leaving replica, after the store came back from a copy with lower revisions.
+// and sending to a draining replica, after the store was restored from a backup and assigns revisions
+// again that were used before.
 func TestAChangeWhoseRevisionIsGivenOutAgainIsInForceEverywhere(t *testing.T) {
 	p := newRestoredPair(t)
 	p.list(2, 26, config(20, 25), replica(1, "ready", 3), replica(2, "ready", 4))
@@ -87,39 +88,40 @@
 	for name, c := range map[string]*control{"the reader": p.peer, "its peer": p.daemon} {
 		v := c.view.Load()
 		if got := v.Table.Version; got != 25 {
-			t.Errorf("%s goes by configuration %d, want 25", name, got)
+			t.Errorf("%s uses configuration %d, want 25", name, got)
 		}
 		if got := len(v.Pool("s").Ready); got != 1 {
-			t.Errorf("%s has %d ready replicas, want 1: one leaves", name, got)
+			t.Errorf("%s has %d ready replicas, want 1: the other one is draining", name, got)
 		}
 	}
 }
 
-// TestNoProcessGoesBackToTheCopysConfiguration guards against an older version from the copy, at
-// daemons that ran before it was put back and at one that starts in the gap and reads it first.
+// TestNoProcessGoesBackToTheCopysConfiguration guards against using the older configuration of the
+// backup, both at daemons that ran before the restore and at one that starts after it and reads the
+// backup's configuration first.
 func TestNoProcessGoesBackToTheCopysConfiguration(t *testing.T) {
 	p := newRestoredPair(t)
 	p.list(2, 26, config(20, 25), replica(1, "ready", 3), replica(2, "ready", 4))
 	if got := p.peer.version(); got != 23 {
-		t.Fatalf("the reader goes by configuration %d, want 23", got)
+		t.Fatalf("the reader uses configuration %d, want 23", got)
 	}
 	p.start(t)
 	p.daemon.handle(context.Background(), storeListed{items: []feed.Item{config(20, 25), replica(1, "ready", 3)}, at: feed.Position{Era: 2, Revision: 26}}, p.now)
 	if got := p.daemon.version(); got != 20 {
-		t.Fatalf("a daemon that knows the copy alone goes by configuration %d, want 20", got)
+		t.Fatalf("a daemon that knows only the backup uses configuration %d, want 20", got)
 	}
 	p.hear()
 	if got := p.daemon.version(); got != 23 {
-		t.Errorf("after a peer's heartbeat it goes by configuration %d, want 23", got)
+		t.Errorf("after a peer's heartbeat it uses configuration %d, want 23", got)
 	}
 	p.peer.handle(context.Background(), storeChanged{feed.Changes{Items: []feed.Item{config(25, 27)}, At: feed.Position{Era: 2, Revision: 27}}}, p.now)
 	p.hear()
 	if got := p.daemon.version(); got != 25 {
-		t.Errorf("after a new one it goes by configuration %d, want 25", got)
+		t.Errorf("after a new configuration it uses %d, want 25", got)
 	}
 }
 
-// start replaces the daemon by one that has just started and holds nothing.
+// start replaces the daemon by one that has just started and has no documents.
 func (p *syncedPair) start(t *testing.T) {
 	started := newSyncedPair(t)
 	started.daemon.catalog = newCatalog(writtenDocuments{}, started.daemon.log)
@@ -127,8 +129,8 @@
 	p.daemon = started.daemon
 }
 
-// TestAStartedDaemonLearnsWhichReplicasHaveLeft guards against requests to a replica that has left or
-// leaves, by a daemon whose first documents are the copy's.
+// TestAStartedDaemonLearnsWhichReplicasHaveLeft guards against requests to a replica that is gone or
+// draining, from a daemon whose first documents are those of the backup.
 func TestAStartedDaemonLearnsWhichReplicasHaveLeft(t *testing.T) {
 	p := newRestoredPair(t)
 	p.watch(1, replica(1, "draining", 30))
@@ -138,17 +140,17 @@
 	p.daemon.handle(context.Background(), storeListed{items: copied, at: feed.Position{Era: 2, Revision: 26}}, p.now)
 	p.hear()
 	if got := len(p.daemon.view.Load().Pool("s").Ready); got != 1 {
-		t.Errorf("%d ready replicas, want 1: one said that it leaves", got)
+		t.Errorf("%d ready replicas, want 1: the other one is draining", got)
 	}
 	asked := p.asked
 	p.hear()
 	if p.asked != asked {
-		t.Error("it asks again although nothing has changed")
+		t.Error("it sends another request although nothing has changed")
 	}
 }
 
-// TestAnEraWithoutChangesReachesPeers guards against peers that stand in the old era, where the next
-// change would be an older one to them, because the return itself changed nothing.
+// TestAnEraWithoutChangesReachesPeers guards against peers that stay in the old era because the restore
+// itself changed no document. They would take the next change for an older one.
 func TestAnEraWithoutChangesReachesPeers(t *testing.T) {
 	p := newRestoredPair(t)
 	sent := 0
@@ -156,19 +158,19 @@
 	p.peer.roster.Observe([]membership.Member{testMember(1)}, p.now)
 	p.list(2, 29, config(23, 29), replica(1, "ready", 3), replica(2, "ready", 4))
 	if sent == 0 {
-		t.Error("the era is told to nobody")
+		t.Error("the era is not sent to peers")
 	}
 	p.hear()
 	if got := p.daemon.catalog.feed.Position(); got != (feed.Position{Era: 2, Revision: 29}) {
-		t.Errorf("the peer stands at %v", got)
+		t.Errorf("the peer is at %v", got)
 	}
 	if p.items > 3 {
-		t.Errorf("%d documents were sent, though none changed", p.items)
+		t.Errorf("%d documents were sent although none changed", p.items)
 	}
 }
 
-// TestDocumentsOfBeforeHoldForAWhile plays entries that the copy lacks, or has older ones of: replicas
-// are used on while they may be written again, and the store's word holds after that.
+// TestDocumentsOfBeforeHoldForAWhile covers entries that the backup lacks or has older versions of. The
+// known entries must stay in use while they may be rewritten, and then yield to the store's.
 func TestDocumentsOfBeforeHoldForAWhile(t *testing.T) {
 	p := newRestoredPair(t)
 	p.watch(1, replica(3, "ready", 30))
@@ -183,7 +185,7 @@
 		{2900 * time.Millisecond, 2, 23},
 		{3100 * time.Millisecond, 1, 23},
 		{9900 * time.Millisecond, 1, 23},
-		{10100 * time.Millisecond, 2, 23}, // 2 has not said again that it leaves
+		{10100 * time.Millisecond, 2, 23}, // 2 has not written again that it is draining
 	} {
 		p.peer.settleFormer(p.now.Add(step.after))
 		if got := len(p.peer.view.Load().Pool("s").Ready); got != step.ready || p.peer.version() != step.version {
@@ -192,8 +194,8 @@
 	}
 }
 
-// TestAPeersAnswerFromAnEraThatIsOverChangesNothing guards against answers that were on their way
-// when the store came back.
+// TestAPeersAnswerFromAnEraThatIsOverChangesNothing guards against responses that were in flight when the
+// store was restored.
 func TestAPeersAnswerFromAnEraThatIsOverChangesNothing(t *testing.T) {
 	p := newRestoredPair(t)
 	before := p.peer.catalog.answer(&documentsRequest{knowsEras: true})
@@ -208,16 +210,16 @@
 	p.daemon.handle(context.Background(), storeListed{items: []feed.Item{config(23, 20), replica(1, "draining", 21)}, at: feed.Position{Era: 2, Revision: 22}}, p.now)
 	p.daemon.handle(context.Background(), synced{answer: late}, p.now)
 	if got := p.daemon.catalog.feed.Position(); got != (feed.Position{Era: 2, Revision: 22}) {
-		t.Errorf("stands at %v", got)
+		t.Errorf("at position %v", got)
 	}
 	if got := len(p.daemon.view.Load().Pool("s").Ready); got != 1 {
-		t.Errorf("%d ready replicas, want 1: the one that the copy lacks", got)
+		t.Errorf("%d ready replicas, want 1: the one that the backup lacks", got)
 	}
 }
 
-// TestRevisionsWithoutAnEraCountWhereThereIsNothingBetter plays a peer of the build before. Its revisions
-// may be those of before a return, and then hide what is written after it; its configuration has a version
-// of its own.
+// TestRevisionsWithoutAnEraCountWhereThereIsNothingBetter simulates a peer of the previous build, which
+// does not support eras. Its revisions may be from before a restore and would then hide later changes,
+// while the version of its configuration can always be compared.
 func TestRevisionsWithoutAnEraCountWhereThereIsNothingBetter(t *testing.T) {
 	p := newRestoredPair(t)
 	eraless := func(revision feed.Revision, version routing.ConfigVersion) (asks int) {
@@ -231,30 +233,30 @@
 		return p.asked - asked
 	}
 	if eraless(30, 23) != 0 {
-		t.Error("a revision without an era is asked for by a daemon that can read the store")
+		t.Error("a daemon that can read the store fetches a revision without an era")
 	}
 	p.daemon.storeLost = true
 	if eraless(31, 23) != 1 {
-		t.Error("a later revision is not asked for, though nobody who names an era reads the store")
+		t.Error("a later revision is not fetched although no daemon that names an era can read the store")
 	}
 	reader := testMember(1)
 	p.daemon.roster.Observe([]membership.Member{reader}, p.now)
 	p.daemon.roster.ObserveEra(reader.Address, 1, p.now)
 	if eraless(32, 23) != 0 {
-		t.Error("a revision without an era is asked for, though one that names it reads the store")
+		t.Error("a revision without an era is fetched although a daemon that names an era can read the store")
 	}
 	if eraless(32, 24) != 1 {
-		t.Error("a later configuration is not asked for")
+		t.Error("a later configuration is not fetched")
 	}
 	p.daemon.roster.ObserveEra(reader.Address, 0, p.now)
 	p.daemon.handle(context.Background(), storeListed{items: []feed.Item{config(23, 20)}, at: feed.Position{Era: 2, Revision: 26}}, p.now)
 	if eraless(33, 23) != 0 {
-		t.Error("a revision without an era is asked for after the store came back")
+		t.Error("a revision without an era is fetched after the store was restored")
 	}
 }
 
-// TestTheWholeFleetIsNotShippedAfterTheStoreCameBack bounds what a daemon is sent, whatever the number
-// of entries.
+// TestTheWholeFleetIsNotShippedAfterTheStoreCameBack checks that the number of documents sent to a
+// daemon after a restore does not depend on the number of entries.
 func TestTheWholeFleetIsNotShippedAfterTheStoreCameBack(t *testing.T) {
 	for _, replicas := range []int{100, 10000, 20000} {
 		p := newRestoredPair(t)
@@ -271,19 +273,19 @@
 		p.list(2, at, items...)
 		p.hear()
 		if got, want := p.daemon.catalog.feed.Position(), (feed.Position{Era: 2, Revision: at}); got != want {
-			t.Errorf("%d entries: stands at %v, want %v", replicas, got, want)
+			t.Errorf("%d entries: at position %v, want %v", replicas, got, want)
 		}
 		if got := len(p.daemon.view.Load().Pool("s").Ready); got != replicas-1 {
 			t.Errorf("%d entries: %d ready replicas", replicas, got)
 		}
 		if p.asked != 2 || p.items > 100 {
-			t.Errorf("%d entries: %d documents and %d bytes in %d answers", replicas, p.items, p.sent, p.asked)
+			t.Errorf("%d entries: %d documents and %d bytes in %d responses", replicas, p.items, p.sent, p.asked)
 		}
-		t.Logf("%d entries: %d documents and %d bytes in %d answers", replicas, p.items, p.sent, p.asked)
+		t.Logf("%d entries: %d documents and %d bytes in %d responses", replicas, p.items, p.sent, p.asked)
 	}
 }
 
-// restoringStore comes back from a copy between two pages of a list, and during a watch.
+// restoringStore is restored from a backup between two pages of a list, and during a watch.
 type restoringStore struct {
 	pages   []feed.Page
 	watches []feed.Changes
@@ -310,8 +312,8 @@
 
 func (s *restoringStore) Forget() {}
 
-// TestPagesOfTwoErasAreNoList guards against documents of before between those of after, and against
-// changes of a new era that a watch of the old one brings.
+// TestPagesOfTwoErasAreNoList guards against lists that mix documents from before and after a restore,
+// and against changes of a new era that a watch started in the old one returns.
 func TestPagesOfTwoErasAreNoList(t *testing.T) {
 	page := func(era feed.Era, at feed.Revision, next string, key string) feed.Page {
 		return feed.Page{Items: []feed.Item{{Key: key, Revision: 5}}, At: feed.Position{Era: era, Revision: at}, Next: next}
@@ -337,7 +339,7 @@
 	select {
 	case <-store.done:
 	case <-ctx.Done():
-		t.Fatal("the reader does not get to the last watch")
+		t.Fatal("the reader does not reach the last watch")
 	}
 	var got []string
 	for len(c.events) > 0 {
@@ -356,7 +358,8 @@
 	}
 }
 
-// TestOlderAnswersCountAsAStoreThatIsAway guards against a copy of the store that is served beside it.
+// TestOlderAnswersCountAsAStoreThatIsAway guards against an old copy of the store that is served in
+// parallel.
 func TestOlderAnswersCountAsAStoreThatIsAway(t *testing.T) {
 	older := 0
 	c := &control{events: make(chan event, eventQueue)}
@@ -370,7 +373,7 @@
 	}
 	for len(c.events) > 0 {
 		if _, ok := (<-c.events).(storeListed); ok {
-			t.Error("the list is taken over")
+			t.Error("the list is applied")
 		}
 	}
 }
--- a/daemon/routes/run.go
+++ b/daemon/routes/run.go
@@ -1,4 +1,4 @@
-// This file runs a daemon and stops it as planned.
+// This file runs a daemon and shuts it down gracefully.
 
 package routes
 
@@ -12,19 +12,18 @@
 	"hingewinch.org/hingewinch/transport/clock"
 )
 
-// sweepInterval is how often connections to replicas are closed that were idle for
-// too long.
+// sweepInterval is how often the pool of idle connections to replicas is cleaned up.
 const sweepInterval = 2 * time.Second
 
-// The planned stop, as parts of the grace: until stopAccept new connections are taken, because the
-// balancer takes a while to notice (two misses of its question); until stopWait open requests are
-// waited for.
+// Phases of a graceful shutdown, as fractions of the grace period. New connections are accepted until
+// stopAccept, because the load balancer stops sending callers only after two failed readiness checks.
+// Open requests may finish until stopWait.
 const (
 	stopAccept = 0.35
 	stopWait   = 0.94
 )
 
-// Run serves until ctx ends, and then stops as planned.
+// Run serves until ctx is canceled, and then shuts down gracefully.
 func (d *Daemon) Run(ctx context.Context) error {
 	work, endWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer endWork()
@@ -51,8 +50,8 @@
 	return err
 }
 
-// sweep closes connections to replicas that were idle for too long or whose replica
-// is gone or leaves.
+// sweep periodically closes connections to replicas that were idle for too long, or whose
+// replica is gone or shutting down.
 func (d *Daemon) sweep(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause(ctx, sweepInterval)
@@ -60,9 +59,9 @@
 	}
 }
 
-// stop is the planned stop: not ready at once, new connections until the
-// balancer has noticed, then the end of idle connections, and the wait for open
-// requests until the grace is nearly over.
+// stop shuts down gracefully: it reports the daemon as not ready, accepts connections until
+// the load balancer has noticed, then closes idle connections, and waits for open requests
+// until the grace period is nearly over.
 func (d *Daemon) stop(ctx context.Context) {
 	begun := time.Now()
 	d.Log.Stopping()
@@ -72,10 +71,10 @@
 	pause(ctx, time.Duration(stopAccept*float64(grace)))
 	wait, cancel := context.WithDeadline(ctx, begun.Add(time.Duration(stopWait*float64(grace))))
 	defer cancel()
-	_ = d.callers.Server.Shutdown(wait) // an error means that the grace is over
+	_ = d.callers.Server.Shutdown(wait) // an error means that the grace period is over
 }
 
-// listeners returns the listeners that are open.
+// listeners returns the open listeners.
 func (d *Daemon) listeners() []*daemon.Listener {
 	all := []*daemon.Listener{d.callers, d.readiness, d.operators, d.documents, d.scrapers}
 	return slices.DeleteFunc(all, func(l *daemon.Listener) bool { return l == nil })
--- a/daemon/routes/settings.go
+++ b/daemon/routes/settings.go
@@ -1,4 +1,4 @@
-// This file defines the settings of a daemon and checks them as a whole.
+// This file defines and validates the settings of a daemon.
 
 package routes
 
@@ -12,19 +12,19 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// Settings are a daemon's settings file.
+// Settings is the content of a daemon's settings file.
 type Settings struct {
 	ID     state.DaemonID      `yaml:"id"`
 	Domain state.FailureDomain `yaml:"domain"`
 	Listen Listeners           `yaml:"listen"`
-	// Peer is where peers reach listen.peers if that is not its own address, as
-	// behind an address translation; empty: listen.peers itself.
+	// Peer is the address at which peers reach listen.peers, if it is another one, as
+	// behind NAT. If empty, it is listen.peers itself.
 	Peer   string        `yaml:"peer_address"`
 	Store  string        `yaml:"store"` // IP:PORT of the operators' store
-	Seeds  []string      `yaml:"seeds"` // IP:PORT of other daemons; only the IP counts
+	Seeds  []string      `yaml:"seeds"` // IP:PORT of other daemons; the port is ignored
 	Stop   StopSettings  `yaml:"stop"`
 	Retry  RetrySettings `yaml:"repeat"`
-	Memory int           `yaml:"memory_mb"` // of the process; 0: no bound is known
+	Memory int           `yaml:"memory_mb"` // memory of the process; 0 if no limit is known
 	Level  string        `yaml:"log_level"`
 }
 
@@ -34,17 +34,18 @@
 	Readiness string `yaml:"readiness"`
 	Operators string `yaml:"operators"`
 	Peers     string `yaml:"peers"` // heartbeats over UDP, documents over TCP
-	// Metrics is an address for scrapers alone; empty: they ask the operators'.
+	// Metrics is a separate address for scrapers. If empty, metrics are served only at
+	// Operators.
 	Metrics string `yaml:"metrics"`
 }
 
-// StopSettings shape a planned stop.
+// StopSettings configure a graceful shutdown.
 type StopSettings struct {
-	// Grace is the time from the signal to the kill.
+	// Grace is the time between the termination signal and the kill.
 	Grace time.Duration `yaml:"grace"`
 }
 
-// RetrySettings bound how often requests are sent again, over all daemons.
+// RetrySettings limit the retries of all daemons together.
 type RetrySettings struct {
 	Ratio  float64       `yaml:"ratio"`
 	Extra  float64       `yaml:"extra"`
@@ -68,8 +69,8 @@
 	}
 }
 
-// LoadSettings reads and checks a settings file. The error lists every problem
-// with file, line and remedy.
+// LoadSettings reads and validates a settings file. The error lists every problem with
+// its file, line and remedy.
 func LoadSettings(file string) (*Settings, error) {
 	return daemon.LoadSettings(file, defaultSettings(), (*Settings).check)
 }
@@ -107,8 +108,8 @@
 	c.LogLevel(s.Level, "log_level")
 }
 
-// seedPeers returns where the seeds take heartbeats: at the peers' port, which is
-// the same on all VMs.
+// seedPeers returns the addresses at which the seeds receive heartbeats. The port is that of
+// listen.peers, which is the same on all VMs.
 func (s *Settings) seedPeers() []membership.Address {
 	_, port, _ := net.SplitHostPort(s.Listen.Peers)
 	out := make([]membership.Address, 0, len(s.Seeds))
@@ -119,7 +120,7 @@
 	return out
 }
 
-// advertised returns the address by which peers know this daemon.
+// advertised returns the address at which peers reach this daemon.
 func (s *Settings) advertised() membership.Address {
 	if s.Peer != "" {
 		return membership.Address(s.Peer)
--- a/daemon/routes/settings_test.go
+++ b/daemon/routes/settings_test.go
@@ -24,14 +24,14 @@
 `
 
 var _ = Describe("Settings", func() {
-	It("reads a file and fills in what is left out", func() {
+	It("reads a file and applies defaults", func() {
 		s, err := routes.ParseSettings("f", []byte(goodSettings))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Retry.Ratio).To(Equal(0.2))
 		Expect(s.Level).To(Equal("info"))
 	})
 
-	DescribeTable("names file, line and remedy of what is wrong", func(from, to, want string) {
+	DescribeTable("reports file, line and remedy of a problem", func(from, to, want string) {
 		_, err := routes.ParseSettings("f.yaml", []byte(strings.Replace(goodSettings, from, to, 1)))
 		Expect(err).To(MatchError(And(ContainSubstring("f.yaml:"), ContainSubstring(want))))
 	},
@@ -55,7 +55,7 @@
 		Expect(strings.Count(err.Error(), "\n")).To(BeNumerically(">=", 5))
 	})
 
-	It("is what the template of the deploy file writes", func() {
+	It("accepts what the deployment template produces", func() {
 		text, err := os.ReadFile("../../deploy/settings.yaml.tmpl")
 		Expect(err).NotTo(HaveOccurred())
 		filled := strings.NewReplacer(
--- a/daemon/routes/statements_test.go
+++ b/daemon/routes/statements_test.go
@@ -13,9 +13,9 @@
 	"hingewinch.org/hingewinch/state/feed"
 )
 
-// These tests hold what the control loop does with what replicas say of themselves in answers.
+// These tests cover how the control loop handles what replicas report about themselves in responses.
 
-// entries writes entries of replicas, each as a value for its key, into a control loop.
+// entries applies replica entries, given as values by key, to a control loop.
 func entries(c *control, at feed.Revision, now time.Time, values map[string]string) {
 	items := []feed.Item{{Key: "config", Revision: 1}}
 	for key, value := range values {
@@ -24,8 +24,8 @@
 	c.apply(c.catalog.feed.Apply(items), "store", now)
 }
 
-// TestLeavingByItsOwnWordIsFinal plays entries that call the replica ready again and again, one
-// that goes and is back, a list, and a new start.
+// TestLeavingByItsOwnWordIsFinal checks that a replica that announced its departure gets no requests until
+// it restarts, even if its entry says ready, disappears and reappears, or is part of a new list.
 func TestLeavingByItsOwnWordIsFinal(t *testing.T) {
 	c := quietControl(t)
 	now := time.Unix(1_000_000, 0)
@@ -40,7 +40,7 @@
 			t.Errorf("%s: %d replicas are ready, want %d", when, n, ready)
 		}
 	}
-	check("once it said so", 1)
+	check("after its announcement", 1)
 	entries(c, 3, now, map[string]string{"replica-1": "born=1"})
 	check("after its entry was written again", 1)
 	c.apply(c.catalog.feed.Apply([]feed.Item{{Key: "replica-1", Revision: 4, Gone: true}}), "store", now)
@@ -50,18 +50,18 @@
 		c.tick(context.Background(), now)
 	}
 	entries(c, 5, now, map[string]string{"replica-1": "born=1"})
-	check("with its entry back", 1)
+	check("after its entry reappeared", 1)
 	c.apply(c.catalog.feed.ApplyList([]feed.Item{{Key: "config", Revision: 1}, {Key: "replica-1", Value: []byte("born=1"), Revision: 6}, {Key: "replica-2", Value: []byte("born=1"), Revision: 6}}, 6), "store", now)
 	check("after a list", 1)
 	if len(c.view.Load().Pool("s").Draining) != 1 {
-		t.Error("it is not among the draining ones, that prompts are copied from")
+		t.Error("it is not among the draining replicas, from which prompts are copied")
 	}
 	entries(c, 7, now, map[string]string{"replica-1": "born=2"})
-	check("after it started again", 2)
+	check("after it restarted", 2)
 }
 
-// TestLeavingIsToldToOtherDaemons plays two control loops: what one learns the other is sent, at
-// once and when it starts, and it takes effect there.
+// TestLeavingIsToldToOtherDaemons checks with two control loops that an announced departure is sent to the
+// other daemon immediately and when that daemon restarts, and takes effect there.
 func TestLeavingIsToldToOtherDaemons(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	here, there := quietControl(t), quietControl(t)
@@ -81,7 +81,7 @@
 	here.leavings.Say(&r, now)
 	here.handle(context.Background(), leavingsDue{}, now)
 	if len(sent) != 1 {
-		t.Fatalf("%d datagrams, want 1 at once", len(sent))
+		t.Fatalf("%d datagrams, want 1 immediately", len(sent))
 	}
 	e, err := decodeDatagram(sent[0])
 	if err != nil {
@@ -91,13 +91,13 @@
 	<-there.leavings.Waiting()
 	there.publish(now)
 	if p := there.view.Load().Pool("s"); len(p.Ready) != 1 || len(p.Draining) != 1 {
-		t.Errorf("%d ready and %d draining there, want 1 and 1", len(p.Ready), len(p.Draining))
+		t.Errorf("%d ready and %d draining at the other daemon, want 1 and 1", len(p.Ready), len(p.Draining))
 	}
 	sent = nil
 	peer.Incarnation++
 	here.receiveHeartbeat(context.Background(), &gossip.Heartbeat{Sender: peer, Partial: true}, now)
 	if len(sent) != 1 {
-		t.Errorf("%d datagrams to a daemon that started again, want 1", len(sent))
+		t.Errorf("%d datagrams to a restarted daemon, want 1", len(sent))
 	}
 	sent = nil
 	for range 3 * repeatTicks {
@@ -105,11 +105,12 @@
 		here.tick(context.Background(), now)
 	}
 	if len(sent) < 2 {
-		t.Errorf("%d datagrams repeat it in 3 s, want one a second", len(sent))
+		t.Errorf("%d datagrams repeat the report in 3 s, want one a second", len(sent))
 	}
 }
 
-// TestOperatorsSeeAndLiftRests asks for the replicas, and ends a rest.
+// TestOperatorsSeeAndLiftRests checks that operators see the backoffs that replicas requested and can end
+// them.
 func TestOperatorsSeeAndLiftRests(t *testing.T) {
 	c := quietControl(t)
 	now := time.Unix(1_000_000, 0)
@@ -136,14 +137,14 @@
 		return w.Code
 	}
 	if code := lift("other"); code != http.StatusNotFound {
-		t.Errorf("status %d for a replica that does not rest", code)
+		t.Errorf("status %d for a replica without a backoff", code)
 	}
 	if code := lift(string(r.ID)); code != http.StatusNoContent || len(resting()) != 0 {
-		t.Errorf("status %d, and %d still rest", code, len(resting()))
+		t.Errorf("status %d, and %d replicas still have a backoff", code, len(resting()))
 	}
 }
 
-// TestIdleConnectionsToReplicasThatLeaveAreClosed holds which connections are kept.
+// TestIdleConnectionsToReplicasThatLeaveAreClosed checks to which replicas idle connections are kept.
 func TestIdleConnectionsToReplicasThatLeaveAreClosed(t *testing.T) {
 	named := func(id string) routing.Replica { return routing.NewReplica(routing.Replica{ID: routing.ReplicaID(id)}) }
 	p := &routing.Pool{
--- a/daemon/routes/store.go
+++ b/daemon/routes/store.go
@@ -1,5 +1,6 @@
-// This file reads the store of documents for the control loop. Whether this daemon
-// reads, and how long its watches wait, is decided in coordination/membership.
+// This file reads the documents from the store and posts them to the control loop.
+// coordination/membership decides whether this daemon reads the store, and how long its
+// watches wait.
 
 package routes
 
@@ -16,47 +17,47 @@
 	"hingewinch.org/hingewinch/transport/clock"
 )
 
-// Store is where the documents come from.
+// Store is the source of the documents.
 type Store interface {
-	// List reads a page of the documents whose keys come after one.
+	// List reads a page of documents, starting after the given key.
 	List(ctx context.Context, after string, t transport.Timeouts) (feed.Page, error)
 	// Watch waits for changes after a revision. Its timeouts include the wait.
 	Watch(ctx context.Context, after feed.Revision, wait time.Duration, t transport.Timeouts) (feed.Changes, error)
-	// Forget closes connections that may have died.
+	// Forget closes connections that may be dead.
 	Forget()
 }
 
 const (
-	// listTimeout and idleTimeout bound the store's silence. A list of a large fleet
-	// takes seconds on a small link, the store's
-	// answer 4 ms.
+	// listTimeout and idleTimeout bound how long the store may send nothing. The list of a large
+	// fleet takes seconds on a slow link, while the store itself responds in 4 ms.
 	listTimeout = 1500 * time.Millisecond
 	idleTimeout = 600 * time.Millisecond
-	// watchSlack is how much later than asked a watch may answer.
+	// watchSlack is how much longer than requested a watch may take to respond.
 	watchSlack = 300 * time.Millisecond
-	// firstBackoff and longestBackoff bound the pause after a failed call; it doubles.
+	// firstBackoff and longestBackoff bound the pause after a failed call, which doubles with
+	// each failure.
 	firstBackoff   = 50 * time.Millisecond
 	longestBackoff = 800 * time.Millisecond
-	// firstPlanCheck is how often the reader looks whether the control loop has made
-	// its first plan.
+	// firstPlanCheck is the interval at which the reader polls for the control loop's first
+	// read plan.
 	firstPlanCheck = 5 * time.Millisecond
-	// listAge is how long a list that met errors on its way is carried on; later its first pages are
-	// too old.
+	// listAge is how long a list that was interrupted by errors is continued. After that, its
+	// first pages are too old.
 	listAge = 10 * time.Second
 )
 
-// OlderAnswerError means that the store answered from an earlier era, or an earlier revision, than it
-// did before. At is what it named, Known where the daemon stood.
+// OlderAnswerError means that the store answered from an earlier era or revision than before. At is the
+// position of the response, Known the position that the daemon had reached.
 type OlderAnswerError struct{ At, Known feed.Position }
 
-// Error names both positions and what to do.
+// Error describes both positions and what to check.
 func (e *OlderAnswerError) Error() string {
-	return fmt.Sprintf("the store answers from era %d, revision %d, after era %d, revision %d; check that an old copy of it is not served",
+	return fmt.Sprintf("the store answers from era %d, revision %d, after era %d, revision %d; check that no old copy of the store is served",
 		e.At.Era, e.At.Revision, e.Known.Era, e.Known.Revision)
 }
 
-// listing is a list under way. When a whole fleet starts the store turns calls away:
-// what has been read is kept, and the list goes on from there.
+// listing is a list in progress. When a whole fleet starts, the store rejects calls. The pages
+// that have been read are kept, and the list is resumed after them.
 type listing struct {
 	items []feed.Item
 	at    feed.Position // of the first page
@@ -64,21 +65,21 @@
 	begun time.Time
 }
 
-// reader follows the store. One goroutine runs it.
+// reader reads the store. It runs in one goroutine.
 type reader struct {
 	store       Store
 	control     *control
-	historyGone error // of the store: it must be listed again
+	historyGone error // the store's error after which it must be listed again
 	eras        membership.Eras
-	countCall   func() // is called for each call to the store
-	countOlder  func() // is called for each answer that is older than what was known
+	countCall   func() // called for each call to the store
+	countOlder  func() // called for each response that is older than the known position
 	after       feed.Position
 	listed      bool
-	partial     *listing // nil: the next list begins with the first page
+	partial     *listing // nil if the next list begins with the first page
 	backoff     time.Duration
 }
 
-// run reads while this daemon is to read, until ctx ends.
+// run reads the store while the read plan says so, until ctx is canceled.
 func (r *reader) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		plan := r.control.readPlan.Load()
@@ -97,7 +98,7 @@
 	}
 }
 
-// await waits until another plan takes this one's place.
+// await waits until the plan is replaced.
 func (p *readPlan) await(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -105,7 +106,7 @@
 	}
 }
 
-// follow lists or watches once, until the plan makes that needless.
+// follow runs one list or watch, until it completes or the read plan interrupts it.
 func (r *reader) follow(ctx context.Context, plan *readPlan) error {
 	call, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -123,8 +124,9 @@
 	return err
 }
 
-// cancelWhenReplanned ends a call when its plan ends. A watch ends with any plan: the
-// next one may have to be shorter. A list goes on while this daemon still reads.
+// cancelWhenReplanned cancels a call when its plan is replaced. A watch is always canceled,
+// because the next one may have to be shorter. A list is canceled only if this daemon is no
+// longer to read the store.
 func (r *reader) cancelWhenReplanned(call context.Context, cancel func(), plan *readPlan, listing bool) {
 	for {
 		select {
@@ -140,7 +142,7 @@
 	}
 }
 
-// list reads everything, or what is left of it.
+// list reads all pages of the store, or resumes an interrupted list.
 func (r *reader) list(ctx context.Context) error {
 	if r.partial == nil || clock.Since(r.partial.begun) > listAge {
 		r.partial = &listing{begun: clock.Now()}
@@ -163,7 +165,7 @@
 		if l.next == "" {
 			l.at = at
 		}
-		if at.Era != l.at.Era { // pages of two eras make no list
+		if at.Era != l.at.Era { // pages of different eras can't be combined
 			r.partial = nil
 			return nil
 		}
@@ -180,8 +182,9 @@
 	return nil
 }
 
-// known returns where the daemon stands: in which era, and up to which revision it has read itself. What
-// peers said is no measure of the store: their build may know no eras.
+// known returns the position that the store must not fall behind: the known era, and the revision up to
+// which this daemon itself has read the store. Revisions learned from peers don't count, because a peer's
+// build may not support eras.
 func (r *reader) known() feed.Position {
 	if own := r.control.viewPosition(); r.after.Era < own.Era {
 		return own.Beginning()
@@ -189,7 +192,7 @@
 	return r.after
 }
 
-// place returns the position of an answer. The error says that it is older than what was known.
+// place returns the position of a response, or an error if it is older than the known position.
 func (r *reader) place(at, known feed.Position) (feed.Position, error) {
 	placed, ok := r.eras.Place(at, known, clock.Now())
 	if !ok {
@@ -199,11 +202,11 @@
 	return placed, nil
 }
 
-// watch waits for a change, and then for more that come with it. A change of another era says that the
-// store is to be listed.
+// watch waits for changes, and then pauses so that subsequent changes are read together. If the response
+// is of another era, the store is listed again.
 func (r *reader) watch(ctx context.Context, plan *readPlan) error {
 	r.countCall()
-	// Between 3/4 and 5/4 of the wait: daemons must not ask in step.
+	// Between 3/4 and 5/4 of the wait, so that daemons don't call in lockstep.
 	wait := plan.Wait
 	wait = wait*3/4 + rand.N(wait/2)
 	known := r.known()
@@ -229,7 +232,7 @@
 	return nil
 }
 
-// succeeded ends the back-off, and says that the store was regained if it was lost.
+// succeeded resets the backoff, and reports the store as reachable if it was not.
 func (r *reader) succeeded(ctx context.Context) {
 	if r.backoff > 0 {
 		r.control.post(ctx, storeReachable{})
@@ -237,8 +240,8 @@
 	r.backoff = 0
 }
 
-// failed decides what comes after a failed call. A watch that was cut is tried again
-// at once; after that the pauses grow.
+// failed handles a failed call. The first failure is followed by an immediate retry, and
+// further failures by increasing pauses.
 func (r *reader) failed(ctx context.Context, err error) {
 	if errors.Is(err, r.historyGone) {
 		r.listed = false
@@ -254,7 +257,7 @@
 	r.backoff = min(2*r.backoff, longestBackoff)
 }
 
-// pause waits for a time or until ctx ends.
+// pause waits for d or until ctx is canceled.
 func pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/daemon/routes/store_test.go
+++ b/daemon/routes/store_test.go
@@ -12,8 +12,8 @@
 	"hingewinch.org/hingewinch/transport"
 )
 
-// crowdedStore turns every third call away, as one does that a whole fleet asks
-// at once.
+// crowdedStore rejects every third call, like a store that a whole fleet calls at the
+// same time.
 type crowdedStore struct {
 	pages, calls int
 	watched      chan feed.Revision
@@ -50,8 +50,8 @@
 
 func (s *crowdedStore) Forget() {}
 
-// TestListGoesOnWhereItWasTurnedAway lists 12 pages from a store that turns calls
-// away. A list that starts over each time never ends there.
+// TestListGoesOnWhereItWasTurnedAway lists 12 pages from a store that rejects calls. A
+// list that starts over after each rejection would never complete.
 func TestListGoesOnWhereItWasTurnedAway(t *testing.T) {
 	store := &crowdedStore{pages: 12, watched: make(chan feed.Revision, 1)}
 	c := &control{events: make(chan event, eventQueue)}
@@ -64,10 +64,10 @@
 	select {
 	case after := <-store.watched:
 		if after != 100 {
-			t.Errorf("the watch begins at %d, want 100, the first page's revision", after)
+			t.Errorf("the watch starts at %d, want 100, the revision of the first page", after)
 		}
 	case <-ctx.Done():
-		t.Errorf("the list does not end; %d calls", store.calls)
+		t.Errorf("the list does not complete; %d calls", store.calls)
 	}
 	cancel()
 	<-done
