--- a/daemon/routes/sync.go
+++ b/daemon/routes/sync.go
@@ -1,21 +1,21 @@
 // This file is the part of the control loop that fetches documents from a peer that
-// holds newer ones. It decides when, and from whom:
+// holds newer ones. The rules for when and from which peer are:
 //
-//  1. A daemon that reads the store itself waits syncDelay first, since the store's
-//     own answer is mostly on its way. One that holds nothing yet waits firstSyncDelay
-//     for more peers to answer. Others ask at once.
-//  2. Peers of the own failure domain are asked first, whose links are short; of
-//     these the one with the newest documents.
-//  3. One request is under way at a time.
-//  4. A daemon whose revision does not say what it lacks is sent a digest, and asks for the
-//     parts that differ. One that holds nothing is sent everything.
-//  5. A peer whose configuration is newer is asked for that, although its revision may be no
-//     higher: it may be in the middle of a list of the store. Once one has answered, none is asked
-//     for that version again.
-//  6. A peer in a later era of the store is newer, whatever the revisions. Of an answer from an
-//     earlier era only the configuration counts, by its own version.
-//  7. A daemon whose first documents came from the store asks one peer once: the store may have come
-//     back from a copy, and peers know what it lacks.
+//  1. A daemon that reads the store itself waits for syncDelay first, because the store's
+//     own response is usually about to arrive. A daemon without documents waits for
+//     firstSyncDelay, so that more peers can respond. Others send the request immediately.
+//  2. Peers of the daemon's own failure domain are preferred, because the links to them are
+//     short. Among these, the peer with the newest documents is chosen.
+//  3. Only one request is in flight at a time.
+//  4. If a daemon's revision is not enough to determine which documents it lacks, it is sent a
+//     digest and requests the parts that differ. A daemon without documents is sent all documents.
+//  5. A peer with a newer configuration is asked for it even if its revision is not higher, because
+//     it may be in the middle of listing the store. After one peer has responded, no peer is asked for
+//     that version again.
+//  6. A peer in a later era of the store is newer, whatever the revisions are. From a response of an
+//     earlier era only the configuration is used, if its version is higher.
+//  7. A daemon whose first documents came from the store sends one request to one peer in any case:
+//     the store may have been restored from a backup, and peers know the documents that it lacks.
 
 package routes
 
@@ -31,24 +31,24 @@
 	"hingewinch.org/hingewinch/state/feed"
 )
 
-// syncDelay is how long a reader of the store waits for the store's own answer, once a peer is
-// known to hold newer documents: some links' delays and an answer of the store.
+// syncDelay is how long a daemon that reads the store waits for the store's own response once a peer
+// is known to hold newer documents. It covers a few link delays and the store's response time.
 const syncDelay = 60 * time.Millisecond
 
-// firstSyncDelay is a few times the links' delay. When a whole fleet starts, all find the
-// seeds first: without it half of 295 daemons asked three seeds, whose links took .25 s
-// for that.
+// firstSyncDelay is a few times the link delay. When a whole fleet starts, all daemons find
+// the seeds first. Without the delay, half of 295 daemons asked three seeds, whose links took
+// 0.25 s to respond.
 const firstSyncDelay = 30 * time.Millisecond
 
 // syncs is the state of fetching documents from peers.
 type syncs struct {
 	fetch func(ctx context.Context, from membership.Address, q documentsRequest) (documentsAnswer, error)
-	// newer are the peers that hold newer documents, and since when there is one.
+	// newer contains the peers that hold newer documents; newerSince is when the first was found.
 	newer      map[membership.Address]newerPeer
 	newerSince time.Time
 	underWay   bool
-	unasked    bool // the first documents came from the store, and no peer was asked since
-	// answered is the highest version of the configuration that a peer was asked for and answered.
+	unasked    bool // the first documents came from the store, and no peer has responded since
+	// answered is the highest configuration version that a peer was asked for and responded to.
 	answered routing.ConfigVersion
 }
 
@@ -58,39 +58,41 @@
 	sameDomain bool
 }
 
-// position is how new the documents are that a daemon holds.
+// position is the position of a daemon's documents and the version of its configuration.
 type position struct {
 	feed.Position
 	version routing.ConfigVersion
 }
 
-// newerThan reports whether either is newer than another one's.
+// newerThan reports whether the documents or the configuration are newer than those of another
+// position.
 func (p position) newerThan(other position) bool {
 	return other.Before(p.Position) || p.version > other.version
 }
 
-// documentsRequest is what a peer is asked for: what changed after a revision, and all that it
-// holds in some parts, nil for none. Where it can't say what changed, it answers with a digest if
-// that is taken, and else with everything.
+// documentsRequest is a request to a peer for the documents that changed after a revision, and for
+// all documents in some parts, nil for none. A peer that can't determine what changed responds with
+// a digest if the requester accepts one, and otherwise with all documents.
 type documentsRequest struct {
 	after       feed.Position
-	knowsEras   bool // false: a build that does not, and whose revision counts in any era
+	knowsEras   bool // false if the requester's build does not support eras; its revision is then taken for the current era
 	parts       feed.Parts
-	digest      feed.Digest // by which the parts differ
+	digest      feed.Digest // the peer's digest, from which the parts were determined
 	takesDigest bool
 	version     routing.ConfigVersion // of the configuration that the peer is known to hold
 }
 
-// documentsAnswer is an answer to it: a digest, everything, or documents where both are nil.
-// What is received is never everything: that is documents then.
+// documentsAnswer is the response to a documentsRequest: a digest, all documents (everything), or the
+// requested documents if both are nil. In a received response everything is always nil, and all
+// documents are in documents.
 type documentsAnswer struct {
 	documents  gossip.Documents
 	digest     *feed.Digest
 	everything *packing
 }
 
-// packing is all documents of a daemon. They are packed once for all who ask while nothing
-// changes: when a whole fleet starts, hundreds ask the same few daemons.
+// packing holds all documents of a daemon and their encoding. They are encoded once for all
+// requests until something changes: when a whole fleet starts, hundreds of daemons ask the same few.
 type packing struct {
 	at        feed.Position
 	documents gossip.Documents
@@ -99,7 +101,7 @@
 	err       error
 }
 
-// pack returns the packed documents.
+// pack returns the encoded documents.
 func (p *packing) pack() ([]byte, error) {
 	p.once.Do(func() {
 		p.payload, p.err = gossip.EncodeDocuments(&p.documents)
@@ -108,7 +110,7 @@
 	return p.payload, p.err
 }
 
-// encode returns the status and the body of an answer.
+// encode returns the HTTP status and the body of the response.
 func (a *documentsAnswer) encode() (status int, payload []byte, err error) {
 	switch {
 	case a.digest != nil:
@@ -122,7 +124,7 @@
 	return http.StatusOK, payload, err
 }
 
-// noteRevision takes in the revision of a heartbeat's sender.
+// noteRevision processes the document position in a peer's heartbeat.
 func (c *control) noteRevision(ctx context.Context, h *gossip.Heartbeat, now time.Time) {
 	at := feed.Position{Era: c.placeEra(h.Era, now), Revision: h.Revision}
 	p := newerPeer{position: position{at, h.Version}, sameDomain: h.Sender.Domain == c.domain}
@@ -137,12 +139,13 @@
 	c.syncIfBehind(ctx, now)
 }
 
-// position returns how new this daemon's documents are, by rule 5.
+// position returns the position of this daemon's documents. Its version is the highest that need not
+// be fetched any more, by rule 5.
 func (c *control) position() position {
 	return position{c.catalog.feed.Position(), max(c.syncs.answered, c.version())}
 }
 
-// version returns the version of the configuration in force, 0 for none.
+// version returns the version of the active configuration, or 0 if there is none.
 func (c *control) version() routing.ConfigVersion {
 	if c.catalog.table == nil {
 		return 0
@@ -150,7 +153,7 @@
 	return c.catalog.table.Version
 }
 
-// askOnce asks a peer that is in the same era by rule 7.
+// askOnce sends the request of rule 7 to a peer in the same era.
 func (c *control) askOnce(ctx context.Context, from membership.Address, at feed.Position) {
 	own := c.catalog.feed.Position()
 	if !c.syncs.unasked || c.syncs.underWay || own.Era == 0 || at.Era != own.Era || at.Before(own) {
@@ -159,8 +162,8 @@
 	c.ask(ctx, from, documentsRequest{after: own, takesDigest: true})
 }
 
-// source returns the peer to ask, and forgets those that hold nothing newer any
-// more. The address is empty if there is none.
+// source returns the peer to fetch documents from, and drops peers that no longer hold newer
+// documents. The address is empty if there is no such peer.
 func (s *syncs) source(own position) (from membership.Address, best newerPeer) {
 	for a, p := range s.newer {
 		if !p.newerThan(own) {
@@ -175,7 +178,7 @@
 	return from, best
 }
 
-// syncIfBehind asks a peer for newer documents if there is one.
+// syncIfBehind requests documents from a peer that holds newer ones, if there is one.
 func (c *control) syncIfBehind(ctx context.Context, now time.Time) {
 	from, peer := c.syncs.source(c.position())
 	if from == "" || c.syncs.underWay {
@@ -189,12 +192,12 @@
 	own := f.Position()
 	q := documentsRequest{after: feed.Position{Era: own.Era, Revision: f.AskAfter()}, takesDigest: f.Revision() > 0, version: peer.version}
 	if !own.Before(peer.Position) {
-		q.after, q.takesDigest = own, false // for the configuration alone
+		q.after, q.takesDigest = own, false // only the configuration is newer
 	}
 	c.ask(ctx, from, q)
 }
 
-// ask asks a peer.
+// ask sends a request for documents to a peer. The response is posted as an event.
 func (c *control) ask(ctx context.Context, from membership.Address, q documentsRequest) {
 	c.syncs.underWay = true
 	q.knowsEras = true
@@ -204,7 +207,7 @@
 	}()
 }
 
-// syncDelay returns how long to wait once a peer is known to hold newer documents.
+// syncDelay returns how long to wait, by rule 1, once a peer is known to hold newer documents.
 func (c *control) syncDelay(own feed.Revision) time.Duration {
 	switch {
 	case own == 0:
@@ -215,7 +218,7 @@
 	return 0
 }
 
-// finishSync takes in a peer's answer.
+// finishSync processes a peer's response to a request for documents.
 func (c *control) finishSync(ctx context.Context, s *synced, now time.Time) {
 	c.syncs.underWay = false
 	delete(c.syncs.newer, s.from)
@@ -246,7 +249,7 @@
 	}
 }
 
-// askForParts asks a peer for the parts in which this daemon's documents differ from its digest.
+// askForParts requests the parts in which this daemon's documents differ from a peer's digest.
 func (c *control) askForParts(ctx context.Context, from membership.Address, d feed.Digest, now time.Time) {
 	f := c.catalog.feed
 	own := f.Position()
--- a/daemon/routes/sync_test.go
+++ b/daemon/routes/sync_test.go
@@ -15,22 +15,22 @@
 	"hingewinch.org/hingewinch/state/feed"
 )
 
-// versionedDocuments reads configurations whose version is the revision of their document.
+// versionedDocuments parses configurations whose version is the revision of their document.
 type versionedDocuments struct{ fewDocuments }
 
 func (versionedDocuments) ParseConfig(it feed.Item) (*routing.Table, error) {
 	return routing.NewTable(&routing.Config{Version: routing.ConfigVersion(it.Revision), Services: []routing.Service{{Name: "s"}}})
 }
 
-// syncedPair is a daemon and a peer that it asks, without a network between them. The messages go
-// through their codecs.
+// syncedPair is a daemon and a peer from which it fetches documents. There is no network between them,
+// but messages are encoded and decoded.
 type syncedPair struct {
 	daemon, peer *control
 	now          time.Time
 	asked        int // requests
-	failing      int // of them, that get no answer
-	sent         int // bytes of the answers
-	items        int // documents in them
+	failing      int // number of the next requests that fail
+	sent         int // bytes of the responses
+	items        int // documents in the responses
 	takesDigest  bool
 }
 
@@ -57,14 +57,14 @@
 	p.asked++
 	if p.failing > 0 {
 		p.failing--
-		return documentsAnswer{}, errors.New("no answer")
+		return documentsAnswer{}, errors.New("no response")
 	}
 	query, err := url.ParseQuery(q.encode())
 	if err != nil {
 		return documentsAnswer{}, err
 	}
 	if !p.takesDigest {
-		query.Del(paramDigest) // as a daemon of the build before asks
+		query.Del(paramDigest) // as in requests of the previous build
 	}
 	asked, err := decodeRequest(query)
 	if err != nil {
@@ -80,7 +80,7 @@
 	return got, err
 }
 
-// hear has the daemon take in a heartbeat of the peer, and whatever it asks for by that.
+// hear has the daemon process a heartbeat of the peer and the responses to all requests that follow from it.
 func (p *syncedPair) hear() {
 	h := p.peer.newHeartbeat(p.now)
 	p.daemon.noteRevision(context.Background(), &h, p.now)
@@ -97,8 +97,8 @@
 	return out
 }
 
-// TestAListAfterALostHistoryIsNotSentWhole plays a daemon whose peer has listed the store anew,
-// because its history was lost: it is sent what differs, and not a fleet's ten thousand entries.
+// TestAListAfterALostHistoryIsNotSentWhole simulates a peer that listed the store again because the
+// store's history was lost. The daemon must be sent only what differs, and not ten thousand entries.
 func TestAListAfterALostHistoryIsNotSentWhole(t *testing.T) {
 	for _, replicas := range []int{100, 10000} {
 		p := newSyncedPair(t)
@@ -108,25 +108,25 @@
 			c.apply(c.catalog.feed.ApplyList(all, at), sourceStore, p.now)
 		}
 		all[0].Revision = at + 1
-		p.peer.apply(p.peer.catalog.feed.ApplyList(append(all[:5:5], all[6:]...), at+3), sourceStore, p.now) // one has gone
+		p.peer.apply(p.peer.catalog.feed.ApplyList(append(all[:5:5], all[6:]...), at+3), sourceStore, p.now) // one entry is gone
 		p.hear()
 		if got := p.daemon.catalog.feed.Revision(); got != at+3 {
 			t.Fatalf("%d replicas: at revision %d, want %d", replicas, got, at+3)
 		}
 		if got := p.daemon.catalog.table.Version; got != routing.ConfigVersion(at+1) {
-			t.Errorf("%d replicas: configuration %d is in force, want %d", replicas, got, at+1)
+			t.Errorf("%d replicas: configuration %d is active, want %d", replicas, got, at+1)
 		}
 		if got := len(p.daemon.view.Load().Pool("s").Ready); got != replicas-1 {
 			t.Errorf("%d ready replicas, want %d", got, replicas-1)
 		}
 		if p.items > 100 || p.asked != 2 {
-			t.Errorf("%d replicas: %d documents in %d answers, %d bytes", replicas, p.items, p.asked, p.sent)
+			t.Errorf("%d replicas: %d documents in %d responses, %d bytes", replicas, p.items, p.asked, p.sent)
 		}
 	}
 }
 
-// TestADaemonOfTheBuildBeforeIsSentEverything holds that one that takes no digest is whole after
-// one answer.
+// TestADaemonOfTheBuildBeforeIsSentEverything checks that a daemon of the previous build, which accepts no
+// digest, is up to date after one response.
 func TestADaemonOfTheBuildBeforeIsSentEverything(t *testing.T) {
 	p := newSyncedPair(t)
 	p.takesDigest = false
@@ -134,13 +134,13 @@
 	p.peer.apply(p.peer.catalog.feed.ApplyList(fleetEntries(30), 40), sourceStore, p.now)
 	p.hear()
 	if got := p.daemon.catalog.feed.Revision(); got != 40 || p.asked != 1 {
-		t.Fatalf("at revision %d after %d answers", got, p.asked)
+		t.Fatalf("at revision %d after %d responses", got, p.asked)
 	}
 }
 
-// TestAConfigurationSpreadsBeforeAListEnds plays a daemon that lists the store after its history
-// was lost. The first page has a new configuration: it is in force there at once, and a peer asks
-// for it, although the list goes on and the revision stays. It asks once.
+// TestAConfigurationSpreadsBeforeAListEnds simulates a peer that lists the store after its history was
+// lost. The first page has a new configuration, which must become active immediately and be fetched by
+// the daemon once, although the list is not complete and the revision has not changed.
 func TestAConfigurationSpreadsBeforeAListEnds(t *testing.T) {
 	p := newSyncedPair(t)
 	for _, c := range []*control{p.daemon, p.peer} {
@@ -153,32 +153,32 @@
 	p.asked = 0
 	p.hear()
 	if got := p.daemon.catalog.table.Version; got != 300 {
-		t.Fatalf("configuration %d is in force, want 300", got)
+		t.Fatalf("configuration %d is active, want 300", got)
 	}
 	p.hear()
 	if p.asked != 1 || p.items > 1 {
-		t.Errorf("asked %d times, %d documents", p.asked, p.items)
+		t.Errorf("%d requests and %d documents", p.asked, p.items)
 	}
 	if got := p.daemon.catalog.feed.Revision(); got != 201 {
-		t.Errorf("at revision %d, although the list has not ended", got)
+		t.Errorf("at revision %d although the list is not complete", got)
 	}
 }
 
-// TestADaemonWithoutDocumentsWaitsForTheWholeList holds that one that has just started takes no
-// callers by the first page, which has the configuration and hardly a replica.
+// TestADaemonWithoutDocumentsWaitsForTheWholeList checks that a daemon that has just started accepts no
+// callers after the first page, which has the configuration but hardly any replicas.
 func TestADaemonWithoutDocumentsWaitsForTheWholeList(t *testing.T) {
 	p := newSyncedPair(t)
 	p.daemon.handle(context.Background(), storePaged{items: fleetEntries(3), upTo: "replica-00002", at: feed.Position{Revision: 310}}, p.now)
 	if v := p.daemon.view.Load(); v != nil && v.Table != nil {
-		t.Fatal("a configuration is in force after one page")
+		t.Fatal("a configuration is active after one page")
 	}
 	p.daemon.handle(context.Background(), storeListed{items: fleetEntries(200), at: feed.Position{Revision: 310}}, p.now)
 	if v := p.daemon.view.Load(); v.Table == nil || len(v.Pool("s").Ready) != 200 {
-		t.Fatal("the list is not in force")
+		t.Fatal("the list is not active")
 	}
 }
 
-// TestRequestsForDocumentsAreChecked sends what no daemon asks.
+// TestRequestsForDocumentsAreChecked checks that invalid requests are rejected.
 func TestRequestsForDocumentsAreChecked(t *testing.T) {
 	for _, query := range []string{"", "after=x", "after=5&parts=zz", "after=5&parts=", "after=5&parts=010203"} {
 		v, err := url.ParseQuery(query)
@@ -186,20 +186,20 @@
 			t.Fatal(err)
 		}
 		if _, err := decodeRequest(v); err == nil {
-			t.Errorf("%q is taken", query)
+			t.Errorf("%q is accepted", query)
 		}
 	}
 }
 
-// TestEverythingIsPackedOnce holds that daemons which ask for everything share one packing, and
-// that none is sent one from before a change.
+// TestEverythingIsPackedOnce checks that daemons which request all documents share one encoding, and
+// that no daemon is sent an encoding from before a change.
 func TestEverythingIsPackedOnce(t *testing.T) {
 	p := newSyncedPair(t)
 	c := p.peer.catalog
 	p.peer.apply(c.feed.ApplyList(fleetEntries(50), 51), sourceStore, p.now)
 	first, second := c.answer(&documentsRequest{}), c.answer(&documentsRequest{})
 	if first.everything == nil || first.everything != second.everything {
-		t.Fatal("two packings of the same documents")
+		t.Fatal("the same documents were encoded twice")
 	}
 	p.peer.apply(c.feed.Apply([]feed.Item{{Key: "replica-00007", Revision: 60, Gone: true}}), sourceStore, p.now)
 	_, payload, err := func() (int, []byte, error) { a := c.answer(&documentsRequest{}); return a.encode() }()
@@ -212,12 +212,12 @@
 	}
 	c.feed.Advance(70)
 	if a := c.answer(&documentsRequest{}); a.everything.documents.Revision != 70 {
-		t.Fatal("a packing of an earlier revision")
+		t.Fatal("the encoding is of an earlier revision")
 	}
 }
 
-// BenchmarkAskedForEverything answers a daemon that asks for everything, as hundreds do when a whole
-// fleet starts: the first one, and those after it.
+// BenchmarkAskedForEverything measures answering requests for all documents, as hundreds of daemons send
+// when a whole fleet starts: the first request, and those after it.
 func BenchmarkAskedForEverything(b *testing.B) {
 	for _, replicas := range []int{100, 1000, 10000, 20000} {
 		var out bytes.Buffer
@@ -247,8 +247,8 @@
 	}
 }
 
-// BenchmarkMemoryOfDocuments reports what a daemon holds of a fleet's entries: the documents, what
-// they mean, and one view.
+// BenchmarkMemoryOfDocuments reports the memory that a daemon uses for a fleet's entries: the documents,
+// the parsed state, and one view.
 func BenchmarkMemoryOfDocuments(b *testing.B) {
 	for _, replicas := range []int{100, 1000, 10000, 20000} {
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
@@ -268,7 +268,7 @@
 	}
 }
 
-// heldBytes returns what the heap holds after a collection.
+// heldBytes returns the heap size after a garbage collection.
 func heldBytes() int64 {
 	var m runtime.MemStats
 	runtime.GC()
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -1,4 +1,4 @@
-// This file reads settings files.
+// This file loads settings files.
 
 package daemon
 
@@ -10,8 +10,8 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// LoadSettings reads a settings file over defaults and checks it. The error lists
-// every problem with file, line and remedy.
+// LoadSettings reads a settings file on top of the defaults and validates the result.
+// The error lists every problem with its file, line and remedy.
 func LoadSettings[T any](file string, defaults T, check func(*T, *state.Checker)) (*T, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -20,8 +20,8 @@
 	return ParseSettings(file, text, defaults, check)
 }
 
-// ParseSettings is [LoadSettings] for a text that has been read. file is named in
-// errors.
+// ParseSettings is [LoadSettings] for text that is already in memory. file is the name
+// used in errors.
 func ParseSettings[T any](file string, text []byte, defaults T, check func(*T, *state.Checker)) (*T, error) {
 	s := defaults
 	if err := state.DecodeStrict(file, text, &s); err != nil {
