--- a/coordination/routing/admit.go
+++ b/coordination/routing/admit.go
@@ -1,64 +1,63 @@
-// This file decides whether a caller's request is let in, and on which route.
+// Admission: whether a caller's request is accepted, and on which route.
 //
-// Inputs: host and path as the caller wrote them, and its key. The rule:
+// The inputs are the host and path as the caller wrote them, and the caller's key.
 //
-//  1. Without a configuration nothing is judged: a daemon that has just started
-//     can't tell an unknown key from one that it does not know yet. Requests
-//     wait for the first configuration for [StartWait], and are refused then.
-//  2. The host's route with the longest prefix of the path takes the request.
-//  3. A key that a workspace holds admits it in that workspace's name.
-//  4. Without such a key it is admitted only if the route is public or the
+//  1. Without a configuration no request is admitted or rejected on its merits: a daemon that has
+//     just started can't tell an invalid key from one that it hasn't loaded yet. Requests wait
+//     for the first configuration for up to [StartWait] and are refused after that.
+//  2. The request is matched to the host's route with the longest prefix of the path.
+//  3. A key that belongs to a workspace admits the request on behalf of that workspace.
+//  4. Without such a key, the request is admitted only if the route is public or the
 //     configuration has no workspaces.
 //
-// There are no shares, queues or rates: the replicas' slots were never the limit in
-// any run.
+// There are no per-workspace quotas, queues or rate limits: the replicas' slots were never the
+// limit in any run.
 
 package routing
 
 import "time"
 
 const (
-	// startPeriod is the time after a daemon's start within which its first
-	// configuration is expected. It was in force 0.13 to 0.19 s after a start of 87
-	// daemons, and 0.64 s with 1,800 routes; after this time the store and all peers
-	// are away, and how long for is not known.
+	// startPeriod is the time after a daemon's start within which its first configuration is
+	// expected. It took 0.13 to 0.19 s with 87 daemons, and 0.64 s with 1,800 routes. If there is
+	// none by then, the store and all peers are unreachable, for an unknown time.
 	startPeriod = 2 * time.Second
-	// startWaitShare is the part of a caller's time that may be spent on waiting: the
-	// rest is for its request. A quarter serves as many in a fleet of 8, whose daemons
-	// have their configuration sooner than that.
+	// startWaitShare is the part of a caller's remaining time that may be spent on waiting for
+	// the configuration; the rest is left for the request itself. In a fleet of 8, whose daemons
+	// have their configuration sooner than that, a quarter serves just as many requests.
 	startWaitShare = 0.5
 )
 
-// StartWait returns how long a request may wait for the first configuration. left is
-// the time that its caller waits, sinceStart the age of the daemon. A refusal in its
-// place would come back to a daemon that is no further, and callers come back a few
-// times only.
+// StartWait returns how long a request may wait for the first configuration. left is the time
+// until the caller's deadline, sinceStart the age of the daemon. Waiting is better than refusing:
+// the caller's retry could reach a daemon that has no configuration either, and callers retry
+// only a few times.
 func StartWait(left, sinceStart time.Duration) time.Duration {
 	return max(0, min(startPeriod-sinceStart, time.Duration(startWaitShare*float64(left))))
 }
 
-// Denial says why a request is not let in.
+// Denial is the reason why a request is not admitted.
 type Denial int
 
-// The denials.
+// The reasons for denying a request.
 const (
-	// Admitted is no denial.
+	// Admitted is the zero value: the request is not denied.
 	Admitted Denial = iota
-	// NoConfiguration means that this daemon knows none yet.
+	// NoConfiguration means that this daemon has no configuration yet.
 	NoConfiguration
-	// NoRoute means that no route has the host and path.
+	// NoRoute means that no route matches the host and path.
 	NoRoute
 	// UnknownKey means that no workspace holds the key.
 	UnknownKey
 )
 
-// Admission is a request that was let in.
+// Admission is the route and workspace of an admitted request.
 type Admission struct {
 	Route     *Route
 	Workspace *Workspace // nil if the caller sent no known key
 }
 
-// Admit finds the route of a request and the workspace of its key.
+// Admit matches a request to its route and authenticates its key.
 func (v *View) Admit(host, path, key string) (Admission, Denial) {
 	if v == nil || v.Table == nil {
 		return Admission{}, NoConfiguration
--- a/coordination/routing/bound_test.go
+++ b/coordination/routing/bound_test.go
@@ -15,19 +15,20 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// Seen: in a fleet of 87 daemons before 112 replicas, over 3 in 100 requests of five calm
-// seconds reached a replica that held more than twice its service's mean and 3.
-// How it came about: many requests were about one subject, so that a few prompts were asked
-// for a dozen times a second, a second of work each, while a short prompt has two homes and a
-// long one has one.
-// Cause: a daemon of a large fleet knows a third of the loads, of a moment up to 4 s ago, and
-// compares that part with a bound in whole requests; nothing counted what a prompt asks of
-// its homes.
-// Proved by: 134 of the 137 requests that were over were below the bound by what their
-// daemon believed, 98 of them at three homes; the loads that replicas report say the same
-// (metric load_missed). 8 daemons, which know all loads, keep the rule on the same traffic.
-// Landing 439b2e6 fails here and over real processes, with short and with long prompts;
-// 8c2ddb9, which had four homes for a short prompt, with long ones only.
+// Regression test: with 87 daemons and 112 replicas, over 3 in 100 requests of five seconds
+// without faults reached a replica with more than twice its service's mean plus 3 requests in
+// flight.
+//
+// Many requests were about one subject, so a few prompts were requested a dozen times a second,
+// each request taking about a second, while a short prompt has two homes and a long one has one.
+// A daemon of a large fleet knows a third of the loads, up to 4 s old, and compares that part
+// with a bound in whole requests; nothing took into account how often a prompt is requested.
+//
+// Of the 137 requests over the bound, 134 were below it by their daemon's estimate, 98 of them at
+// three homes; the loads that replicas report agree with that (metric load_missed). 8 daemons,
+// which know all loads, keep to the bound with the same traffic. Commit 439b2e6 fails this test,
+// and also fails with real processes, with short and with long prompts; 8c2ddb9, which had four
+// homes for a short prompt, fails with long ones only.
 func TestReplicasKeepToTheLoadBoundUnderAHotSubject(t *testing.T) {
 	for _, c := range []struct {
 		name              string
@@ -61,15 +62,18 @@
 	}
 }
 
-// Seen: with 8 daemons and 7 replicas, once in four runs of one seed of the soak, 3.4% of the
-// requests of five calm seconds reached a replica that held over twice the mean and 3.
-// How it came about: the requests are about 7 topics, and last .15 s. A replica that was found
-// crowded was avoided for .8 s, while its requests were over after .2: what it would have got
-// crowded the next ones, one after another.
-// Cause: the time to avoid a crowd was chosen for fleets in which a daemon knows a third of the
-// loads, and requests last a second. In a small fleet all loads are known after .2 s.
-// Proved by: in virtual time the worst share rises when crowds are found sooner (to 8.9%), and
-// falls when they are avoided for .3 s.
+// Regression test: with 8 daemons and 7 replicas, in one of four soak runs with the same seed,
+// 3.4% of the requests of five seconds without faults reached a replica with more than twice the
+// mean plus 3 requests in flight.
+//
+// The requests are about some 7 topics and take .15 s. A overloaded replica was avoided for .8 s,
+// although its requests were done after .2 s. The requests that it would have got overloaded the
+// next replicas, one after another. The time to avoid a overloaded replica had been chosen for
+// fleets in which a daemon knows a third of the loads and requests take a second; in a small
+// fleet all loads are known after .2 s.
+//
+// In simulated time the worst share rises if overloaded replicas are detected sooner (to 8.9%),
+// and falls if they are avoided for .3 s.
 func TestSmallFleetKeepsToTheLoadBoundWithFewTopics(t *testing.T) {
 	const daemons, replicas, domains = 8, 7, 2
 	for _, work := range []time.Duration{80 * time.Millisecond, 150 * time.Millisecond, 300 * time.Millisecond} {
@@ -84,8 +88,8 @@
 	}
 }
 
-// The rule that callers are promised: of the requests of judgedTime, at most allowedOver
-// reach a replica that holds more than boundFactor times the mean and boundSlack.
+// The service level that callers are promised: of the requests of judgedTime, at most allowedOver
+// reach a replica with more than boundFactor times the mean plus boundSlack requests in flight.
 const (
 	boundFactor = 2
 	boundSlack  = 3
@@ -93,19 +97,19 @@
 	judgedTime  = 5 * time.Second
 )
 
-// kindOfRequest is a part of a fleet's traffic. The figures are those of the day on which
-// the fault was traced.
+// kindOfRequest is one kind of request in a fleet's traffic. The figures are those of the day on
+// which the fault was traced.
 type kindOfRequest struct {
 	name      string
 	perSecond float64
-	tokens    routing.Tokens // that requests with one prompt share
-	work      time.Duration  // mean time at a replica
-	prompts   int            // asked for alike
-	// hot are prompts asked for more often, each with its share of the requests.
+	tokens    routing.Tokens // shared by the requests with one prompt
+	work      time.Duration  // mean processing time at a replica
+	prompts   int            // requested equally often
+	// hot are the prompts that are requested more often, each with its share of the requests.
 	hot []float64
 }
 
-// hotSubject is how the prompts of one subject shared the requests of their kind.
+// hotSubject is the distribution of one subject's prompts among the requests of their kind.
 var hotSubject = []float64{.118, .087, .052, .041, .040, .035, .031, .022, .021, .019, .016, .016}
 
 var (
@@ -122,7 +126,7 @@
 	return k
 }
 
-// calmTraffic is the same traffic without a hot subject.
+// calmTraffic returns the same traffic without a hot subject.
 func calmTraffic(traffic []kindOfRequest) []kindOfRequest {
 	out := slices.Clone(traffic)
 	for i := range out {
@@ -131,7 +135,7 @@
 	return out
 }
 
-// scaled is the same traffic for a fleet of another size.
+// scaled returns the same traffic at a rate for a fleet of another size.
 func scaled(by float64, traffic []kindOfRequest) []kindOfRequest {
 	out := slices.Clone(traffic)
 	for i := range out {
@@ -140,7 +144,7 @@
 	return out
 }
 
-// draw returns the number of the prompt of a request: the hot ones come first.
+// draw returns the number of the prompt of a random request: the hot prompts come first.
 func (k *kindOfRequest) draw(rng *rand.Rand) int {
 	at := rng.Float64()
 	for i, share := range k.hot {
@@ -151,8 +155,8 @@
 	return rng.IntN(k.prompts)
 }
 
-// fleetWorld is a fleet in virtual time: daemons that place requests and send each other
-// heartbeats as the daemon does, before replicas whose loads are known exactly.
+// fleetWorld simulates a fleet in virtual time: daemons that place requests and exchange
+// heartbeats like the real daemon, and replicas whose loads are known exactly.
 type fleetWorld struct {
 	rng      *rand.Rand
 	now      time.Time
@@ -166,12 +170,12 @@
 	requests int
 	reports  int
 
-	// holders are the replicas that have read a prompt; none gives way.
+	// holders are the replicas that have read a prompt; nothing is evicted.
 	holders map[string]map[routing.ReplicaID]bool
-	// copied are tokens that a replica copied from one that holds them, readAgain those
-	// that it read although another one holds them.
+	// copied counts the tokens that a replica copied from another one, and readAgain those that
+	// it read although another one holds them.
 	copied, readAgain  routing.Tokens
-	believed, trueMean float64 // summed up over sends
+	believed, trueMean float64 // sums over sends
 }
 
 type worldDaemon struct {
@@ -180,20 +184,20 @@
 	view   *routing.View
 }
 
-// openSend is a request at a replica.
+// openSend is a request in flight at a replica.
 type openSend struct {
 	daemon int
 	target routing.Replica
 	until  time.Time
 }
 
-// send is a request that was sent, and whether the replica was over the bound.
+// send is a request that was sent, and whether its replica was over the bound.
 type send struct {
 	at   time.Time
 	over bool
 }
 
-// fleetStep is the resolution of time.
+// fleetStep is the time step of the simulation.
 const fleetStep = 10 * time.Millisecond
 
 func newFleetWorld(daemons, replicas, domains int, seed uint64) *fleetWorld {
@@ -239,7 +243,7 @@
 	}
 }
 
-// count draws a whole number with the given small mean.
+// count returns a random whole number with the given small mean.
 func (w *fleetWorld) count(mean float64) int {
 	n := 0
 	for at := w.rng.ExpFloat64(); at < mean; at += w.rng.ExpFloat64() {
@@ -284,7 +288,7 @@
 	w.open = append(w.open, openSend{daemon: from, target: t.Replica, until: w.now.Add(work)})
 }
 
-// read notes what it takes the target to have the shared part of a prompt.
+// read records how the target obtains the shared part of a prompt.
 func (w *fleetWorld) read(prompt string, tokens routing.Tokens, t *routing.Target) {
 	holders := w.holders[prompt]
 	if holders == nil {
@@ -301,19 +305,19 @@
 	holders[t.Replica.ID] = true
 }
 
-// Heartbeats as the daemon sends them; membership/targets.go has the rule for their targets.
+// The daemon's heartbeat settings; membership/targets.go has the rule for their targets.
 const (
 	smallInterval = 200 * time.Millisecond
 	largeInterval = 400 * time.Millisecond
 	nearTargets   = 4
 	farTargets    = 1
 	locations     = 20
-	// Reports of crowded replicas are sent on soon after they come.
+	// Reports of overloaded replicas are forwarded soon after they arrive.
 	crowdsInterval = 50 * time.Millisecond
 	crowdsAtOnce   = 60
 )
 
-// heartbeat sends a daemon's figures if it is its turn.
+// heartbeat sends a daemon's load counts and cache locations if its turn has come.
 func (w *fleetWorld) heartbeat(from int) {
 	large := w.large(len(w.daemons))
 	interval, age := smallInterval, routing.PeerLoadAge
@@ -332,7 +336,7 @@
 	}
 }
 
-// passCrowds passes reports of crowded replicas on.
+// passCrowds forwards reports of overloaded replicas.
 func (w *fleetWorld) passCrowds(from int) {
 	const steps = int(crowdsInterval / fleetStep)
 	if w.step%steps != from%steps {
@@ -365,7 +369,7 @@
 	return append(near[:min(nearTargets, len(near))], far[:farTargets]...)
 }
 
-// worstShare returns the greatest share of requests over the bound in judgedTime.
+// worstShare returns the greatest share of requests over the bound in any period of judgedTime.
 func (w *fleetWorld) worstShare() float64 {
 	worst, over, first := 0.0, 0, 0
 	for i := range w.sends {
--- a/coordination/routing/budget.go
+++ b/coordination/routing/budget.go
@@ -1,10 +1,10 @@
-// This file decides how many retries this daemon may spend.
+// The retry budget: how many retries this daemon may spend.
 //
-// Inputs: the fleet's bound on retries at one service within a sliding window,
-// and the number of daemons. The rule: within a window a daemon retries at most
-// budgetShare times the ratio of its own requests, plus its equal part of the
-// fleet's extra. The parts sum to less than the whole whatever the daemons know of
-// each other. Where a part is a retry or two, daemons lend each other theirs (loan.go).
+// The inputs are the fleet-wide limit on retries at one service within a sliding window, and the
+// number of daemons. Within a window, a daemon may spend budgetShare times the ratio of its own
+// requests, plus an equal share of the fleet's extra retries. The shares add up to less than the
+// fleet-wide limit whatever the daemons know of each other. Where a share is only a retry or two,
+// daemons transfer retries to each other (loan.go).
 
 package routing
 
@@ -13,11 +13,12 @@
 	"time"
 )
 
-// Retries is an amount of retries within a window. A part of the fleet's may be less than one.
+// Retries is an amount of retries within a window. A daemon's share of the fleet's retries may be
+// a fraction of one.
 type Retries float64
 
-// RetryRule is the fleet's bound on retries at one service: Ratio times the
-// requests within Window, plus Extra retries for the whole fleet.
+// RetryRule is the fleet-wide limit on retries at one service: Ratio times the requests within
+// Window, plus Extra retries for the whole fleet.
 type RetryRule struct {
 	Ratio  float64
 	Extra  float64 // retries in a window
@@ -25,16 +26,16 @@
 }
 
 const (
-	// budgetShare is the part of the rule that is spent. Windows of daemons and of those who count
-	// begin at different moments, so that a window of theirs can see more than one of ours.
+	// budgetShare is the part of the limit that is used. The windows of the daemons, and of
+	// whoever checks the limit, begin at different moments, so that a window of the checker can
+	// overlap more than one of ours.
 	budgetShare = 0.7
-	// budgetSlots is how many parts a window is counted in; the oldest part is
-	// forgotten as a whole, so the window is exact to a tenth.
+	// budgetSlots is the number of slots a window is divided into. The oldest slot is dropped as
+	// a whole, so that the window is accurate to a tenth.
 	budgetSlots = 10
 )
 
-// RetryBudgets holds a retry budget for each service. It is safe for use by many
-// goroutines.
+// RetryBudgets holds a retry budget for each service. It is safe for concurrent use.
 type RetryBudgets struct {
 	rule RetryRule
 
@@ -44,28 +45,27 @@
 	services map[ServiceName]*budget
 }
 
-// budget counts the sends to one service by parts of a window.
+// budget counts the requests and retries sent to one service, in the slots of a window.
 type budget struct {
 	slot     int64
 	requests [budgetSlots]int
-	spent    [budgetSlots]Retries // on own retries and loans
+	spent    [budgetSlots]Retries // on retries of this daemon and on transfers to others
 }
 
-// NewRetryBudgets returns budgets under a rule, for one daemon of a fleet of the
-// given size.
+// NewRetryBudgets returns the budgets of one daemon under a rule, in a fleet of the given size.
 func NewRetryBudgets(rule RetryRule, daemons int) *RetryBudgets {
 	return &RetryBudgets{rule: rule, daemons: max(1, daemons), services: make(map[ServiceName]*budget)}
 }
 
-// SetDaemons sets how many daemons share the extra. The number never falls:
-// daemons that are cut off from this one go on spending their parts.
+// SetDaemons sets how many daemons share the extra retries. The number never falls: daemons that
+// this one can't reach keep spending their shares.
 func (b *RetryBudgets) SetDaemons(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.daemons = max(b.daemons, n)
 }
 
-// CountRequest counts the first send of a request.
+// CountRequest counts the first attempt of a request.
 func (b *RetryBudgets) CountRequest(s ServiceName, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -73,10 +73,11 @@
 	w.requests[w.slot%budgetSlots]++
 }
 
-// SpendRetry asks for one retry and counts it if it is allowed.
+// SpendRetry reports whether one retry is allowed, and counts it if so.
 func (b *RetryBudgets) SpendRetry(s ServiceName, now time.Time) bool { return b.SpendWith(s, 0, now) }
 
-// SpendWith does the same with what was borrowed for this retry.
+// SpendWith is like [RetryBudgets.SpendRetry], but takes from the budget only what a transfer for
+// this retry doesn't cover.
 func (b *RetryBudgets) SpendWith(s ServiceName, loan Retries, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -89,7 +90,7 @@
 	return true
 }
 
-// left returns what is left of the daemon's part. The caller holds the lock.
+// left returns the unspent rest of the daemon's share. The caller holds the lock.
 func (b *RetryBudgets) left(w *budget) Retries {
 	left := b.part(w)
 	for _, spent := range w.spent {
@@ -98,7 +99,7 @@
 	return left
 }
 
-// part returns what the daemon may spend in a window. The caller holds the lock.
+// part returns the daemon's share: what it may spend in a window. The caller holds the lock.
 func (b *RetryBudgets) part(w *budget) Retries {
 	requests := 0
 	for _, n := range w.requests {
@@ -107,7 +108,7 @@
 	return Retries(budgetShare * (b.rule.Ratio*float64(requests) + b.rule.Extra/float64(b.daemons)))
 }
 
-// window returns the service's counts with what is too old cleared.
+// window returns the counts of a service after clearing the slots that are out of the window.
 func (b *RetryBudgets) window(s ServiceName, now time.Time) *budget {
 	w := b.services[s]
 	slot := b.clock.slot(now, b.rule.Window/budgetSlots)
--- a/coordination/routing/cache.go
+++ b/coordination/routing/cache.go
@@ -1,7 +1,7 @@
-// This file remembers which replicas hold a prompt in their cache. A daemon learns
-// it from the answers that it relays and from its peers, which announce each
-// prompt that a replica has read for the first time. The table is bounded and a
-// hint only: a wrong entry costs a copy that finds nothing.
+// The cache location table: which replicas hold a prompt in their cache. A daemon learns this
+// from the responses that it relays and from its peers, which announce each prompt that a replica
+// has read for the first time. The table is bounded and only a hint: a wrong entry costs a copy
+// attempt that finds nothing.
 
 package routing
 
@@ -11,21 +11,21 @@
 	"time"
 )
 
-// PromptKey names a prompt in messages between daemons: the low half of its
-// placement key. Two prompts that share one are taken for the same.
+// PromptKey identifies a prompt in messages between daemons: the low half of its placement key.
+// Two prompts with the same PromptKey are treated as one.
 type PromptKey uint32
 
-// CacheLocation says that a replica has read a prompt.
+// CacheLocation records that a replica has read a prompt.
 type CacheLocation struct {
 	Prompt  PromptKey
 	Replica LoadKey
-	// Size is the number of shared tokens in units of locationSizeUnit, at least 1.
-	// Large prompts are announced first: reading them again costs the most.
+	// Size is the number of shared tokens in units of locationSizeUnit, at least 1. Large prompts
+	// are announced first, because reading them again costs the most.
 	Size uint8
 }
 
-// locationSizeUnit is the unit of a location's size, in tokens. It lets a byte
-// hold 127,500 tokens.
+// locationSizeUnit is the unit of [CacheLocation.Size], in tokens. With it, one byte represents
+// up to 127,500 tokens.
 const locationSizeUnit = 500
 
 func locationSize(tokens Tokens) uint8 {
@@ -33,22 +33,23 @@
 }
 
 const (
-	// locationsPerPrompt bounds the replicas that are remembered for one prompt.
+	// locationsPerPrompt bounds the replicas that are recorded for one prompt.
 	locationsPerPrompt = 6
-	// maxPrompts bounds the prompts that are remembered, which bounds the memory at some megabytes.
+	// maxPrompts bounds the prompts that are recorded, which keeps the table to a few megabytes.
 	maxPrompts = 20_000
-	// locationAge is how long a replica is expected to hold a prompt that nobody asks for; after that
-	// its memory has likely been given to others.
+	// locationAge is how long a replica is expected to keep a prompt that isn't requested; after
+	// that it has likely evicted the prompt in favor of others.
 	locationAge = 2 * time.Minute
-	// announceTimes is how many heartbeats carry a location of this daemon's own: datagrams are lost.
+	// announceTimes is how many heartbeats carry a location that this daemon has found itself,
+	// since datagrams may be lost.
 	announceTimes = 2
-	// maxPending bounds the locations that wait to be announced: ten heartbeats' worth of a large
+	// maxPending bounds the locations that wait to be announced: ten heartbeats' worth in a large
 	// fleet.
 	maxPending = 200
 )
 
-// CacheTable remembers where prompts are cached. It is safe for use by many
-// goroutines. A nil table is empty and remembers nothing.
+// CacheTable records where prompts are cached. It is safe for concurrent use. A nil table is
+// empty and records nothing.
 type CacheTable struct {
 	mu      sync.Mutex
 	prompts map[PromptKey][]location
@@ -60,18 +61,18 @@
 	used    time.Time
 }
 
-// pendingLocation waits to be announced to peers.
+// pendingLocation is a location that is still to be announced to peers.
 type pendingLocation struct {
 	CacheLocation
-	times int // how many heartbeats are still to carry it
+	times int // how many more heartbeats carry it
 }
 
 // NewCacheTable returns an empty table.
 func NewCacheTable() *CacheTable { return &CacheTable{prompts: make(map[PromptKey][]location)} }
 
-// Record notes that a replica has read a prompt for this daemon. prompt is the
-// placement key, tokens the number of shared tokens. With announce set, peers are sent
-// the location if it is new here.
+// Record notes that a replica has read a prompt of a request of this daemon. prompt is the
+// placement key, tokens the number of shared tokens. If announce is set and the location is new
+// here, it is announced to peers.
 func (t *CacheTable) Record(prompt uint64, tokens Tokens, replica LoadKey, announce bool, now time.Time) {
 	if t == nil {
 		return
@@ -84,9 +85,8 @@
 	}
 }
 
-// Observe takes in locations that a peer announced. With forward set, those that
-// are new here are announced once more: a large fleet is one in which nobody
-// sends to all others.
+// Observe records locations that a peer announced. If forward is set, those that are new here are
+// announced once more: in a large fleet no daemon sends to all others.
 func (t *CacheTable) Observe(announced []CacheLocation, forward bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -103,7 +103,7 @@
 	}
 }
 
-// put returns true if the location is new.
+// put records a location and reports whether it is new.
 func (t *CacheTable) put(prompt PromptKey, replica LoadKey, now time.Time) bool {
 	list := t.prompts[prompt]
 	for i := range list {
@@ -124,9 +124,10 @@
 	return true
 }
 
-// Forget drops what replicas held: one that turned cold starts with an empty memory. Without
-// it the prompts of a failure domain of 28 replicas, taken back cold, are all expected there
-// and read again (1.2 million tokens), although those that served meanwhile hold them.
+// Forget drops all locations at the given replicas: one that has become cold starts with an empty
+// cache. Without this, when a failure domain of 28 replicas returned to service cold, all of its
+// prompts were expected there and were read again (1.2 million tokens), although the replicas
+// that had served in the meantime held them.
 func (t *CacheTable) Forget(replicas []LoadKey) {
 	if t == nil || len(replicas) == 0 {
 		return
@@ -143,7 +144,7 @@
 	}
 }
 
-// oldestLocation returns the index of the location that was used first.
+// oldestLocation returns the index of the least recently used location.
 func oldestLocation(list []location) int {
 	oldest := 0
 	for i := range list {
@@ -154,7 +155,8 @@
 	return oldest
 }
 
-// evict drops the prompts that are old, and a tenth of all if nothing is.
+// evict drops all prompts whose locations are too old, and others as long as fewer than a tenth
+// of maxPrompts have been dropped.
 func (t *CacheTable) evict(now time.Time) {
 	drop := maxPrompts / 10
 	for prompt, list := range t.prompts {
@@ -166,8 +168,7 @@
 	}
 }
 
-// TakePending returns up to n locations for the next heartbeat, the largest prompts
-// first.
+// TakePending returns up to n locations for the next heartbeat, the largest prompts first.
 func (t *CacheTable) TakePending(n int) []CacheLocation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -188,7 +189,7 @@
 	return out
 }
 
-// locations returns the replicas that hold a prompt and are not too old.
+// locations returns the replicas that hold a prompt, without those whose entry is too old.
 func (t *CacheTable) locations(prompt uint64, now time.Time) []location {
 	if t == nil {
 		return nil
--- a/coordination/routing/candidates.go
+++ b/coordination/routing/candidates.go
@@ -1,5 +1,5 @@
-// This file holds the state of one choice: the replicas of a pool with their loads
-// and their order. place.go has the rule, usable.go which of them may be chosen.
+// The state of one choice: the ready replicas of a pool with their loads and their order for the
+// prompt. place.go has the placement rules, usable.go decides which replicas may be chosen.
 
 package routing
 
@@ -14,19 +14,18 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// candidates is the ready replicas at the time of one choice. The slices have one
-// element for each replica.
+// candidates is the ready replicas as of one choice. Each slice has one element for each replica.
 type candidates struct {
 	ready       []Replica
-	coldUntil   time.Time  // when the last of them is warm
+	coldUntil   time.Time  // when the last of them becomes warm
 	loads       []int      // requests
 	usable      []bool     // may be chosen
-	leftOut     replicaSet // get nothing while others may be chosen
-	crowded     []bool     // hold too much, by their own reports
+	leftOut     replicaSet // not chosen while others may be
+	crowded     []bool     // overloaded, by their own reports
 	ranks       []uint64   // in the prompt's order: the highest is the home
 	usableCount int
 	mean        float64 // of loads
-	coverage    float64 // share of the fleet's daemons that loads contain
+	coverage    float64 // share of the fleet's daemons whose requests loads contain
 }
 
 func newCandidates(p *Placer, pool *Pool, v *View, s *Service, tried Tried, now time.Time) *candidates {
@@ -49,7 +48,7 @@
 	return c
 }
 
-// order ranks the replicas for a key.
+// order computes the rank of each replica for a key.
 func (c *candidates) order(key uint64) {
 	c.ranks = make([]uint64, len(c.ready))
 	for i := range c.ready {
@@ -57,11 +56,11 @@
 	}
 }
 
-// none is the index of no replica.
+// none is the index that stands for "no replica".
 const none = -1
 
-// first returns the replica that ranks first among those that meet a condition,
-// or none. One pass is cheaper than sorting a large pool.
+// first returns the highest-ranked replica that meets a condition, or none. One pass is cheaper
+// than sorting a large pool.
 func (c *candidates) first(condition func(i int) bool) int {
 	best := none
 	for i, r := range c.ranks {
@@ -72,7 +71,7 @@
 	return best
 }
 
-// place returns how many replicas rank above one.
+// place returns how many replicas rank above the given one.
 func (c *candidates) place(of int) int {
 	n := 0
 	for _, r := range c.ranks {
@@ -88,7 +87,7 @@
 	return c.usable[i] && !c.crowded[i] && float64(c.loads[i]) < loadBound*c.mean+loadSlack
 }
 
-// baseHomes returns how many homes a prompt has that is asked for as often as others.
+// baseHomes returns how many homes a prompt has whose request rate is normal.
 func (c *candidates) baseHomes(short, largeFleet bool) int {
 	switch {
 	case !short:
@@ -103,9 +102,9 @@
 	return len(domains)
 }
 
-// drawnHome returns the home that is to take a request for a prompt with many homes, or
-// none if that is too loaded. Of two that are drawn by the request's id it is the one that
-// holds fewer requests, or the one in the daemon's own domain.
+// drawnHome picks the home for a request whose prompt has many homes, or none if the pick is too
+// loaded. It draws two homes by the request's id (power of two choices) and takes the one with
+// fewer requests in flight; in a tie, the one in the daemon's own domain.
 func (c *candidates) drawnHome(homes int, id RequestID, domain state.FailureDomain) int {
 	order := c.firstUsable(homes)
 	if len(order) == 0 {
@@ -123,7 +122,8 @@
 	return none
 }
 
-// firstUsable returns the first n usable replicas of the order, or all if there are fewer.
+// firstUsable returns the n highest-ranked usable replicas, or all usable ones if there are
+// fewer.
 func (c *candidates) firstUsable(n int) []int {
 	order := make([]int, 0, c.usableCount)
 	for i := range c.ready {
@@ -135,8 +135,8 @@
 	return order[:min(n, len(order))]
 }
 
-// homeOfShort applies rule 3 of place.go: it returns the home of a short prompt that is
-// to take a request, or none if that is too loaded.
+// homeOfShort applies rule 3 of place.go: it returns the home of a short prompt that takes a
+// request, or none if that home is too loaded.
 func (c *candidates) homeOfShort(domain state.FailureDomain, largeFleet bool) int {
 	if !largeFleet {
 		return c.first(func(i int) bool { return c.fits(i) && c.ready[i].Domain == domain })
@@ -147,8 +147,8 @@
 	return none
 }
 
-// firstNotTooLoaded applies the rules 4 and 5 of place.go. It returns none if all
-// that are considered hold too many requests.
+// firstNotTooLoaded applies rules 4 and 5 of place.go. It returns none if every replica that
+// these rules consider is too loaded.
 func (c *candidates) firstNotTooLoaded(cached []location) int {
 	if len(cached) > 0 {
 		if i := c.first(func(i int) bool { return c.fits(i) && holdsPrompt(cached, &c.ready[i]) }); i != none {
@@ -158,9 +158,8 @@
 	return c.firstOfOrder()
 }
 
-// lessLoadedHome returns the one of the first two usable replicas of the order that
-// holds fewer requests. Of two that hold as many it is the first, unless only the
-// second is in the daemon's own domain.
+// lessLoadedHome returns the one of the two highest-ranked usable replicas with fewer requests in
+// flight. In a tie it is the first, unless only the second is in the daemon's own domain.
 func (c *candidates) lessLoadedHome(domain state.FailureDomain) int {
 	first := c.next(none)
 	if first == none {
@@ -177,8 +176,8 @@
 	return first
 }
 
-// firstOfOrder returns the first replica that fits among the first orderTries usable
-// ones of the order, or none.
+// firstOfOrder returns the first of the orderTries highest-ranked usable replicas that fits, or
+// none.
 func (c *candidates) firstOfOrder() int {
 	last := none
 	for range orderTries {
@@ -191,8 +190,8 @@
 	return none
 }
 
-// next returns the usable replica that comes after another one in the order, or none;
-// after none comes the first.
+// next returns the usable replica that follows another one in the order, or none. next(none) is
+// the first.
 func (c *candidates) next(after int) int {
 	return c.first(func(i int) bool { return c.usable[i] && (after == none || c.ranks[i] < c.ranks[after]) })
 }
@@ -207,7 +206,7 @@
 	return best
 }
 
-// choosePlain chooses for a request without a prompt.
+// choosePlain chooses a replica for a request without a prompt.
 func (c *candidates) choosePlain(domain state.FailureDomain, r *Request) Target {
 	draw := r.Key()
 	best, bestCost := none, 0.0
@@ -222,14 +221,14 @@
 	return Target{Replica: c.ready[best], Load: c.loads[best], Mean: c.mean, Coverage: c.coverage}
 }
 
-// plainCost is the load of a replica as a share of its slots, with the cost of
-// another domain and the draw that breaks ties.
+// plainCost is the load of a replica as a share of its slots, plus the penalty for another domain
+// and a random tie-breaker.
 func (c *candidates) plainCost(i int, domain state.FailureDomain, draw uint64) float64 {
 	r := &c.ready[i]
 	cost := float64(c.loads[i]) / float64(max(1, r.Slots))
 	if r.Domain != domain {
 		cost += otherDomainCost
 	}
-	const draws = 256 // the rank's highest byte
+	const draws = 256 // the number of values of the rank's highest byte
 	return cost + float64(coordination.Rank(draw, r.Hash)>>56)/draws*tieRange
 }
--- a/coordination/routing/connections.go
+++ b/coordination/routing/connections.go
@@ -1,18 +1,18 @@
-// This file decides how many connections this daemon may open to a replica.
+// The connection limit: how many connections this daemon may open to a replica.
 //
-// Inputs: the bound that the service publishes for one replica, from all daemons
-// together, and the number of daemons in the view. The rule: an equal share of
-// sharedConnections of the bound, and at least one. The rest is left to daemons
-// that don't know all the others, whose shares are too large.
+// The inputs are the limit that the service publishes for one replica, from all daemons together,
+// and the number of daemons in the view. Each daemon may open an equal share of sharedConnections
+// of that limit, and at least one connection. The rest is headroom for daemons that don't know
+// all the others and so compute shares that are too large.
 
 package routing
 
-// sharedConnections is the part of a replica's connections that the daemons divide among them.
-// It keeps the replicas' bound, beyond which they reset connections.
+// sharedConnections is the part of a replica's connection limit that the daemons divide among
+// them. It keeps them below that limit, beyond which replicas reset connections.
 const sharedConnections = 0.9
 
-// ConnectionLimit returns how many connections this daemon may have to one replica
-// of a service; 0 is no bound.
+// ConnectionLimit returns how many connections this daemon may have to one replica of a service;
+// 0 means that there is no limit.
 func (v *View) ConnectionLimit(name ServiceName) int {
 	if v.Table == nil {
 		return 0
--- a/coordination/routing/crowd.go
+++ b/coordination/routing/crowd.go
@@ -1,32 +1,35 @@
-// This file keeps replicas from being crowded: it decides which replicas are avoided for
-// a moment because they hold too much, and how many homes a prompt has that is asked for far
-// more often than others.
+// Overloaded replicas and hot prompts. This file decides which replicas are avoided for a moment
+// because they report too many requests in flight, and how many homes a hot prompt has, that is,
+// one that is requested far more often than others.
 //
-// The bound of place.go can't do that in a large fleet. It compares what a daemon knows of a
-// replica's load, which is a third of it at 87 daemons and a sixth at 295, of a moment some
-// seconds ago; and one prompt asked for a dozen times a second fills its one or two homes.
+// The load bound of place.go is not enough in a large fleet. It uses a daemon's estimate of a
+// replica's load, which covers a third of the load at 87 daemons and a sixth at 295, and is some
+// seconds old. A prompt that is requested a dozen times a second overloads its one or two homes.
 //
-// Inputs: the load that a replica reports on each answer, which is exact and of this moment,
-// and the reports of other daemons. The rule:
+// The inputs are the load that a replica reports in each response, which is exact and current,
+// and the reports of other daemons.
 //
-//  1. A replica is crowded if it held more than crowdedFactor times the mean of what the
-//     replicas of its service reported last to this daemon, plus crowdedSlack requests.
-//  2. The daemon that finds it so reports that to the fleet at once. For crowdedAge, in a small
-//     fleet crowdedAgeSmall, it is too loaded for all daemons (place.go, rule 2). A long prompt goes on at its one home
-//     all the same: copies of long prompts cost more than a crowd that others caused.
-//  3. If the replica was among the homes of the request's prompt, the report also asks for
-//     more homes: twice as many, or as many as bring the crowd half-way back to the mean.
-//  4. Of the homes that are asked for the most count, whatever the order of the reports, and
-//     they are halved each homesHalfLife, so that a prompt that is no longer hot goes back to
-//     the homes of others.
-//  5. Every daemon passes on what is new to it, once, up to crowdsPerSecond: those that ask
-//     for the most homes first, and none that is older than crowdedAge.
+//  1. A replica is overloaded if it had more requests in flight than crowdedFactor times the mean
+//     of the latest reports that this daemon has from the replicas of the service, plus
+//     crowdedSlack.
+//  2. The daemon that detects this reports it to the fleet at once. For crowdedAge, or
+//     crowdedAgeSmall in a small fleet, all daemons treat the replica as too loaded (place.go,
+//     rule 2). A long prompt still goes to its one home: copying long prompts costs more than an
+//     overload that other prompts cause.
+//  3. If the replica was among the homes of the request's prompt, the report also asks for more
+//     homes: twice as many, or as many as it takes to bring the excess load half-way back to the
+//     mean.
+//  4. The largest number of homes that was asked for counts, whatever the order of the reports.
+//     It is halved each homesHalfLife, so that a prompt that is no longer hot returns to the
+//     usual number.
+//  5. Every daemon forwards what is new to it, once, up to crowdsPerSecond: the reports that ask
+//     for the most homes first, and none older than crowdedAge.
 //
 // With half of a route's requests about one subject, 3 to 7% of the requests of five seconds
-// reached a replica over twice the mean and 3 at 87 daemons, 6 to 13% at 295; by this rule
-// 0.1 to 0.7% and 0.8 to 1.6% (virtual time, three seeds). A replica that is crowded by
-// chance costs a copy for each short prompt that goes elsewhere meanwhile. A service whose
-// replicas report no load has no crowded ones.
+// reached a replica with over twice the mean plus 3 requests at 87 daemons, and 6 to 13% at 295.
+// With these rules it was 0.1 to 0.7% and 0.8 to 1.6% (simulated time, three seeds). A replica
+// that is overloaded by chance costs one copy for each short prompt that is placed elsewhere
+// meanwhile. A service whose replicas report no load has no overloaded ones.
 
 package routing
 
@@ -36,67 +39,67 @@
 	"time"
 )
 
-// CrowdReport says that a replica was found crowded.
+// CrowdReport is a daemon's report that a replica was found overloaded.
 type CrowdReport struct {
 	Replica LoadKey
-	// Prompt needs this many homes; with 0 the replica was no home of it.
+	// Prompt should have this many homes; 0 if the replica was not one of its homes.
 	Prompt PromptKey
 	Homes  uint16
-	Age    time.Duration // since it was found
+	Age    time.Duration // since it was detected
 }
 
 const (
-	// crowdedFactor (a multiple of the mean) and crowdedSlack (requests) stay below twice the mean and
-	// 3, which is promised.
+	// crowdedFactor (a multiple of the mean) and crowdedSlack (requests) stay below the bound
+	// that is promised: twice the mean plus 3.
 	crowdedFactor = 1.8
 	crowdedSlack  = 2.5
-	// crowdedAge is how long a crowded replica is avoided in a large fleet: its requests take .1 to
-	// 1.4 s. crowdedAgeSmall holds in a small fleet, whose daemons know all loads a moment later:
-	// what one crowded replica does not get for longer crowds the next.
+	// crowdedAge is how long an overloaded replica is avoided in a large fleet; its requests take
+	// .1 to 1.4 s. crowdedAgeSmall applies in a small fleet, whose daemons know all loads a
+	// moment later: avoiding an overloaded replica for longer would only overload the next one.
 	crowdedAge      = 800 * time.Millisecond
 	crowdedAgeSmall = 300 * time.Millisecond
-	// leastHomesFactor is the least factor by which homes grow, and homesMargin how far
-	// beyond the bound they bring a crowd back: at the bound every second request would
-	// find the replica crowded again.
+	// leastHomesFactor is the smallest factor by which the number of homes grows. homesMargin is
+	// how far beyond the bound the added homes bring the load back: if they only brought it back
+	// to the bound, every second request would find the replica overloaded again.
 	leastHomesFactor = 2
 	homesMargin      = 2
-	// homesHalfLife is the time in which the homes of a prompt are halved.
+	// homesHalfLife is the time after which the number of homes that a prompt needs is halved.
 	homesHalfLife = 4 * time.Second
-	// newsFactor is how many times as many homes as are known a report must ask for to be
-	// passed on, and newsAge by how much longer it must have a replica avoided.
+	// A report is forwarded only if it asks for at least newsFactor times as many homes as are
+	// known, or has a replica avoided for more than newsAge longer.
 	newsFactor = 1.3
 	newsAge    = crowdedAge / 2
-	// maxNeeds bounds the prompts, and maxPendingCrowds the reports that wait to be sent.
-	// Both are far above what twelve hot prompts cause.
+	// maxNeeds bounds the prompts with additional homes, and maxPendingCrowds the reports that
+	// wait to be sent. Both are far above what twelve hot prompts cause.
 	maxNeeds         = 1000
 	maxPendingCrowds = 200
-	// crowdsPerSecond bounds what a daemon spends on reports: 20 of some 16 bytes to five daemons are
-	// 1.6 KB/s. A fleet of 87 with 12 hot prompts has 8 to 16 a second.
+	// crowdsPerSecond bounds the bandwidth that a daemon spends on reports: 20 of some 16 bytes
+	// to five daemons are 1.6 KB/s. A fleet of 87 with 12 hot prompts has 8 to 16 a second.
 	crowdsPerSecond = 20
 )
 
-// Crowds knows the crowded replicas and the prompts that need more homes. It is safe for
-// use by many goroutines. A nil one knows none.
+// Crowds tracks the overloaded replicas and the prompts that need additional homes. It is safe
+// for concurrent use. A nil Crowds tracks nothing.
 type Crowds struct {
 	mu      sync.Mutex
-	avoided map[LoadKey]time.Time // crowded replicas, and when they were found so
+	avoided map[LoadKey]time.Time // overloaded replicas, and when they were found so
 	needs   map[PromptKey]homesNeed
 	loads   map[ServiceName]reportedLoads
 	outbox  outbox[CrowdReport]
 }
 
-// homesNeed is how many homes a prompt needed at a time.
+// homesNeed is how many homes a prompt needed at a point in time.
 type homesNeed struct {
 	homes float64
 	at    time.Time
 }
 
-// remaining returns how many of the homes are still needed.
+// remaining returns how many homes are still needed.
 func (n homesNeed) remaining(now time.Time) float64 {
 	return n.homes * math.Exp2(-float64(now.Sub(n.at))/float64(homesHalfLife))
 }
 
-// NewCrowds returns an empty table.
+// NewCrowds returns an empty tracker.
 func NewCrowds() *Crowds {
 	return &Crowds{
 		avoided: make(map[LoadKey]time.Time), needs: make(map[PromptKey]homesNeed), loads: make(map[ServiceName]reportedLoads),
@@ -107,10 +110,10 @@
 	}
 }
 
-// Waiting has a value once reports wait for [Crowds.TakeReports].
+// Waiting returns a channel that receives a value when reports wait for [Crowds.TakeReports].
 func (c *Crowds) Waiting() <-chan struct{} { return c.outbox.waiting }
 
-// homes returns how many homes a prompt has; base is how many others of its size have.
+// homes returns how many homes a prompt has; base is the usual number for its size.
 func (c *Crowds) homes(prompt uint64, base int, now time.Time) int {
 	if c == nil {
 		return base
@@ -120,7 +123,8 @@
 	return max(base, int(c.needs[PromptKey(prompt)].remaining(now)))
 }
 
-// mark marks the crowded ones among the ready replicas of a pool.
+// mark sets the elements of overloaded whose replicas among the ready ones of a pool are
+// overloaded.
 func (c *Crowds) mark(crowded []bool, pool *Pool, largeFleet bool, now time.Time) {
 	if c == nil {
 		return
@@ -142,8 +146,8 @@
 	}
 }
 
-// reportLoad takes in how many requests the target held when a request reached it. It
-// returns true if that is too many.
+// reportLoad records how many requests the target had in flight when a request reached it, and
+// reports whether it was overloaded.
 func (c *Crowds) reportLoad(r *Request, t *Target, held int, now time.Time) bool {
 	if c == nil || len(r.Prompt) == 0 {
 		return false
@@ -155,7 +159,7 @@
 	return found
 }
 
-// judge applies the rules 1 and 3.
+// judge applies rules 1 and 3.
 func (c *Crowds) judge(r *Request, t *Target, held int, now time.Time) (CrowdReport, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -178,14 +182,15 @@
 	return report, true
 }
 
-// Observe takes in a peer's reports.
+// Observe records a peer's reports.
 func (c *Crowds) Observe(reports []CrowdReport, now time.Time) {
 	for _, r := range reports {
 		c.take(r, now.Add(-r.Age), now)
 	}
 }
 
-// take takes in what was found at a time, and has it sent on if it is new.
+// take records a report of something that was detected at the given time, and queues it for
+// forwarding if it is new.
 func (c *Crowds) take(r CrowdReport, at, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -196,7 +201,7 @@
 	}
 }
 
-// avoid has a crowded replica avoided. It returns true if that is new.
+// avoid marks a replica as overloaded. It reports whether that is new enough to forward.
 func (c *Crowds) avoid(replica LoadKey, at, now time.Time) bool {
 	known := c.avoided[replica]
 	if now.Sub(at) >= crowdedAge || !at.After(known) {
@@ -206,8 +211,8 @@
 	return at.Sub(known) > newsAge
 }
 
-// raise takes over how many homes a prompt needs if that is more than is known. It returns
-// true if that is new.
+// raise raises the number of homes of a prompt if the report asks for more than are known. It
+// reports whether the increase is large enough to forward.
 func (c *Crowds) raise(r CrowdReport, at, now time.Time) bool {
 	need := homesNeed{homes: float64(r.Homes), at: at}
 	asked, known := need.remaining(now), c.needs[r.Prompt].remaining(now)
@@ -224,7 +229,7 @@
 	return asked >= newsFactor*known
 }
 
-// forget drops the prompts that need no more homes than others.
+// forget drops the prompts that no longer need additional homes.
 func (c *Crowds) forget(now time.Time) {
 	for prompt, need := range c.needs {
 		if need.remaining(now) <= 1 {
@@ -233,8 +238,8 @@
 	}
 }
 
-// TakeReports returns up to n reports to pass on to peers, as far as crowdsPerSecond allows.
-// The rest is dropped: when it could be sent it would be old.
+// TakeReports returns up to n reports to forward to peers, within crowdsPerSecond. The others are
+// dropped: they would be out of date by the time they could be sent.
 func (c *Crowds) TakeReports(n int, now time.Time) []CrowdReport {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/coordination/routing/crowd_test.go
+++ b/coordination/routing/crowd_test.go
@@ -14,8 +14,8 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// crowdFleet is a large fleet's placer before 20 replicas, each of which has reported that it
-// holds two requests.
+// crowdFleet returns a placer of a large fleet with 20 replicas, each of which has reported two
+// requests in flight.
 func crowdFleet() *fleet {
 	f := newFleet("llm", sameDomain(20)...)
 	f.view.Daemons, f.view.LargeFleet = 100, true
@@ -123,7 +123,7 @@
 				near++
 			}
 		}
-		Expect(near).To(BeNumerically("~", 382, 60)) // a draw of two: 1 - (10/11)², not 1/11
+		Expect(near).To(BeNumerically("~", 382, 60)) // two draws: 1 - (10/11)², not 1/11
 	})
 
 	It("announces what replicas have read only where the prompt has no home", func() {
@@ -174,7 +174,7 @@
 				n++
 			}
 		}
-		Expect(n).To(BeNumerically("~", 25, 20)) // both draws: 1 in 16
+		Expect(n).To(BeNumerically("~", 25, 20)) // both draws select it: 1 in 16
 	})
 
 	It("halves the homes as time passes, and goes back to those of others", func() {
@@ -215,7 +215,7 @@
 				Expect(reports[0].Homes).To(BeNumerically(">", 0))
 			}
 		}
-		Expect(sent).To(BeNumerically("~", 210, 15)) // ten seconds and what was saved up
+		Expect(sent).To(BeNumerically("~", 210, 15)) // ten seconds, plus the initial allowance
 	})
 
 	It("does not pass on what is old", func() {
@@ -236,8 +236,8 @@
 	})
 })
 
-// TestReportsOfCrowdsMergeAlike holds that what two daemons believe depends on the reports
-// that they received and on nothing else: not on order, repeats or ways.
+// TestReportsOfCrowdsMergeAlike checks that the state of two daemons depends only on the set of
+// reports that they received, not on order, duplicates or paths.
 func TestReportsOfCrowdsMergeAlike(t *testing.T) {
 	RegisterTestingT(t)
 	rapid.Check(t, func(t *rapid.T) {
--- a/coordination/routing/dial.go
+++ b/coordination/routing/dial.go
@@ -1,9 +1,9 @@
-// This file decides how long a connection to a replica may take to come up.
+// The connection timeout: how long a connection to a replica may take to be established.
 //
-// Inputs: how long connections took lately. The rule: their mean and four times
-// their deviation, as TCP chooses its own time-outs, between dialLeast and dialMost.
-// A lost first packet is sent again after a second only, so that a longer wait gains
-// nothing, and a request that waits for a replica behind a cut misses its target.
+// The input is how long recent connections took. The timeout is their mean plus four times their
+// mean deviation, as for TCP's retransmission timeout, between dialLeast and dialMost. A lost SYN
+// is retransmitted only after a second, so a longer timeout gains nothing, and a request that
+// waits for a replica behind a network partition misses its latency target.
 
 package routing
 
@@ -13,26 +13,26 @@
 )
 
 const (
-	// dialLeast leaves room for a replica or a VM that is slow for a moment.
+	// dialLeast allows for a replica or a VM that is slow for a moment.
 	dialLeast = 100 * time.Millisecond
-	// dialMost holds before the first connection, too. As the only time-out it
-	// would cost a request 400 ms for each replica behind a cut.
+	// dialMost also applies before the first connection. If it were the only timeout, each
+	// unreachable replica behind a network partition would cost a request 400 ms.
 	dialMost = 400 * time.Millisecond
-	// dialMeanShare and dialDeviationShare are the parts of the newest sample, and
-	// dialDeviations the multiple of the deviation: the figures of RFC 6298.
+	// dialMeanShare and dialDeviationShare are the weights of the newest sample, and
+	// dialDeviations is the multiple of the deviation: the constants of RFC 6298.
 	dialMeanShare      = 1.0 / 8
 	dialDeviationShare = 1.0 / 4
 	dialDeviations     = 4
 )
 
-// DialTimes estimates how long connections take to come up. It is safe for use by many
-// goroutines; its zero value has no samples.
+// DialTimes estimates how long connections take to be established. It is safe for concurrent use;
+// its zero value has no samples.
 type DialTimes struct {
 	mu              sync.Mutex
 	mean, deviation time.Duration
 }
 
-// Observe takes in how long a connection took that came up.
+// Observe adds the duration of a connection attempt that succeeded.
 func (d *DialTimes) Observe(took time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/coordination/routing/doc.go
+++ b/coordination/routing/doc.go
@@ -1,39 +1,44 @@
-// Package routing holds the decisions on a request in the front end that routes by
-// host and path. Each stands in one file, with its inputs and its rule at the head:
+// Package routing makes the decisions about a request in the front end that routes by host and
+// path. Each decision is in one file, with its inputs and rules described at the top:
 //
-//	admit.go        may the request in, and on which route
-//	place.go        which replica takes it
-//	crowd.go        which replicas hold too much, and how many homes a hot prompt has
-//	load.go         how many requests each replica holds, as daemons count them;
-//	                load_reported.go, as the replicas report it
+//	admit.go        whether a request is admitted, and on which route
+//	place.go        which replica gets a request
+//	candidates.go   the state of one such choice; usable.go decides which replicas may be chosen
+//	crowd.go        which replicas are overloaded, and how many homes a hot prompt has
+//	load.go         how many requests each replica has in flight, as counted by the daemons;
+//	                load_reported.go, as reported by the replicas
 //	cache.go        where prompts are cached
-//	eject.go        which replicas get no requests because they fail; evidence.go counts
+//	eject.go        which replicas are ejected because requests to them fail; evidence.go counts
 //	cutoff.go       which failure domains are cut off
 //	silence.go      which replicas other daemons find silent
-//	expired.go      what becomes of replicas whose entries expired
-//	retry.go        is it sent again after a failed attempt
-//	budget.go       how many retries the fleet may spend; loan.go, what daemons lend each other
-//	giveup.go       how long a silent replica is waited for
-//	dial.go         how long a connection may take
+//	expired.go      what happens to replicas whose store entries expired
+//	retry.go        whether a request is retried after a failed attempt
+//	budget.go       how many retries the fleet may spend; loan.go, how daemons transfer them
+//	giveup.go       how long an unresponsive replica is waited for
+//	dial.go         how long establishing a connection may take
 //	connections.go  how many connections a daemon opens to a replica
-//	doubt.go        which idle connections are not used, after links broke
-//	evacuate.go     which replicas get nothing because operators empty their failure domain
+//	doubt.go        which idle connections are not reused after links broke
+//	evacuate.go     which replicas get no requests because operators evacuate their failure domain
 //	cold.go         how many requests a cold replica gets
-//	resting.go      which replicas asked for rest; leaving.go, which said that they leave;
-//	                barred.go, what of that holds whatever else is left
-//	crash.go        which requests are held back because replicas end under them
-//	ended.go        which replicas have ended; lives.go, what disproves that
-//	view.go         the replicas of a service as traffic reads them; replicas.go keeps them in
-//	                order as they change, index.go finds one by its key
+//	resting.go      which replicas requested a backoff; leaving.go, which announced their departure;
+//	                barred.go, which of these rules hold even if no other replica is left
+//	crash.go        which requests are quarantined because replicas crash while running them
+//	ended.go        which replicas have terminated; lives.go, what disproves that
+//	view.go         the replicas of a service as the request path reads them; replicas.go keeps them
+//	                sorted as they change, index.go finds one by its key
+//	config.go       the configuration; table.go validates and indexes it
+//	request.go      a request, its placement key and its content key
+//	outbox.go       reports that wait to be sent to other daemons
+//	slots.go        the slots of sliding windows
 //
-// It owns no goroutine and does no I/O; the time is an argument. It relies on a
-// [View], which the control loop builds from the published documents, and on
-// what the relay reports of each attempt.
+// The package starts no goroutines and does no I/O; the current time is passed as an argument.
+// Its inputs are a [View], which the control loop builds from the published documents, and what
+// the relay reports about each attempt.
 //
-// A [View] is immutable and replaced as a whole. [Loads], [Health], [CacheTable],
-// [Crowds], [ColdRates], [LinkDoubts] and [RetryBudgets] are shared by the traffic goroutines
-// and guard themselves.
-// [ExpiredEntries] and [Evacuations] belong to the control loop.
+// A [View] is immutable and replaced as a whole. [Loads], [Health], [CacheTable], [Crowds],
+// [ColdRates], [LinkDoubts] and [RetryBudgets] are shared by the goroutines that serve requests
+// and synchronize access themselves. [ExpiredEntries] and [Evacuations] belong to the control
+// loop.
 //
 // # Usage
 //
--- a/coordination/routing/expired.go
+++ b/coordination/routing/expired.go
@@ -1,19 +1,17 @@
-// This file decides what becomes of replicas whose entries expired: the store
-// dropped them, and the replica had not announced that it leaves.
+// Replicas whose store entries expired without the replica having announced its departure.
 //
-// Inputs: the replica, when its entry expired, whether the store was unreachable
-// or turned daemons away shortly before, and how many replicas of the service
-// are left. The rule:
+// The inputs are the replica, when its entry expired, whether the store was unreachable or
+// refused daemons' requests shortly before, and how many replicas of the service are left.
 //
-//  1. An expired replica gets no more requests. For copySourceAge prompts are still
-//     copied from it: it mostly serves a little longer.
-//  2. But while the store was away replicas could not renew their entries, and
-//     those then expire together although the replicas live. So replicas that
-//     expired within batchTime of each other, in the store's trouble, are used on
-//     for gracePeriod if they are more than are left.
+//  1. An expired replica gets no more requests. For copySourceAge prompts are still copied from
+//     it, since it mostly keeps serving for a short time.
+//  2. But while the store is unavailable, replicas can't renew their entries, and the entries
+//     expire together although the replicas are alive. So replicas that expired within batchTime
+//     of each other, while the store was in trouble, remain in use for gracePeriod if they
+//     outnumber those that are left.
 //
-// Without the three conditions replicas that have really left are taken back, and get
-// requests that nobody answers.
+// Without all three conditions, replicas that have really left would be restored and get requests
+// that are never answered.
 
 package routing
 
@@ -23,33 +21,33 @@
 )
 
 const (
-	// gracePeriod is how long a replica whose entry expired in the store's trouble
-	// is used on. The users: entries of living replicas are back within about two
-	// seconds of the store's return, and one that is still missing is gone. That
-	// an entry expired is only learned from a store that has returned.
+	// gracePeriod is how long a replica remains in use whose entry expired while the store was in
+	// trouble. According to the users, the entries of live replicas are back within about two
+	// seconds of the store's return, and a replica whose entry is still missing is gone. Daemons
+	// learn that an entry expired only from a store that is available again.
 	gracePeriod = 2 * time.Second
-	// batchTime is the time within which entries expire together.
+	// batchTime is the time within which entries are considered to have expired together.
 	batchTime = time.Second
 	// copySourceAge is how long prompts are still copied from a replica whose entry expired.
 	copySourceAge = 3 * time.Second
 )
 
-// ExpiredEntries remembers the replicas whose entries expired. Its owner guards it.
+// ExpiredEntries records the replicas whose entries expired. The caller synchronizes access.
 type ExpiredEntries struct{ entries map[ReplicaID]expiredEntry }
 
 type expiredEntry struct {
 	replica Replica
 	at      time.Time
-	suspect bool // the store was in trouble: the replica may well live
+	suspect bool // the store was in trouble: the replica may be alive
 }
 
-// NewExpiredEntries returns an empty memory.
+// NewExpiredEntries returns an empty record.
 func NewExpiredEntries() *ExpiredEntries {
 	return &ExpiredEntries{entries: make(map[ReplicaID]expiredEntry)}
 }
 
-// Add records that the entry of a replica expired, and whether the store was in
-// trouble shortly before.
+// Add records that the entry of a replica expired, and whether the store was in trouble shortly
+// before.
 func (x *ExpiredEntries) Add(r Replica, storeTrouble bool, now time.Time) {
 	x.entries[r.ID] = expiredEntry{replica: r, at: now, suspect: storeTrouble}
 }
@@ -57,8 +55,8 @@
 // Remove records that a replica has an entry again.
 func (x *ExpiredEntries) Remove(id ReplicaID) { delete(x.entries, id) }
 
-// Expire ends grace periods and forgets what is old. It returns true if the pools
-// have to be built again, because a replica that was used on is now gone.
+// Expire ends grace periods and drops records that are too old. It reports whether the pools have
+// to be rebuilt because a replica that remained in use is now considered gone.
 func (x *ExpiredEntries) Expire(now time.Time) bool {
 	changed := false
 	for id, e := range x.entries {
@@ -74,9 +72,9 @@
 	return changed
 }
 
-// Restore adds to the pool of a service the replicas whose entries expired a moment
-// ago as sources of copies, puts those that are used on back among the ready ones,
-// and returns them.
+// Restore adds the replicas of a service whose entries expired recently to its pool: all of them
+// as sources of copies, and those in their grace period as ready replicas too. It returns the
+// latter.
 func (x *ExpiredEntries) Restore(s ServiceName, p *Pool, now time.Time) []Replica {
 	var suspects []expiredEntry
 	for _, e := range x.entries {
@@ -98,8 +96,8 @@
 	return batch
 }
 
-// largestBatch returns the replicas of the largest group that expired within
-// batchTime. After a failure of a part of a large fleet there are thousands.
+// largestBatch returns the replicas of the largest group that expired within batchTime. After a
+// failure of a part of a large fleet there are thousands of entries.
 func largestBatch(entries []expiredEntry) []Replica {
 	slices.SortFunc(entries, func(a, b expiredEntry) int { return a.at.Compare(b.at) })
 	first, largest := 0, entries[:0]
--- a/coordination/routing/export_test.go
+++ b/coordination/routing/export_test.go
@@ -12,34 +12,34 @@
 	return !h.domainIsCutOff(r.Domain, now)
 }
 
-// Len returns how many prompts are remembered.
+// Len returns how many prompts are recorded.
 func (t *CacheTable) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.prompts)
 }
 
-// Homes returns how many homes the prompt of a request has; base is how many others have.
+// Homes returns how many homes the prompt of a request has; base is the usual number.
 func (c *Crowds) Homes(r *Request, base int, now time.Time) int { return c.homes(r.Key(), base, now) }
 
-// Needs returns how many prompts are remembered.
+// Needs returns how many prompts with additional homes are recorded.
 func (c *Crowds) Needs() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.needs)
 }
 
-// Part returns how many requests the daemon may send to a cold replica in any second.
+// Part returns how many requests this daemon may send to a cold replica in any second.
 func (c *ColdRates) Part(r *Replica, perSecond float64) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.part(r, &Service{ColdPerSecond: perSecond})
 }
 
-// Len returns how many rests are remembered.
+// Len returns how many backoffs are recorded.
 func (s *Rests) Len() int { return int(s.known.Load()) }
 
-// Starts returns how many starts are remembered.
+// Starts returns how many starts are recorded.
 func (l *Leavings) Starts() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/coordination/routing/giveup.go
+++ b/coordination/routing/giveup.go
@@ -1,40 +1,41 @@
-// This file decides how long a silent replica is waited for.
+// Response timeouts: how long an unresponsive replica is waited for.
 //
-// Inputs: the route's targets, its kind, and how many replicas have got the
-// request. The rule:
+// The inputs are the route's latency targets and kind, and how many replicas the request was sent
+// to.
 //
-//  1. Where the request can go to another replica, one that has not begun its
-//     answer within firstByteShare of the route's target is left; a stream that can
-//     go on elsewhere is left when its events pause for eventShare times the
-//     route's target. Short targets are not taken literally: there is a least
-//     wait for each. It is left only if the retry can be reserved in the budget
-//     (retry.go); else it is waited for.
-//  2. Where it can't, the replica is waited for until the deadline, and blamed for
-//     its silence after blameTimeout, so that other requests avoid it.
-//  3. [ReturnMargin] of the deadline is kept for the answer's way to the caller.
+//  1. If the request can be sent to another replica, a replica that hasn't begun its response
+//     within firstByteShare of the route's target is abandoned. A stream that can be resumed
+//     elsewhere is abandoned when the pause between its events exceeds eventShare times the
+//     route's target. Each of these timeouts has a lower bound, for routes with very short
+//     targets. A replica is abandoned only if the retry can be reserved in the budget (retry.go);
+//     otherwise the daemon keeps waiting.
+//  2. If the request can't be sent elsewhere, the daemon waits until the deadline. After
+//     blameTimeout the replica's silence counts as a failure, so that other requests avoid it.
+//  3. [ReturnMargin] of the deadline is kept for returning the response to the caller.
 
 package routing
 
 import "time"
 
 const (
-	// ReturnMargin is what is kept of a deadline for the answer's way back.
+	// ReturnMargin is the part of a deadline that is kept for returning the response.
 	ReturnMargin = 10 * time.Millisecond
-	// firstByteShare is the part of a route's target for the first byte, and
-	// firstByteLeast the least wait.
+	// firstByteShare is the part of a route's first-byte target after which a replica is
+	// abandoned, and firstByteLeast the shortest such timeout.
 	firstByteShare = 0.75
 	firstByteLeast = 250 * time.Millisecond
-	// eventShare is the multiple of a route's target between events, and eventLeast
-	// the least wait.
+	// eventShare is the multiple of a route's event target after which a stream is abandoned, and
+	// eventLeast the shortest such timeout.
 	eventShare = 2
 	eventLeast = 500 * time.Millisecond
-	// blameTimeout is the silence before an answer that is held against a replica.
+	// blameTimeout is the time without a response after which a replica's silence counts as a
+	// failure.
 	blameTimeout = time.Second
 )
 
-// FirstByteTimeout returns how long to wait for the first byte of an answer, and
-// whether the request then goes to another replica. If not, the replica is only
-// blamed, and waited for until the deadline.
+// FirstByteTimeout returns how long to wait for the first byte of a response, and whether the
+// request then goes to another replica. If not, a failure of the replica is recorded, and the
+// wait goes on until the deadline.
 func (a *Attempts) FirstByteTimeout() (wait time.Duration, leave bool) {
 	if !a.Route.MayRunAgain() || !a.left() {
 		return blameTimeout, false
@@ -42,9 +43,8 @@
 	return max(time.Duration(firstByteShare*float64(a.Route.FirstByteTarget)), firstByteLeast), true
 }
 
-// EventTimeout returns how long to wait for the next event of a stream before it
-// goes on at another replica. It returns false if it can't; then the deadline
-// alone counts.
+// EventTimeout returns how long to wait for the next event of a stream before it is resumed at
+// another replica. It returns false if it can't be; then only the deadline applies.
 func (a *Attempts) EventTimeout() (wait time.Duration, leave bool) {
 	if !a.Route.Resumable || !a.left() {
 		return 0, false
--- a/coordination/routing/index.go
+++ b/coordination/routing/index.go
@@ -1,18 +1,18 @@
-// This file finds a replica of a pool by the key that tables and messages use. A view of ten
-// thousand replicas is built for each batch of changes: the index is one slice without pointers,
-// which is made in one pass and costs the garbage collector nothing.
+// An index from load keys to positions in a pool. The view of ten thousand replicas is rebuilt
+// for each batch of changes: the index consists of slices without pointers, which are filled in
+// one pass and cost the garbage collector nothing.
 
 package routing
 
-// index is the places of replicas in a list, by load key: a hash table with linear probing. A nil
-// one is empty.
+// index maps load keys to positions in a list of replicas: a hash table with linear probing. A
+// nil index is empty.
 type index struct {
 	keys   []LoadKey
-	places []int32 // 1 + the place; 0: the slot is free
+	places []int32 // position + 1; 0: the slot is free
 	mask   uint32
 }
 
-// newIndex returns an index with room for n keys, of which at most half of the slots are taken.
+// newIndex returns an index for up to n keys, sized so that at most half of the slots are used.
 func newIndex(n int) *index {
 	size := 4
 	for size < 2*n {
@@ -21,7 +21,7 @@
 	return &index{keys: make([]LoadKey, size), places: make([]int32, size), mask: uint32(size - 1)}
 }
 
-// slot returns the slot of a key, or the free one where it belongs.
+// slot returns the slot of a key, or the free slot where it would be inserted.
 func (x *index) slot(key LoadKey) uint32 {
 	i := uint32(key) & x.mask
 	for x.places[i] != 0 && x.keys[i] != key {
@@ -30,13 +30,13 @@
 	return i
 }
 
-// put sets the place of a key.
+// put sets the position of a key.
 func (x *index) put(key LoadKey, place int) {
 	i := x.slot(key)
 	x.keys[i], x.places[i] = key, int32(1+place)
 }
 
-// place returns the place of a key, if it has one.
+// place returns the position of a key and whether the key is present.
 func (x *index) place(key LoadKey) (int, bool) {
 	if x == nil {
 		return 0, false
--- a/coordination/routing/load.go
+++ b/coordination/routing/load.go
@@ -1,7 +1,7 @@
-// This file estimates how many requests each replica holds. A daemon knows its
-// own exactly; peers publish theirs several times a second. The sum is what keeps
-// many daemons from sending to the same replica: each sees the others' requests,
-// as of the age of their figures.
+// Load estimates: how many requests each replica has in flight. A daemon knows its own requests
+// exactly; peers publish theirs several times a second. Adding them up keeps many daemons from
+// choosing the same replica at once: each sees the requests of the others, as of the age of their
+// reports.
 
 package routing
 
@@ -10,38 +10,37 @@
 	"time"
 )
 
-// PeerID names a daemon in the tables of loads and evidence.
+// PeerID identifies a daemon in the tables of loads and evidence.
 type PeerID string
 
-// LoadCount is the number of requests at one replica.
+// LoadCount is the number of requests in flight at one replica.
 type LoadCount struct {
 	Replica  LoadKey
 	Requests uint16
 }
 
 const (
-	// PeerLoadAge is the age at which a peer's figures no longer count: ten of its
-	// heartbeats. PeerLoadAgeLarge holds in a large fleet: at 62 daemons one peer's
-	// heartbeat comes every 5 s, and after 2 s most of the load was missing from
-	// the sum.
+	// PeerLoadAge is the age from which a peer's counts are ignored: ten of its heartbeats.
+	// PeerLoadAgeLarge applies in a large fleet: at 62 daemons the heartbeat of a given peer
+	// arrives every 5 s, and with an age of 2 s most of the load was missing from the sum.
 	PeerLoadAge      = 2 * time.Second
 	PeerLoadAgeLarge = 4 * time.Second
 )
 
-// Loads counts the requests at each replica. It is safe for use by many
-// goroutines.
+// Loads counts the requests in flight at each replica. It is safe for concurrent use.
 type Loads struct {
 	mu    sync.Mutex
 	own   map[LoadKey]int
 	peers map[PeerID]peerLoad
-	// others is the sum over the peers, recomputed with each message and when the first of
-	// them expires: a daemon that is sent nothing more must not go by old figures.
+	// others is the sum over the peers. It is recomputed with each message and when the first of
+	// the counts expires, so that a daemon that receives no more messages stops using outdated
+	// counts.
 	others  map[LoadKey]int
-	expires time.Time // the first of the peers' figures; zero: there are none
+	expires time.Time // when the first of the peers' counts expires; zero: there are none
 }
 
 type peerLoad struct {
-	until  time.Time // when the figures no longer count
+	until  time.Time // when the counts expire
 	counts []LoadCount
 }
 
@@ -50,14 +49,14 @@
 	return &Loads{own: make(map[LoadKey]int), peers: make(map[PeerID]peerLoad), others: make(map[LoadKey]int)}
 }
 
-// Begin counts a request that goes to a replica.
+// Begin counts a request that is sent to a replica.
 func (l *Loads) Begin(key LoadKey) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.own[key]++
 }
 
-// End counts a request that has left a replica.
+// End removes a request that has ended at a replica.
 func (l *Loads) End(key LoadKey) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -66,7 +65,7 @@
 	}
 }
 
-// Own returns this daemon's counts, for its peers.
+// Own returns this daemon's counts, to be sent to its peers.
 func (l *Loads) Own() []LoadCount {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -77,11 +76,11 @@
 	return out
 }
 
-// saturate cuts a count to what a message between daemons holds.
+// saturate clamps a count to the range of the field in messages between daemons.
 func saturate(n int) uint16 { return uint16(min(n, 1<<16-1)) }
 
-// Observe takes in a peer's counts, which are used until they have the given age.
-// They must not be changed afterwards.
+// Observe records a peer's counts, which are used until they have the given age. The caller must
+// not modify them afterwards.
 func (l *Loads) Observe(p PeerID, counts []LoadCount, now time.Time, age time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -106,16 +105,16 @@
 	}
 }
 
-// refresh drops what has expired. The caller holds the lock.
+// refresh drops expired counts. The caller holds the lock.
 func (l *Loads) refresh(now time.Time) {
 	if !l.expires.IsZero() && now.After(l.expires) {
 		l.sumPeers(now)
 	}
 }
 
-// coverage returns the share of the fleet's daemons whose counts the sum contains, this
-// one's own counted: 1 where all send to all, less in a large fleet, and the less the
-// larger it is.
+// coverage returns the share of the fleet's daemons whose counts the sum contains, this one
+// included: 1 where every daemon sends to all others; in a large fleet it is less, and shrinks as
+// the fleet grows.
 func (l *Loads) coverage(daemons int, now time.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -123,8 +122,8 @@
 	return min(1, float64(1+len(l.peers))/float64(max(1, daemons)))
 }
 
-// addTo adds the load of each ready replica of a pool to out, and returns the sum.
-// Its cost follows the number of replicas that hold requests, not the pool's size.
+// addTo adds the load of each ready replica of a pool to out, and returns the total. Its cost is
+// proportional to the number of replicas with requests in flight, not to the size of the pool.
 func (l *Loads) addTo(out []int, p *Pool, now time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/coordination/routing/load_bench_test.go
+++ b/coordination/routing/load_bench_test.go
@@ -12,11 +12,11 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// BenchmarkBelievedLoad plays fleets in virtual time and compares what daemons believe
-// of the replicas' loads with the truth. Each size is that of a fleet that runs or is
-// expected: daemons, replicas, requests a second of the whole fleet. It reports the
-// believed mean as a share of the true one, how well belief and truth go together
-// (1: exactly, 0: not at all), and the error that 99 in 100 beliefs stay below.
+// BenchmarkBelievedLoad simulates fleets in virtual time and compares the daemons' load estimates
+// with the actual loads. Each size, in daemons, replicas and requests a second of the whole
+// fleet, is that of a fleet that runs or is expected. The benchmark reports the estimated mean as
+// a share of the true mean, the correlation of the estimates with the actual loads (1: exact, 0:
+// none), and the 99th percentile of the error.
 func BenchmarkBelievedLoad(b *testing.B) {
 	for _, size := range []struct{ daemons, replicas, perSecond int }{
 		{8, 18, 235}, {62, 90, 751}, {87, 112, 693}, {295, 153, 1276}, {930, 4500, 13_000},
@@ -34,13 +34,13 @@
 	}
 }
 
-// loadWorld is a fleet whose daemons send requests, each of them for meanDuration on
-// average, and heartbeats.
+// loadWorld simulates a fleet whose daemons send heartbeats, and requests that take meanDuration
+// on average.
 type loadWorld struct {
 	rng       *rand.Rand
 	now       time.Time
 	daemons   []*routing.Loads
-	weights   []float64 // of the replicas, summed up: some get twice what others do
+	weights   []float64 // cumulative weights of the replicas: some get twice the requests of others
 	truth     []int
 	perSecond int
 	open      []openRequest
@@ -88,7 +88,7 @@
 	}
 }
 
-// draw returns a whole number with the given mean.
+// draw returns a random whole number with the given mean.
 func (w *loadWorld) draw(mean float64) int {
 	n := int(mean)
 	if w.rng.Float64() < mean-float64(n) {
@@ -106,8 +106,8 @@
 	w.daemons[r.daemon].Begin(routing.LoadKey(replica))
 }
 
-// heartbeat sends a daemon's counts if it is its turn: to all each 200 ms in a small
-// fleet, to five each 400 ms in a large one.
+// heartbeat sends a daemon's counts if its turn has come: to all others every 200 ms in a small
+// fleet, to five every 400 ms in a large one.
 func (w *loadWorld) heartbeat(from int) {
 	n := len(w.daemons)
 	interval, age := 200*time.Millisecond, routing.PeerLoadAge
@@ -133,7 +133,7 @@
 	}
 }
 
-// compare samples daemons and replicas.
+// compare compares estimates and actual loads for a sample of daemons and replicas.
 func (w *loadWorld) compare() (share, correlation, p99 float64) {
 	var errs []float64
 	var sx, sy, sxx, syy, sxy float64
--- a/coordination/routing/load_reported.go
+++ b/coordination/routing/load_reported.go
@@ -1,21 +1,21 @@
-// This file holds the mean load of a service's replicas as they report it on their answers.
-// It counts each replica once: a mean over answers would follow the crowded replicas, which
-// answer the most.
+// The mean load of a service's replicas as they report it in their responses. Each replica counts
+// once: a mean over responses would be biased towards the overloaded replicas, which serve the most
+// requests.
 
 package routing
 
 import "time"
 
 const (
-	// reportedLoadAge is how long a replica's last report counts. In it a daemon with five
-	// answers a second sees half of 112 replicas.
+	// reportedLoadAge is how long a replica's last report is used. In this time a daemon with
+	// five responses a second hears from half of 112 replicas.
 	reportedLoadAge = 15 * time.Second
-	// leastReports is how many replicas must have reported to make a mean, or half of a small
-	// service's.
+	// leastReports is how many replicas must have reported before the mean is used; for a small
+	// service it is half of its replicas.
 	leastReports = 8
 )
 
-// reportedLoads is what the replicas of a service reported last.
+// reportedLoads holds the last report of each replica of a service.
 type reportedLoads map[LoadKey]reportedLoad
 
 type reportedLoad struct {
@@ -23,7 +23,8 @@
 	at       time.Time
 }
 
-// mean returns the mean, in requests, and of how many replicas. It drops old reports.
+// mean returns the mean number of requests in flight, and how many replicas it covers. It drops
+// old reports.
 func (l reportedLoads) mean(now time.Time) (mean float64, known int) {
 	sum := 0
 	for key, r := range l {
--- a/coordination/routing/loan.go
+++ b/coordination/routing/loan.go
@@ -1,35 +1,39 @@
-// This file decides which retries daemons lend each other.
+// Budget transfers: how daemons transfer parts of their retry budgets to each other.
 //
-// In a large fleet an equal part of the fleet's retries is about one, or less. Which daemons meet
-// failures is chance: some lack a retry while nine tenths of the fleet's are not spent.
+// In a large fleet an equal share of the fleet's retries is about one retry, or less. Which
+// daemons have failed requests is random: some lack a retry while nine tenths of the fleet's
+// retries are unspent.
 //
-// Inputs: what is left of a daemon's part (budget.go) and the part itself. The rule:
+// The inputs are a daemon's share of the retries and what is left of it (budget.go).
 //
-//  1. A daemon whose part is below largestPart, and that lacks a retry, asks a daemon of its
-//     failure domain for what is missing to a whole one, and up to MaxLenders one after another.
-//     With a larger part chance evens out, and what is missing is missing everywhere.
-//  2. Who is asked gives what it has left, and counts that as spent before it says so. What is
-//     lost on the way, or comes too late, is lost. So the sum of all that is spent is never more
-//     than without loans, whatever the daemons know of each other.
-//  3. A loan is for one retry at once, and is not kept.
+//  1. A daemon that lacks a retry, and whose share is below largestPart, asks a daemon of its
+//     failure domain for the missing fraction, and up to MaxLenders of them one after another.
+//     With larger shares the random differences even out: what one daemon lacks, the others lack
+//     too.
+//  2. The daemon that is asked gives what it has left, and counts it as spent before it responds.
+//     A transfer that is lost on the way or arrives too late is not returned. So the fleet never
+//     spends more than without transfers, whatever the daemons know of each other.
+//  3. A transfer is for one retry that is due at once, and is not kept for later.
 
 package routing
 
 import "time"
 
 const (
-	// largestPart is the part, in retries of a window, above which a daemon does not borrow.
+	// largestPart is the share, in retries per window, from which a daemon does not request
+	// transfers.
 	largestPart Retries = 3
-	// MaxLenders is how many daemons are asked for one retry: where a third has nothing left, hardly
-	// a request finds none. Mostly the first one gives enough.
+	// MaxLenders is how many daemons are asked for one retry: if a third of them have nothing
+	// left, hardly any request ends up without a retry. Mostly the first one gives enough.
 	MaxLenders = 6
-	// LoanTimeout is how long a lender is waited for: some times the way to a daemon of the same
-	// domain and back, and short beside what callers wait for an answer.
+	// LoanTimeout is how long to wait for a daemon that was asked: several round trips to a
+	// daemon of the same domain, and short compared with the time that callers wait for a
+	// response.
 	LoanTimeout = 25 * time.Millisecond
 )
 
-// Missing returns what a daemon is to borrow for one retry besides a loan that it has, by rule 1;
-// 0: nothing.
+// Missing returns how much a daemon should request for one retry in addition to an existing
+// transfer, by rule 1; 0 if it should request nothing.
 func (b *RetryBudgets) Missing(s ServiceName, loan Retries, now time.Time) Retries {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -40,7 +44,8 @@
 	return max(0, 1-loan-max(0, b.left(w)))
 }
 
-// Lend returns how much of what another daemon misses it is lent, and counts that as spent.
+// Lend grants another daemon as much as possible of the amount that it lacks, counts that as
+// spent and returns it.
 func (b *RetryBudgets) Lend(s ServiceName, missing Retries, now time.Time) Retries {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/coordination/routing/loan_test.go
+++ b/coordination/routing/loan_test.go
@@ -10,11 +10,12 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// lendingFleet is daemons that share a rule, and lend each other retries without a network.
+// lendingFleet is a fleet of daemons under one retry rule that transfer retries to each other
+// without a network.
 type lendingFleet struct {
 	rng     *rand.Rand
 	budgets []*routing.RetryBudgets
-	lost    float64 // share of the loans that are lost on the way
+	lost    float64 // share of the transfers that are lost in transit
 }
 
 func newLendingFleet(daemons int, rule routing.RetryRule) *lendingFleet {
@@ -25,7 +26,7 @@
 	return f
 }
 
-// retry asks for a retry at a daemon, which borrows where it lacks one.
+// retry requests a retry at a daemon, which requests transfers if it lacks one.
 func (f *lendingFleet) retry(daemon int, lends bool, now time.Time) bool {
 	b := f.budgets[daemon]
 	if b.SpendRetry("s", now) {
@@ -48,9 +49,9 @@
 	return false
 }
 
-// TestRetriesGoWhereFailuresAre plays the pattern of few requests at each of very many daemons: a
-// tenth of them fails once, and each daemon's part of the retries is about one. Few may lack a
-// retry while the fleet has hundreds.
+// TestRetriesGoWhereFailuresAre simulates very many daemons with few requests each. A tenth of
+// the requests fail once, and each daemon's share of the retries is about one. Hardly any failed
+// request may lack a retry while the fleet has hundreds.
 func TestRetriesGoWhereFailuresAre(t *testing.T) {
 	for _, c := range []struct {
 		daemons int
@@ -84,8 +85,9 @@
 	}
 }
 
-// TestLoansNeverAddToTheFleetsRetries plays storms in which all that can fail does, with loans
-// lost on the way: the whole of what is spent in any window stays within the rule.
+// TestLoansNeverAddToTheFleetsRetries simulates retry storms in which every retry fails too and
+// transfers are lost in transit. The retries spent by the fleet in any window must stay within
+// the rule.
 func TestLoansNeverAddToTheFleetsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rule := routing.RetryRule{Ratio: 0.2, Extra: float64(rapid.IntRange(0, 60).Draw(t, "extra")), Window: 10 * time.Second}
@@ -124,8 +126,8 @@
 	return n
 }
 
-// TestALargePartBorrowsNothing holds that daemons of a small fleet, whose parts are many retries,
-// go by their own.
+// TestALargePartBorrowsNothing checks that daemons of a small fleet, whose shares are many
+// retries, do not request transfers.
 func TestALargePartBorrowsNothing(t *testing.T) {
 	b := routing.NewRetryBudgets(routing.RetryRule{Extra: 56, Window: 10 * time.Second}, 8)
 	for b.SpendRetry("s", epoch) {
--- a/coordination/routing/place.go
+++ b/coordination/routing/place.go
@@ -1,37 +1,38 @@
-// This file decides which replica takes a request.
+// Placement: which replica gets a request.
 //
-// Inputs: the ready replicas of the service, how many requests each holds ([Loads]),
-// which may be chosen ([Health]), where the prompt is cached ([CacheTable]), and the
-// replicas that the request was sent to before.
+// The inputs are the ready replicas of the service, how many requests each has in flight
+// ([Loads]), which of them may be chosen ([Health]), where the prompt is cached ([CacheTable]),
+// and which replicas the request was already sent to.
 //
-// A request with a prompt, at a service that caches prompts:
+// For a request with a prompt, at a service that caches prompts:
 //
-//  1. Replicas are ordered by rendezvous hashing of the shared parts of the prompt,
-//     alike in every daemon. The first is the prompt's home.
-//  2. A replica is too loaded if it holds more than loadBound times the service's
-//     mean plus loadSlack requests, or is crowded (crowd.go).
-//  3. A prompt of up to shortPromptTokens shared tokens has several homes. In a small
-//     fleet these are the first of the order in each failure domain, and that of the
-//     daemon's own domain takes it if it is not too loaded. In a large fleet they are
-//     the first two of the order: the one that holds fewer requests takes it if it is
-//     not too loaded; of two that hold as many, the one in the daemon's own domain, or
-//     else the first. A prompt that needs more homes than others of its size, long or
-//     short, has the first of the order (crowd.go): of two drawn by the request's id the
-//     one that holds fewer requests takes it if it is not too loaded.
-//  4. Else the first that holds the prompt and is not too loaded takes it.
-//  5. Else the first of orderTries in the order that is not too loaded.
-//  6. Else the one that holds the fewest requests.
-//  7. A target that does not hold the prompt copies it from one that does, if it has
-//     at least copyTokens shared tokens: a copy costs about a tenth of reading the
-//     prompt again.
+//  1. Replicas are ordered by rendezvous hashing of the shared parts of the prompt. All daemons
+//     compute the same order. The first replica is the prompt's home.
+//  2. A replica is too loaded if it has more requests in flight than loadBound times the
+//     service's mean plus loadSlack, or if it is overloaded by its own report (crowd.go).
+//  3. A prompt of up to shortPromptTokens shared tokens has several homes. In a small fleet these
+//     are the first replica of the order in each failure domain, and the one in the daemon's own
+//     domain gets the request if it is not too loaded. In a large fleet they are the first two of
+//     the order: the one with fewer requests in flight gets the request if it is not too loaded;
+//     in a tie it is the one in the daemon's own domain, or else the first. A prompt of any
+//     length that needs more homes than the usual number has the first replicas of the order as
+//     homes (crowd.go). Two of these are drawn by the request's id, and the one with fewer
+//     requests in flight gets the request if it is not too loaded.
+//  4. Otherwise the first replica that holds the prompt and is not too loaded gets the request.
+//  5. Otherwise the first of the leading orderTries replicas of the order that is not too loaded.
+//  6. Otherwise the replica with the fewest requests in flight.
+//  7. A target that does not hold the prompt copies it from a replica that does, if the prompt
+//     has at least copyTokens shared tokens: copying takes about a tenth of the time of reading
+//     the prompt again.
 //
-// A plain request goes to the replica that holds the fewest requests for its slots;
-// one of another failure domain must have otherDomainCost of its slots more free.
+// A plain request goes to the replica with the fewest requests in flight relative to its slots. A
+// replica in another failure domain is chosen only if the share of its slots that is free is
+// larger by more than otherDomainCost.
 //
-// Replicas that the request was sent to before are left out, and those that may not
-// be chosen too, unless nothing is left; evacuated ones always (evacuate.go), and cold ones
-// while enough others are warm (cold.go). After a replica of another domain could not
-// be reached, one of the own domain is chosen if there is one.
+// Replicas that the request was already sent to are excluded, and so are those that may not be
+// chosen, unless no others are left. Evacuated replicas are always excluded (evacuate.go), and
+// cold ones while enough others are warm (cold.go). After a replica of another domain was
+// unreachable, one of the daemon's own domain is chosen if there is one.
 
 package routing
 
@@ -44,63 +45,66 @@
 )
 
 const (
-	// loadBound (a multiple of the mean) and loadSlack (requests).
+	// loadBound is a multiple of the mean, and loadSlack a number of requests.
 	loadBound = 1.6
 	loadSlack = 2
-	// shortPromptTokens is in shared tokens. Longer prompts have one home, since a copy of them costs
-	// more than it evens out. In a small fleet each daemon knows all loads and cache locations: there
-	// a home in each domain serves more, by requests that need not cross a cut. In a large one few
-	// locations are known: of two homes for all domains each is copied from the other.
+	// shortPromptTokens is a number of shared tokens. Longer prompts have one home, since copying
+	// them costs more than balancing the load gains. In a small fleet each daemon knows all loads
+	// and cache locations, and one home in each domain pays off because requests need not cross a
+	// network partition. In a large fleet a daemon knows few locations; with two homes for all
+	// domains, each can be copied from the other.
 	shortPromptTokens = 3000
 	// shortHomes is how many homes a short prompt has in a large fleet.
 	shortHomes = 2
-	// copyTokens is in shared tokens. Reading 10,000 tokens takes a replica some 70 ms, copying them
-	// 3.
+	// copyTokens is a number of shared tokens. A replica takes some 70 ms to read 10,000 tokens
+	// and 3 ms to copy them.
 	copyTokens = 256
-	// otherDomainCost is a share of a replica's slots.
+	// otherDomainCost is the penalty for a replica in another failure domain, as a share of its
+	// slots.
 	otherDomainCost = 0.34
-	// orderTries bounds the cost of a choice in a large pool.
+	// orderTries is how many replicas of the order rule 5 considers. It bounds the cost of a
+	// choice in a large pool.
 	orderTries = 4
-	// tieRange is the share of a replica's slots below which plain replicas count as
-	// equally loaded. A draw decides between them, or every daemon would send to
-	// the same one.
+	// tieRange is the share of a replica's slots within which plain replicas count as equally
+	// loaded. A random draw decides between them; otherwise every daemon would choose the same
+	// one.
 	tieRange = 1.0 / 16
 )
 
 // Target is a chosen replica.
 type Target struct {
 	Replica Replica
-	// Source is the replica that the prompt should be copied from; its address
-	// is empty if there is none.
+	// Source is the replica that the prompt should be copied from; its address is empty if there
+	// is none.
 	Source Replica
-	// Rank is the place of the replica in the prompt's order; 0 is the home.
+	// Rank is the position of the replica in the prompt's order; 0 is the home.
 	Rank int
 	// Load and Mean are the inputs of the choice, in requests.
 	Load int
 	Mean float64
 	// Coverage is the share of the fleet's daemons whose requests Load and Mean contain.
 	Coverage float64
-	// expected means that the replica is one of several homes of the prompt.
+	// expected means that the replica is one of several homes of the prompt, where other daemons
+	// look for it without an announcement.
 	expected bool
-	homes    int // of the prompt
-	replicas int // of the service that were ready
+	homes    int // number of homes of the prompt
+	replicas int // number of ready replicas of the service
 }
 
-// Placer chooses replicas. It is safe for use by many goroutines.
+// Placer chooses replicas. It is safe for concurrent use.
 type Placer struct {
 	Loads  *Loads
 	Health *Health
-	Cache  *CacheTable // nil: nothing is known to be cached
-	Crowds *Crowds     // nil: no replica is crowded
-	Cold   *ColdRates  // nil: cold replicas get as much as warm ones
-	Rests  *Rests      // nil: no replica rests
-	// Leavings are nil where no replica leaves by its own word.
+	Cache  *CacheTable // nil: no cache locations are known
+	Crowds *Crowds     // nil: no replica is overloaded
+	Cold   *ColdRates  // nil: cold replicas are not limited
+	Rests  *Rests      // nil: no replica has requested a backoff
+	// Leavings is nil where replicas don't announce their departure in responses.
 	Leavings *Leavings
 }
 
-// Choose returns the target of a request among the ready replicas of its
-// service, none of which was tried. It returns false if there is none that can be
-// reached.
+// Choose returns the target of a request among the ready replicas of its service that were not
+// tried before. It returns false if no replica can be chosen.
 func (p *Placer) Choose(v *View, r *Request, tried Tried, now time.Time) (Target, bool) {
 	pool := v.Pool(r.Service).sorted()
 	if len(pool.Ready) == 0 {
@@ -111,12 +115,14 @@
 	if t, ok := p.takeUsable(c, pool, v, r, service, now); ok {
 		return t, true
 	}
-	// Cold ones that get nothing are none: an ejected replica is better.
+	// Cold replicas that are at their limit are not candidates: an ejected replica is better than
+	// none.
 	c.ignoreEjections(p, pool, tried, now)
 	return p.takeUsable(c, pool, v, r, service, now)
 }
 
-// takeUsable chooses among the usable candidates, of which cold ones take what they may.
+// takeUsable chooses among the usable candidates and counts the request at the target if that is
+// cold. Cold replicas that are at their limit are skipped.
 func (p *Placer) takeUsable(c *candidates, pool *Pool, v *View, r *Request, s *Service, now time.Time) (Target, bool) {
 	c.excludeCold(p.Cold, s, now)
 	for c.usableCount > 0 {
@@ -129,7 +135,7 @@
 	return Target{}, false
 }
 
-// chooseUsable chooses among the usable candidates, of which there is at least one.
+// chooseUsable chooses among the usable candidates. There must be at least one.
 func (p *Placer) chooseUsable(c *candidates, pool *Pool, v *View, r *Request, s *Service, now time.Time) Target {
 	if s != nil && s.Generates && len(r.Prompt) > 0 {
 		return p.choosePrompt(c, pool, v, r, s, now)
@@ -137,7 +143,7 @@
 	return c.choosePlain(v.Domain, r)
 }
 
-// choosePrompt chooses for a request with a prompt.
+// choosePrompt chooses a replica for a request with a prompt.
 func (p *Placer) choosePrompt(c *candidates, pool *Pool, v *View, r *Request, s *Service, now time.Time) Target {
 	key := r.Key()
 	cached := p.Cache.locations(key, now)
@@ -173,8 +179,8 @@
 	return t
 }
 
-// source returns a replica that holds the prompt and can be reached: one of the
-// target's domain if there is one, else the one that was used last.
+// source returns a reachable replica to copy the prompt from: one of the target's domain if there
+// is one, otherwise the most recently used.
 func (p *Placer) source(t *Target, cached []location, pool *Pool, now time.Time) Replica {
 	var best *Replica
 	var bestUsed time.Time
@@ -193,8 +199,8 @@
 	return *best
 }
 
-// betterSource reports whether a source is better than another: it stands in the
-// target's domain and the other does not, or both or none do and it was used later.
+// betterSource reports whether one source is better than another: a source in the target's domain
+// is better than one outside it, otherwise the more recently used one is better.
 func betterSource(r, than *Replica, domain state.FailureDomain, usedLater bool) bool {
 	near, otherNear := r.Domain == domain, than.Domain == domain
 	if near != otherNear {
@@ -203,10 +209,10 @@
 	return usedLater
 }
 
-// likelySource guesses who holds a prompt that nobody has announced: the replica that
-// ranks first besides the target, draining and evacuated ones counted. That is the other home, or the
-// home from before the target joined or before the former home began to leave. A wrong
-// guess costs a copy that finds nothing.
+// likelySource guesses which replica holds a prompt whose location was not announced: the
+// highest-ranked one besides the target, including draining and evacuated replicas. That is the
+// other home, or the home from before the target joined or before the former home began to leave.
+// A wrong guess costs a copy attempt that finds nothing.
 func (p *Placer) likelySource(c *candidates, key uint64, target *Replica, pool *Pool, now time.Time) Replica {
 	var best *Replica
 	var bestRank uint64
@@ -230,14 +236,14 @@
 	return *best
 }
 
-// ReportLoad notes how many requests the target of a request held when it arrived there, by
-// the target's own report. It returns true if the target was crowded.
+// ReportLoad records how many requests the target of a request had in flight when the request
+// arrived, as reported by the target. It reports whether the target was overloaded.
 func (p *Placer) ReportLoad(r *Request, t *Target, held int, now time.Time) bool {
 	return p.Crowds.reportLoad(r, t, held, now)
 }
 
-// RecordRead notes that the target of a request has read its prompt. Peers are not sent that one
-// of several homes holds it, since they try these first anyway.
+// RecordRead records that the target of a request has read its prompt. Locations at one of
+// several homes are not announced to peers, which try the homes first anyway.
 func (p *Placer) RecordRead(r *Request, t *Target, now time.Time) {
 	p.Cache.Record(r.Key(), r.SharedTokens(), t.Replica.LoadKey(), !t.expected, now)
 }
--- a/coordination/routing/place_bench_test.go
+++ b/coordination/routing/place_bench_test.go
@@ -9,8 +9,8 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// BenchmarkPlace chooses replicas in pools of several sizes, with loads of this
-// daemon and its peers and some replicas that are passed over.
+// BenchmarkPlace chooses replicas in pools of several sizes, with loads from this daemon's peers
+// and one ejected replica.
 func BenchmarkPlace(b *testing.B) {
 	for _, kind := range []string{"prompt", "plain"} {
 		for _, n := range []int{20, 190, 1000, 4500, 10000, 20000} {
--- a/coordination/routing/replicas.go
+++ b/coordination/routing/replicas.go
@@ -1,5 +1,5 @@
-// This file keeps the replicas of one service in order as they change, so that a new view costs
-// what has changed and one pass, however many replicas there are.
+// Incremental updates of the sorted list of a service's replicas: building a new view costs one
+// pass plus the number of changes, however many replicas there are.
 
 package routing
 
@@ -8,26 +8,26 @@
 	"slices"
 )
 
-// ReplicaList is the replicas of one service that have entries. Its owner guards it; the pools
-// that it returns are immutable.
+// ReplicaList is the replicas of one service that have store entries. The caller synchronizes
+// access; the pools that it returns are immutable.
 type ReplicaList struct {
-	ready, draining []Replica // sorted by id; they are replaced, never written to
-	// changed are the replicas that were put since the last pool; nil: removed.
+	ready, draining []Replica // sorted by id; replaced as a whole, never modified
+	// changed are the changes since the last pool; nil: removed.
 	changed map[ReplicaID]*Replica
-	pool    *Pool // of ready and draining; nil before the first
+	pool    *Pool // of ready and draining; nil before the first call of Pool
 }
 
 // NewReplicaList returns an empty list.
 func NewReplicaList() *ReplicaList { return &ReplicaList{changed: make(map[ReplicaID]*Replica)} }
 
-// Put adds a replica, or replaces the one that has its id.
+// Put adds a replica, replacing any with the same id.
 func (l *ReplicaList) Put(r Replica) { l.changed[r.ID] = &r }
 
 // Remove removes a replica.
 func (l *ReplicaList) Remove(id ReplicaID) { l.changed[id] = nil }
 
-// Pool returns the replicas as a pool that is ready for choices. It is the same one as before
-// while nothing changes.
+// Pool returns the replicas as a sorted and indexed pool. It returns the same pool until
+// something changes.
 func (l *ReplicaList) Pool() *Pool {
 	if l.pool != nil && len(l.changed) == 0 {
 		return l.pool
@@ -40,8 +40,8 @@
 	return l.pool
 }
 
-// merge returns a sorted list with the changed replicas that belong to it in the place of those
-// with the same ids.
+// merge returns a sorted list with the changes applied: changed replicas that belong to this list
+// replace those with the same ids, or are inserted.
 func (l *ReplicaList) merge(list []Replica, belongs func(*Replica) bool) []Replica {
 	added := make([]*Replica, 0, len(l.changed))
 	for _, r := range l.changed {
--- a/coordination/routing/replicas_test.go
+++ b/coordination/routing/replicas_test.go
@@ -13,8 +13,9 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// TestAListOfReplicasIsThatOfItsEntries puts and removes replicas in any order, and compares the
-// pool with one that is built and sorted anew. Pools that were handed out before do not change.
+// TestAListOfReplicasIsThatOfItsEntries puts and removes replicas in random order and compares
+// the pool with one that is built and sorted from scratch. Pools that were returned earlier must
+// not change.
 func TestAListOfReplicasIsThatOfItsEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list, entries := routing.NewReplicaList(), make(map[routing.ReplicaID]routing.Replica)
@@ -56,7 +57,7 @@
 	})
 }
 
-// poolOf builds a pool of entries from nothing.
+// poolOf builds a pool of entries from scratch.
 func poolOf(entries map[routing.ReplicaID]routing.Replica) *routing.Pool {
 	p := &routing.Pool{}
 	for _, r := range entries {
@@ -70,8 +71,8 @@
 	return p
 }
 
-// BenchmarkChangeOfReplicas takes in a batch of three changed entries, and builds the pool: from
-// nothing, and by the list.
+// BenchmarkChangeOfReplicas applies a batch of three changed entries and builds the pool, from
+// scratch and with the list.
 func BenchmarkChangeOfReplicas(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000, 20000} {
 		entries, list := make(map[routing.ReplicaID]routing.Replica), routing.NewReplicaList()
@@ -114,8 +115,8 @@
 	}
 }
 
-// TestSharedPoolsAreNotWrittenTo lays over a pool what is known besides the entries: the pool of
-// the entries, which other views share, stays as it is.
+// TestSharedPoolsAreNotWrittenTo applies evacuations and announced departures to overlays of a
+// pool, and checks that the pool itself, which other views share, does not change.
 func TestSharedPoolsAreNotWrittenTo(t *testing.T) {
 	list := routing.NewReplicaList()
 	for i := range 6 {
@@ -149,8 +150,8 @@
 	}
 }
 
-// BenchmarkExpiredTogether lays over a pool the replicas whose entries expired together in the
-// store's trouble, as each view does for some seconds.
+// BenchmarkExpiredTogether adds to a pool the replicas whose entries expired together while the
+// store was in trouble, as each view does for some seconds.
 func BenchmarkExpiredTogether(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -173,8 +174,8 @@
 	}
 }
 
-// BenchmarkLeavingOfMany lays over a pool the replicas that leave by their own word, a sixteenth of
-// all, as each view and each choice does while their entries call them ready.
+// BenchmarkLeavingOfMany applies to a pool the departures that replicas announced, a sixteenth of
+// all, as each view and each choice does while their entries are still ready.
 func BenchmarkLeavingOfMany(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000, 20000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/coordination/routing/request.go
+++ b/coordination/routing/request.go
@@ -1,4 +1,4 @@
-// This file defines a request as the decisions see it.
+// The request as the routing decisions see it.
 
 package routing
 
@@ -11,16 +11,16 @@
 	"github.com/rotisserie/eris"
 )
 
-// RequestID names one request as its caller sent it. A caller's retry has a new id.
+// RequestID identifies a request as its caller sent it. A retry by the caller has a new id.
 type RequestID string
 
-// PromptPart is one part of a prompt, in the order in which it is read.
+// PromptPart is one part of a prompt. The parts are in the order in which the replica reads them.
 type PromptPart struct {
 	ID     string
 	Tokens Tokens
 }
 
-// Request is what the decisions need to know of a caller's request.
+// Request is the part of a caller's request that the routing decisions need.
 type Request struct {
 	ID       RequestID
 	Content  ContentKey
@@ -29,11 +29,11 @@
 	Model    string
 	Prompt   []PromptPart
 	Arrived  time.Time
-	Deadline time.Time // the earlier of the caller's and the route's
+	Deadline time.Time // the earlier of the caller's deadline and the route's
 }
 
-// SharedTokens returns how many tokens of the prompt other requests share: all
-// parts but the last, which belongs to this request or its session.
+// SharedTokens returns how many tokens of the prompt are shared with other requests: all parts
+// but the last, which is specific to this request or its session.
 func (r *Request) SharedTokens() Tokens {
 	var n Tokens
 	for _, p := range r.shared() {
@@ -49,15 +49,15 @@
 	return r.Prompt
 }
 
-// Key returns the placement key: a hash of the model and the shared parts.
-// Requests with one key read the same cached prompt. A request without a prompt
-// has a key of its own.
+// Key returns the placement key: a hash of the model and the shared parts of the prompt. Requests
+// with the same key use the same cached prompt. Without a prompt it is a hash of the request's
+// id.
 func (r *Request) Key() uint64 {
 	if len(r.Prompt) == 0 {
 		return xxhash.Sum64String(string(r.ID))
 	}
 	d := xxhash.New()
-	_, _ = d.WriteString(r.Model) // a hash takes every write
+	_, _ = d.WriteString(r.Model) // writing to a hash never fails
 	for _, p := range r.shared() {
 		_, _ = d.WriteString("\x00")
 		_, _ = d.WriteString(p.ID)
@@ -65,35 +65,36 @@
 	return d.Sum64()
 }
 
-// Tried is what became of a request's earlier attempts.
+// Tried describes the earlier attempts of a request.
 type Tried struct {
-	Replicas []ReplicaID // that were chosen for it
-	// BeyondReach means that a replica of another domain could not be reached: the
-	// links between the domains may be cut.
+	Replicas []ReplicaID // that were chosen before
+	// BeyondReach means that a replica of another domain was unreachable: the links between the
+	// domains may be down.
 	BeyondReach bool
 }
 
-// ContentKey names what a request is, whatever id it comes under: two requests with the
-// same path, caller and body have the same key at all daemons. 0 means that it is not known.
+// ContentKey identifies the content of a request, independent of the request's id: two requests
+// with the same path, caller and body have the same key at all daemons. 0 means that it is not
+// known.
 type ContentKey uint64
 
-// NewContentKey returns the key of a request. The caller is its workspace: a replica is shown
-// nothing else of who asks, so that the same bytes from one workspace are one request to it.
-// The query belongs to the path.
+// NewContentKey returns the content key of a request. The caller is represented by its workspace:
+// replicas see nothing else of the caller, so the same bytes from one workspace are the same
+// request to them. The path includes the query.
 func NewContentKey(host, target string, w WorkspaceName, body []byte) ContentKey {
 	d := xxhash.New()
 	for _, part := range []string{strings.ToLower(host), target, string(w)} {
-		_, _ = d.WriteString(part) // a hash takes every write
+		_, _ = d.WriteString(part) // writing to a hash never fails
 		_, _ = d.WriteString("\x00")
 	}
 	_, _ = d.Write(body)
 	return ContentKey(max(1, d.Sum64()))
 }
 
-// String returns the key as logs and operators' answers show it.
+// String returns the key in the form that logs and operator responses show.
 func (k ContentKey) String() string { return strconv.FormatUint(uint64(k), 36) }
 
-// ParseContentKey is the reverse of [ContentKey.String].
+// ParseContentKey parses the result of [ContentKey.String].
 func ParseContentKey(text string) (ContentKey, error) {
 	n, err := strconv.ParseUint(text, 36, 64)
 	if err != nil || n == 0 {
--- a/coordination/routing/retry.go
+++ b/coordination/routing/retry.go
@@ -1,25 +1,21 @@
-// This file decides whether a request is sent again after a failed attempt. The
-// relay carries the decision out; nothing else sends a request again.
+// Retries: whether a request is sent again after a failed attempt. The relay carries out the
+// decision; no other code resends requests.
 //
-// Inputs: the route, how many replicas have got the request so far, how each
-// attempt ended, whether the caller has bytes of an answer, the time left until
-// the deadline, and the retry budget. A request is sent again if all of these
-// hold:
+// The inputs are the route, how many replicas the request was sent to so far, how each attempt
+// ended, whether the caller has received bytes of a response, the time left until the deadline,
+// and the retry budget. A request is sent again if all of these conditions hold:
 //
-//  1. the caller is still there, and more than [ReturnMargin] is left of its
-//     deadline;
-//  2. the attempt surely did not run the request; or the route's requests may run
-//     more than once, and the caller has no bytes of an answer, or only events of
-//     a stream that can go on elsewhere;
-//  3. it is not sent to more replicas than the route allows, nor beyond the
-//     budget. An attempt that never reached a replica, such as a refused
-//     connection, counts towards neither;
-//  4. fewer than [MaxChoices] replicas have been chosen;
-//  5. it is not held back because replicas end under it (crash.go).
+//  1. The caller is still connected, and more than [ReturnMargin] is left until its deadline.
+//  2. The attempt certainly did not run the request. Or the route's requests may run more than
+//     once, and the caller has received no bytes of a response, or only events of a stream that
+//     can be resumed elsewhere.
+//  3. It does not exceed the number of replicas that the route allows, nor the retry budget. An
+//     attempt that never reached a replica, such as a refused connection, counts towards neither.
+//  4. Fewer than [MaxChoices] replicas have been chosen.
+//  5. The request is not quarantined because replicas crash while running it (crash.go).
 //
-// What the caller gets when it ends: the outcome of the last attempt, but once
-// an attempt may have run the request, a later one that did not run it changes
-// nothing.
+// The caller gets the outcome of the last attempt. But once an attempt may have run the request,
+// a later attempt that did not run it does not change the outcome.
 
 package routing
 
@@ -30,32 +26,34 @@
 )
 
 const (
-	// MaxChoices bounds the replicas that are chosen for one request, those that took no connection
-	// counted: a request must not walk through a service of which most is gone.
+	// MaxChoices bounds the replicas that are chosen for one request, including those that
+	// refused the connection: a request must not be tried all over a service most of whose
+	// replicas are gone.
 	MaxChoices = 4
-	// RetryAfter is the time after which a caller whose request was refused is asked to come back.
+	// RetryAfter is the delay after which a caller whose request was refused should retry.
 	RetryAfter = 100 * time.Millisecond
-	// retryAfterCold is what a cold replica needs to take another request of this daemon, and
-	// retryAfterEvacuated less than any evacuation lasts: who asks sooner is refused again.
+	// retryAfterCold is the time after which a cold replica can take another request of this
+	// daemon. retryAfterEvacuated is shorter than any evacuation: a caller that retries sooner is
+	// refused again.
 	retryAfterCold      = coldWindow
 	retryAfterEvacuated = time.Second
 )
 
-// Attempts is the state of one request's attempts. One goroutine uses it.
+// Attempts is the state of one request's attempts. It must be used by one goroutine only.
 type Attempts struct {
 	Route *Route
 	// Sent is how many replicas the request was written to.
 	Sent int
-	// Begun means that the caller has bytes of an answer.
+	// Begun means that the caller has received bytes of a response.
 	Begun bool
-	// Outcome is what is known of the request after all attempts so far.
+	// Outcome is the outcome of the request as of the attempts so far.
 	Outcome coordination.Outcome
-	// reserved means that the next send is paid for.
+	// reserved means that a retry has been reserved in the budget for the next attempt.
 	reserved bool
 }
 
-// NewAttempts returns the state before the first attempt: not run, because no
-// replica was found.
+// NewAttempts returns the state before the first attempt, with the outcome that no replica was
+// found.
 func NewAttempts(r *Route) Attempts {
 	return Attempts{Route: r, Outcome: noUpstream}
 }
@@ -63,9 +61,10 @@
 // noUpstream is the outcome of a request for which no replica was found.
 var noUpstream = coordination.NotRun{Reason: coordination.ReasonNoUpstream, RetryAfter: RetryAfter}
 
-// NoReplica records that no replica may be chosen, and why. It changes nothing if the request
-// was sent before, or a replica took no connection: then that says more. But where all rest
-// that are left after one has turned the request away, the caller is told when the first is back.
+// NoReplica records that no replica may be chosen, and why. It does not replace the outcome of an
+// earlier attempt, which is more specific. The exception: if a replica rejected the request as
+// busy and all others that are left are backing off, the caller is told when the first of them is
+// available again.
 func (a *Attempts) NoReplica(why coordination.NotRun) {
 	o, ok := a.Outcome.(coordination.NotRun)
 	wasRefused := ok && o.Reason == coordination.ReasonUpstreamBusy
@@ -74,16 +73,16 @@
 	}
 }
 
-// HeldBack records that the request is not sent because replicas end under it (crash.go). It
-// changes nothing if an attempt may have run it.
+// HeldBack records that the request is not sent because it is quarantined (crash.go). It does not
+// replace the outcome of an attempt that may have run the request.
 func (a *Attempts) HeldBack() {
 	if _, ok := a.Outcome.(coordination.NotRun); ok {
 		a.Outcome = coordination.NotRun{Reason: coordination.ReasonHeldBack, RetryAfter: retryAfterHeld}
 	}
 }
 
-// Failed records how an attempt failed. It returns true if the request may be sent
-// again as far as that attempt goes.
+// Failed records the outcome of a failed attempt. It reports whether that outcome allows another
+// attempt.
 func (a *Attempts) Failed(o coordination.Outcome) bool {
 	_, mayHaveRun := a.Outcome.(coordination.MayHaveRun)
 	if !mayHaveRun || !coordination.MayRetry(o) {
@@ -102,17 +101,17 @@
 	return a.Route.MayRunAgain()
 }
 
-// BetterAnswerPossible reports whether another replica may be asked although this
-// one answered, with an error of its own.
+// BetterAnswerPossible reports whether another replica may be tried although this one responded,
+// with an error of its own.
 func (a *Attempts) BetterAnswerPossible() bool {
 	return a.mayRetryAfter(coordination.MayHaveRun{}) && a.left()
 }
 
-// left reports whether the route allows one more replica.
+// left reports whether the route allows an attempt at another replica.
 func (a *Attempts) left() bool { return a.Sent < a.Route.MaxAttempts }
 
-// InTime reports whether there is time for an attempt. If not, the outcome becomes
-// one of the deadline.
+// InTime reports whether there is enough time for another attempt. If not, it changes the outcome
+// to one with the reason that the deadline has passed.
 func (a *Attempts) InTime(deadline, now time.Time) bool {
 	if deadline.Sub(now) > ReturnMargin {
 		return true
@@ -126,8 +125,8 @@
 	return false
 }
 
-// MaySend asks for the next send to a replica of a service and spends a retry on
-// it where the request was sent before.
+// MaySend reports whether the request may be sent to a replica of a service. If it was sent
+// before, that spends a retry.
 func (a *Attempts) MaySend(b *RetryBudgets, s ServiceName, now time.Time) bool {
 	if a.Sent == 0 {
 		return true
@@ -135,21 +134,21 @@
 	return a.ReserveRetry(b, s, now)
 }
 
-// CountSend counts that the request is written to a replica, which uses up a reserved
-// retry. It returns true the first time.
+// CountSend records that the request is written to a replica, which uses up a reserved retry. It
+// returns true the first time.
 func (a *Attempts) CountSend() bool {
 	a.Sent++
 	a.reserved = false
 	return a.Sent == 1
 }
 
-// ReserveRetry asks for a retry before the present attempt is given up. A replica
-// that may only be slow must not be left for a retry that the budget then forbids.
+// ReserveRetry reserves a retry before the current attempt is abandoned: a replica that may only
+// be slow must not be abandoned for a retry that the budget then denies.
 func (a *Attempts) ReserveRetry(b *RetryBudgets, s ServiceName, now time.Time) bool {
 	return a.ReserveWith(b, s, 0, now)
 }
 
-// ReserveWith does the same with what was borrowed for this retry (loan.go).
+// ReserveWith is like [Attempts.ReserveRetry], with a budget transfer for this retry (loan.go).
 func (a *Attempts) ReserveWith(b *RetryBudgets, s ServiceName, loan Retries, now time.Time) bool {
 	if !a.reserved {
 		a.reserved = a.left() && b.SpendWith(s, loan, now)
@@ -157,8 +156,8 @@
 	return a.reserved
 }
 
-// Missing returns what is to be borrowed for the next send besides a loan that there is; 0 if the
-// route allows no further one.
+// Missing returns how much to request for the next attempt in addition to an existing transfer; 0
+// if the route allows no further attempt.
 func (a *Attempts) Missing(b *RetryBudgets, s ServiceName, loan Retries, now time.Time) Retries {
 	if !a.left() {
 		return 0
--- a/coordination/routing/retry_test.go
+++ b/coordination/routing/retry_test.go
@@ -11,18 +11,18 @@
 	"hingewinch.org/hingewinch/internal/golden"
 )
 
-// retryCase is one combination of what decides whether a request is sent again.
+// retryCase is one combination of the inputs of the retry decision.
 type retryCase struct {
 	route    routing.Route
-	earlier  coordination.Outcome // of the attempts before this one
+	earlier  coordination.Outcome // of the earlier attempts
 	outcome  coordination.Outcome // of the attempt that has just failed
-	begun    bool                 // the caller has the first bytes of an answer
+	begun    bool                 // the caller has received the first bytes of a response
 	sent     int                  // replicas that the request was written to
-	budget   bool                 // the retry budget has room
+	budget   bool                 // the retry budget has capacity
 	timeLeft bool
 }
 
-// decide runs the rule on a case, in the order in which a call meets its parts.
+// decide evaluates the retry rules for a case, in the order in which the relay does.
 func (c retryCase) decide() (again bool, final coordination.Outcome) {
 	now := time.Unix(1_000_000, 0)
 	deadline := now.Add(time.Minute)
@@ -53,8 +53,8 @@
 	return "none"
 }
 
-// retryCases returns all combinations. That nothing is sent for a caller who left
-// is held by a test of the relay.
+// retryCases returns all combinations. A test of the relay checks that nothing is sent for a
+// caller that has disconnected.
 func retryCases() []retryCase {
 	var out []retryCase
 	both := []bool{false, true}
@@ -84,7 +84,8 @@
 		c.route.Name, c.sent, c.route.MaxAttempts, outcomeText(c.earlier), outcomeText(c.outcome), c.begun, c.budget, c.timeLeft)
 }
 
-// TestRetryDecision holds the rule for every combination, a line each.
+// TestRetryDecision compares the decision for every combination, one per line, with the golden
+// file.
 func TestRetryDecision(t *testing.T) {
 	var b strings.Builder
 	for _, c := range retryCases() {
@@ -94,8 +95,8 @@
 	golden.Compare(t, "retry.txt", b.String())
 }
 
-// TestARefusalSaysWhyThereIsNoReplica holds the reasons of a request that no replica may take,
-// and that they replace nothing that says more.
+// TestARefusalSaysWhyThereIsNoReplica checks the reasons of requests for which there is no
+// replica, and that they do not replace a more specific outcome.
 func TestARefusalSaysWhyThereIsNoReplica(t *testing.T) {
 	warm := routing.Replica{ID: "w"}
 	cold, resting := routing.Replica{ID: "c", ColdUntil: epoch.Add(time.Second)}, routing.Replica{ID: "r"}
--- a/coordination/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -108,7 +108,7 @@
 	})
 })
 
-// fleet is a placer before a pool of replicas.
+// fleet is a placer with a pool of replicas.
 type fleet struct {
 	placer *routing.Placer
 	view   *routing.View
@@ -142,7 +142,7 @@
 	}
 }
 
-// serve chooses a replica and takes down that it has read the prompt.
+// serve chooses a replica and records that it has read the prompt.
 func (f *fleet) serve(r *routing.Request) routing.Replica {
 	t := f.choose(r)
 	f.placer.RecordRead(r, &t, epoch)
@@ -171,7 +171,7 @@
 	}
 }
 
-// short returns a request whose prompt has several homes.
+// short returns a request whose prompt is short enough to have several homes.
 func short(subject string) *routing.Request {
 	r := chat(subject)
 	r.Prompt[1].Tokens = 600
--- a/coordination/routing/slots.go
+++ b/coordination/routing/slots.go
@@ -1,15 +1,15 @@
-// This file numbers the parts of which a sliding window is counted.
+// Slot numbers of sliding windows.
 
 package routing
 
 import "time"
 
-// slotClock numbers the parts of a window from the first time that it is asked for. It goes by the
-// difference of two times, which is that of the steady clock: the time of day may jump, and a
-// window that goes by it would forget what was spent.
+// slotClock numbers the slots of a window, starting at the first time that it is asked for. It
+// uses differences of times, which are computed from the monotonic clock: the wall clock may
+// jump, and a window based on it would lose what was counted as spent.
 type slotClock struct{ begun time.Time }
 
-// slot returns the number of the part in which a time is.
+// slot returns the number of the slot that contains a time.
 func (c *slotClock) slot(now time.Time, length time.Duration) int64 {
 	if c.begun.IsZero() {
 		c.begun = now
--- a/coordination/routing/table.go
+++ b/coordination/routing/table.go
@@ -1,4 +1,4 @@
-// This file indexes a configuration: routes by host, workspaces by key.
+// The indexed configuration: routes by host, workspaces by key.
 
 package routing
 
@@ -14,36 +14,36 @@
 type Table struct {
 	Version    ConfigVersion
 	Limits     CallerLimits
-	Warnings   []string            // of the Config
+	Warnings   []string            // from Config.Warnings
 	byHost     map[string][]*Route // longest prefix first
 	services   map[ServiceName]*Service
-	workspaces map[uint64]keyHolder // by the key's hash
+	workspaces map[uint64]keyHolder // by the hash of the key
 	routeCount int
 	needsKey   bool
 }
 
-// keyHolder is a key with its workspace. The key is compared as a whole, since two
-// keys may have one hash.
+// keyHolder is a key and its workspace. Lookups compare the whole key, since two keys may have
+// the same hash.
 type keyHolder struct {
 	key       string
 	workspace *Workspace
 }
 
-// InvalidRouteError means that a route of a configuration can't be used. Nothing of
-// that configuration is taken.
+// InvalidRouteError means that a route of a configuration is invalid. The configuration is
+// rejected as a whole.
 type InvalidRouteError struct {
 	Route   string
 	Problem string
 	Remedy  string
 }
 
-// Error names the route, what is wrong with it and what to do.
+// Error names the route, the problem and the remedy.
 func (e *InvalidRouteError) Error() string {
 	return fmt.Sprintf("route %q: %s; %s", e.Route, e.Problem, e.Remedy)
 }
 
-// NewTable checks a configuration and indexes it. The error is an
-// [InvalidRouteError]; nothing of the configuration is taken then.
+// NewTable validates a configuration and indexes it. The error is an [InvalidRouteError]; the
+// configuration is then rejected as a whole.
 func NewTable(c *Config) (*Table, error) {
 	t := &Table{
 		Version:    c.Version,
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// Match returns the route of a request: of the host's routes the one with the
-// longest prefix of the path.
+// Match returns the route of a request: the one of the host's routes with the longest prefix of
+// the path.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	routes, ok := t.byHost[host]
 	if !ok {
@@ -110,7 +110,7 @@
 	return nil, false
 }
 
-// Authenticate returns the workspace that holds a key.
+// Authenticate returns the workspace that a key belongs to.
 func (t *Table) Authenticate(key string) (*Workspace, bool) {
 	h, ok := t.workspaces[xxhash.Sum64String(key)]
 	if !ok || h.key != key {
@@ -119,8 +119,8 @@
 	return h.workspace, true
 }
 
-// NeedsKey reports whether the configuration has workspaces, so that callers must
-// send a key.
+// NeedsKey reports whether the configuration has workspaces, so that callers must send a key
+// unless the route is public.
 func (t *Table) NeedsKey() bool { return t.needsKey }
 
 // Service returns a service by name.
@@ -129,7 +129,8 @@
 	return s, ok
 }
 
-// Caller returns the workspace that a key of reports names, if the configuration has it.
+// Caller returns the workspace that a caller key in a report identifies, if the configuration has
+// it.
 func (t *Table) Caller(caller CallerKey) (WorkspaceName, bool) {
 	for _, h := range t.workspaces {
 		if NewCallerKey(h.workspace.Name) == caller {
@@ -139,5 +140,5 @@
 	return "", false
 }
 
-// RouteCount returns how many routes there are.
+// RouteCount returns the number of routes.
 func (t *Table) RouteCount() int { return t.routeCount }
--- a/coordination/routing/view.go
+++ b/coordination/routing/view.go
@@ -1,4 +1,4 @@
-// This file defines the immutable view of the replicas that traffic reads.
+// The immutable view of the replicas that the request path reads.
 
 package routing
 
@@ -14,34 +14,34 @@
 	"hingewinch.org/hingewinch/state/feed"
 )
 
-// Replica is one replica as it announced itself.
+// Replica is a replica as it registered itself.
 type Replica struct {
 	ID       ReplicaID
 	Born     Born
 	Service  ServiceName
 	Address  string // IP:PORT
 	Domain   state.FailureDomain
-	Slots    int  // requests that it runs at once
-	Draining bool // it has announced that it leaves
-	// ColdFor is how much longer it is cold, as of its entry, and ColdUntil until when, by
-	// the clock of the daemon that took the entry in; zero: it is warm.
+	Slots    int  // requests that it runs concurrently
+	Draining bool // it has announced its departure
+	// ColdFor is the remaining cold time according to the replica's entry. ColdUntil is the end
+	// of that time by the clock of the daemon that received the entry; zero: it is warm.
 	ColdFor   time.Duration
 	ColdUntil time.Time
-	// Hash places the replica in the orders of prompts. It is that of the id, so that a replica
-	// which starts again has the same place.
+	// Hash determines the replica's rank for each prompt. It is a hash of the id, so that a
+	// replica keeps its ranks when it restarts.
 	Hash uint64
 	key  LoadKey
 }
 
-// NewReplica fills in the hashes.
+// NewReplica returns the replica with its hashes computed.
 func NewReplica(r Replica) Replica {
 	r.Hash = xxhash.Sum64String(string(r.ID))
 	r.key = newLoadKey(r.Incarnation())
 	return r
 }
 
-// LoadKey names an incarnation of a replica in tables and in messages between daemons: half
-// of a hash. Two that share one are counted together.
+// LoadKey identifies an incarnation of a replica in tables and in messages between daemons: half
+// of a hash. Incarnations with the same key are counted together.
 type LoadKey uint32
 
 func newLoadKey(i Incarnation) LoadKey {
@@ -51,31 +51,31 @@
 	return LoadKey(xxhash.Sum64String(string(i.ID) + "\x00" + strconv.FormatInt(int64(i.Born), 10)))
 }
 
-// LoadKey returns the name of the replica's incarnation.
+// LoadKey returns the key of the replica's incarnation.
 func (r *Replica) LoadKey() LoadKey { return r.key }
 
-// Incarnation returns which start of the replica this is.
+// Incarnation returns the replica's incarnation.
 func (r *Replica) Incarnation() Incarnation { return Incarnation{ID: r.ID, Born: r.Born} }
 
 // Pool is the replicas of one service, sorted by id.
 type Pool struct {
 	Ready    []Replica
 	Draining []Replica // they get no new requests
-	// Evacuated are replicas that are well and whose failure domain is evacuated. They get
-	// no new requests, and prompts can be copied from them.
+	// Evacuated are healthy replicas whose failure domain is evacuated. They get no new requests,
+	// but prompts can be copied from them.
 	Evacuated []Replica
-	// Expired are replicas whose entries expired a moment ago. They serve a little
-	// longer, and prompts can be copied from them.
+	// Expired are replicas whose entries expired recently. They mostly keep serving for a short
+	// time, and prompts can be copied from them.
 	Expired []Replica
-	// places are the places in Ready by load key, and coldUntil is when the last of them
-	// is warm; Sort makes both.
+	// places is the positions in Ready by load key, and coldUntil when the last of those replicas
+	// becomes warm; Sort computes both.
 	places    *index
-	indexed   int // how many of Ready are in places
+	indexed   int // the number of replicas of Ready that are in places
 	coldUntil time.Time
 }
 
-// Sort orders the replicas by id, so that equal pools are equal everywhere, and
-// makes the pool ready for choices. It is called again after each change.
+// Sort orders the replicas by id, so that equal pools have the same order in every daemon, and
+// prepares the pool for choices. It must be called again after each change.
 func (p *Pool) Sort() {
 	byID := func(a, b Replica) int { return strings.Compare(string(a.ID), string(b.ID)) }
 	for _, list := range [][]Replica{p.Ready, p.Draining, p.Evacuated, p.Expired} {
@@ -85,7 +85,7 @@
 	}
 	p.places, p.indexed, p.coldUntil = newIndex(2*len(p.Ready)), len(p.Ready), time.Time{}
 	for i := range p.Ready {
-		// By the id too, for the reports of daemons that know no incarnations.
+		// Also by the hash of the id, for reports from daemons that don't know incarnations.
 		p.places.put(LoadKey(p.Ready[i].Hash), i)
 	}
 	for i := range p.Ready {
@@ -94,12 +94,14 @@
 	}
 }
 
-// Overlay returns a copy whose lists can be changed; the replicas are still shared with the pool.
+// Overlay returns a copy of the pool whose lists can be appended to and replaced. Their elements
+// are still shared with the original and must not be modified.
 func (p *Pool) Overlay() *Pool {
 	return &Pool{Ready: slices.Clip(p.Ready), Draining: slices.Clip(p.Draining), places: p.places, indexed: p.indexed, coldUntil: p.coldUntil}
 }
 
-// holder returns the replica of a key that prompts can be copied from, or nil.
+// holder returns the replica with the given key among those that prompts can be copied from, or
+// nil.
 func (p *Pool) holder(key LoadKey) *Replica {
 	if i, ok := p.places.place(key); ok {
 		return &p.Ready[i]
@@ -124,20 +126,19 @@
 	return c
 }
 
-// View is what traffic reads: one configuration and the replicas. It is
-// immutable.
+// View is what the request path reads: one configuration and the replicas. It is immutable.
 type View struct {
-	Table    *Table        // nil until a configuration is known
+	Table    *Table        // nil until the first configuration is known
 	Position feed.Position // of the documents that it was built from
 	Pools    map[ServiceName]*Pool
 	Domain   state.FailureDomain // of this daemon
-	Daemons  int                 // live daemons, this one counted
-	// LargeFleet means that daemons send to a few others only, so that each knows a part
-	// of the loads and cache locations.
+	Daemons  int                 // live daemons, including this one
+	// LargeFleet means that each daemon sends heartbeats to only a few others, so that each knows
+	// only a part of the loads and cache locations.
 	LargeFleet bool
 }
 
-// Pool returns the replicas of a service; it is never nil.
+// Pool returns the replicas of a service. It never returns nil.
 func (v *View) Pool(s ServiceName) *Pool {
 	if p := v.Pools[s]; p != nil {
 		return p
@@ -145,12 +146,12 @@
 	return &Pool{}
 }
 
-// IsReady reports whether an incarnation of a replica is among the ready ones of its service.
+// IsReady reports whether the replica's incarnation is among the ready replicas of its service.
 func (v *View) IsReady(r *Replica) bool { return v.Pool(r.Service).isReady(r.Incarnation()) }
 
-// KeepsConnections reports whether idle connections to an incarnation of a replica are kept: it gets
-// requests, or does again once its failure domain is taken back. One that leaves waits for the end
-// of its connections.
+// KeepsConnections reports whether idle connections to an incarnation are kept: it gets requests,
+// or will get them again when its failure domain returns to service. Connections to a replica
+// that leaves must be closed, because it waits for that.
 func (v *View) KeepsConnections(i Incarnation) bool {
 	for _, p := range v.Pools {
 		if p.isReady(i) || hasIncarnation(p.Evacuated, i) {
@@ -166,7 +167,7 @@
 	if p.places != nil && !ok {
 		return false
 	}
-	// Two may share a key.
+	// Two incarnations may have the same key.
 	return ok && p.Ready[i].Incarnation() == incarnation || hasIncarnation(p.Ready, incarnation)
 }
 
@@ -174,7 +175,7 @@
 	return slices.ContainsFunc(list, func(r Replica) bool { return r.Incarnation() == incarnation })
 }
 
-// Replica returns the ready replica that a key names, or nil.
+// Replica returns the ready replica with the given key, or nil.
 func (v *View) Replica(key LoadKey) *Replica {
 	for _, p := range v.Pools {
 		if i, ok := p.places.place(key); ok {
@@ -184,7 +185,8 @@
 	return nil
 }
 
-// ReplicaOf returns the id of the ready replica that a key of messages between daemons names.
+// ReplicaOf returns the id of the ready replica that a key in a message between daemons
+// identifies.
 func (v *View) ReplicaOf(key LoadKey) (ReplicaID, bool) {
 	r := v.Replica(key)
 	if r == nil {
