--- a/coordination/routing/bound_test.go
+++ b/coordination/routing/bound_test.go
@@ -52,10 +52,10 @@
 				w.run(4*time.Second, calmTraffic(c.traffic))
 				w.run(12*time.Second, c.traffic)
 				n := float64(len(w.sends))
-				t.Logf("worst of five seconds: %.2f%% over the bound; tokens a request: %.0f copied, %.0f read again; believed %.2f of a true mean of %.2f; %.1f reports sent a second and daemon",
+				t.Logf("worst five seconds: %.2f%% over the bound; tokens per request: %.0f copied, %.0f read again; estimated mean %.2f, true mean %.2f; %.1f reports sent per second and daemon",
 					100*w.worstShare(), float64(w.copied)/n, float64(w.readAgain)/n, w.believed/n, w.trueMean/n, float64(w.reports)/w.now.Sub(epoch).Seconds()/float64(c.daemons))
 				if share := w.worstShare(); share > allowedOver {
-					t.Errorf("%.2f%% of the requests of five seconds reached a replica over the bound, allowed are %.0f%%", 100*share, 100*allowedOver)
+					t.Errorf("%.2f%% of the requests of five seconds reached a replica over the bound, want at most %.0f%%", 100*share, 100*allowedOver)
 				}
 			})
 		}
@@ -82,7 +82,7 @@
 			w := newFleetWorld(daemons, replicas, domains, seed)
 			w.run(18*time.Second, []kindOfRequest{{name: "topic", perSecond: 160, tokens: 900, work: work, prompts: 7}})
 			if share := w.worstShare(); share > allowedOver {
-				t.Errorf("work of %v, seed %d: %.2f%% of the requests of five seconds reached a replica over the bound, allowed are %.0f%%", work, seed, 100*share, 100*allowedOver)
+				t.Errorf("work of %v, seed %d: %.2f%% of the requests of five seconds reached a replica over the bound, want at most %.0f%%", work, seed, 100*share, 100*allowedOver)
 			}
 		}
 	}
--- a/coordination/routing/crowd_test.go
+++ b/coordination/routing/crowd_test.go
@@ -31,7 +31,7 @@
 func take(c *routing.Crowds) []routing.CrowdReport { return c.TakeReports(1<<20, epoch) }
 
 var _ = Describe("Crowds", func() {
-	DescribeTable("finds a crowded replica by its own report", func(held int, found bool, homes int) {
+	DescribeTable("detects an overloaded replica by its own report", func(held int, found bool, homes int) {
 		f := crowdFleet()
 		r := short("hot")
 		t := f.choose(r)
@@ -39,14 +39,14 @@
 		Expect(f.placer.Crowds.Homes(r, 2, epoch)).To(Equal(homes))
 		Expect(take(f.placer.Crowds)).To(HaveLen(map[bool]int{true: 1}[found]))
 	},
-		Entry("as many as others", 2, false, 2),
+		Entry("as many requests as others", 2, false, 2),
 		Entry("at the bound", 6, false, 2),
-		Entry("above it: twice the homes and more", 7, true, 5),
-		Entry("far above it: as many as the crowd needs", 15, true, 11),
-		Entry("more than there are replicas", 300, true, 20),
+		Entry("above the bound: at least twice the homes", 7, true, 5),
+		Entry("far above the bound: homes in proportion to the excess", 15, true, 11),
+		Entry("more homes needed than there are replicas", 300, true, 20),
 	)
 
-	It("judges nothing before it knows what replicas hold", func() {
+	It("detects no overload before enough replicas have reported their load", func() {
 		f := newFleet("llm", sameDomain(20)...)
 		f.placer.Crowds = routing.NewCrowds()
 		r := short("hot")
@@ -57,7 +57,7 @@
 		Expect(f.placer.ReportLoad(r, &t, 50, epoch)).To(BeFalse())
 	})
 
-	It("counts each replica once in the mean, however often a crowded one answers", func() {
+	It("counts each replica once in the mean, however often an overloaded one responds", func() {
 		f := crowdFleet()
 		r := short("hot")
 		t := f.choose(r)
@@ -67,14 +67,14 @@
 		Expect(f.placer.ReportLoad(r, &t, 20, epoch)).To(BeTrue())
 	})
 
-	It("forgets what replicas reported long ago", func() {
+	It("ignores old load reports", func() {
 		f := crowdFleet()
 		r := short("hot")
 		t := f.choose(r)
 		Expect(f.placer.ReportLoad(r, &t, 20, epoch.Add(16*time.Second))).To(BeFalse())
 	})
 
-	It("asks for no more homes where the replica is none of the prompt's", func() {
+	It("asks for no more homes if the replica is not a home of the prompt", func() {
 		f := crowdFleet()
 		r := short("hot")
 		first := f.choose(r)
@@ -85,7 +85,7 @@
 		Expect(take(f.placer.Crowds)).To(ConsistOf(routing.CrowdReport{Replica: t.Replica.LoadKey()}))
 	})
 
-	It("leaves a crowded replica for a moment, but for long prompts whose home it is", func() {
+	It("avoids an overloaded replica for a moment, except for long prompts whose home it is", func() {
 		for _, c := range []struct {
 			request *routing.Request
 			left    bool
@@ -101,7 +101,7 @@
 		}
 	})
 
-	It("leaves a crowded replica for as long as the newest report says, also where an older one comes later", func() {
+	It("avoids an overloaded replica for as long as the newest report says, even if an older one arrives later", func() {
 		f := crowdFleet()
 		home := f.choose(short("x")).Replica
 		f.placer.Crowds.Observe([]routing.CrowdReport{{Replica: home.LoadKey()}, {Replica: home.LoadKey(), Age: 600 * time.Millisecond}}, epoch)
@@ -110,7 +110,7 @@
 		Expect(t.Replica.ID).NotTo(Equal(home.ID))
 	})
 
-	It("takes of two homes that hold as many the one in its own domain", func() {
+	It("prefers the home in its own domain if two homes have equally many requests in flight", func() {
 		f := newFleet("llm", manyDomains(22)...)
 		f.view.Daemons, f.view.LargeFleet = 100, true
 		f.placer.Crowds = routing.NewCrowds()
@@ -126,7 +126,7 @@
 		Expect(near).To(BeNumerically("~", 382, 60)) // two draws: 1 - (10/11)², not 1/11
 	})
 
-	It("announces what replicas have read only where the prompt has no home", func() {
+	It("does not announce that a prompt was read at one of its homes", func() {
 		f := crowdFleet()
 		r := chat("hot")
 		f.placer.Crowds.Observe([]routing.CrowdReport{{Replica: 1, Prompt: routing.PromptKey(r.Key()), Homes: 8}}, epoch)
@@ -137,7 +137,7 @@
 		Expect(f.placer.Cache.TakePending(100)).To(BeEmpty())
 	})
 
-	It("still chooses one where all replicas are crowded", func() {
+	It("still chooses a replica if all are overloaded", func() {
 		f := crowdFleet()
 		for i := range f.pool.Ready {
 			f.placer.Crowds.Observe([]routing.CrowdReport{{Replica: f.pool.Ready[i].LoadKey()}}, epoch)
@@ -145,7 +145,7 @@
 		f.choose(short("x"))
 	})
 
-	It("spreads the requests for a hot prompt over its homes, evenly and nowhere else", func() {
+	It("spreads the requests for a hot prompt evenly over its homes, and to no other replica", func() {
 		const homes, requests = 8, 4000
 		f := crowdFleet()
 		r := chat("hot")
@@ -161,7 +161,7 @@
 		}
 	})
 
-	It("takes of two homes that it draws the one that holds fewer requests", func() {
+	It("takes the one with fewer requests in flight of two homes that it draws", func() {
 		f := crowdFleet()
 		r := chat("hot")
 		home := f.choose(r).Replica
@@ -177,7 +177,7 @@
 		Expect(n).To(BeNumerically("~", 25, 20)) // both draws select it: 1 in 16
 	})
 
-	It("halves the homes as time passes, and goes back to those of others", func() {
+	It("halves the homes of a prompt over time, down to the usual number", func() {
 		f := crowdFleet()
 		r := short("hot")
 		f.placer.Crowds.Observe([]routing.CrowdReport{{Replica: 1, Prompt: routing.PromptKey(r.Key()), Homes: 16}}, epoch)
@@ -186,7 +186,7 @@
 		}
 	})
 
-	It("passes on what is new, once, and says that it waits", func() {
+	It("forwards a new report once, and signals that it waits", func() {
 		c := routing.NewCrowds()
 		report := routing.CrowdReport{Replica: 1, Prompt: 2, Homes: 8}
 		c.Observe([]routing.CrowdReport{report}, epoch)
@@ -199,7 +199,7 @@
 		Expect(take(c)).To(HaveLen(1))
 	})
 
-	It("sends a bounded number of reports a second, those of the hottest prompts first", func() {
+	It("sends a bounded number of reports per second, those of the hottest prompts first", func() {
 		c := routing.NewCrowds()
 		sent := 0
 		for ms := range 10_000 {
@@ -218,7 +218,7 @@
 		Expect(sent).To(BeNumerically("~", 210, 15)) // ten seconds, plus the initial allowance
 	})
 
-	It("does not pass on what is old", func() {
+	It("does not forward old reports", func() {
 		c := routing.NewCrowds()
 		c.Observe([]routing.CrowdReport{{Replica: 1, Prompt: 2, Homes: 9}}, epoch)
 		Expect(c.TakeReports(9, epoch.Add(time.Second))).To(BeEmpty())
@@ -232,7 +232,7 @@
 		Expect(len(take(c))).To(BeNumerically("<=", 200))
 		Expect(c.Needs()).To(Equal(1000))
 		c.Observe([]routing.CrowdReport{{Replica: 1, Prompt: 50_000, Homes: 9}}, epoch.Add(time.Minute))
-		Expect(c.Needs()).To(Equal(1), "those that are no longer hot give way")
+		Expect(c.Needs()).To(Equal(1), "prompts that are no longer hot are dropped")
 	})
 })
 
--- a/coordination/routing/dial_test.go
+++ b/coordination/routing/dial_test.go
@@ -13,7 +13,7 @@
 		took        []time.Duration // repeated 50 times
 		least, most time.Duration
 	}{
-		{"nothing is known", nil, 400 * time.Millisecond, 400 * time.Millisecond},
+		{"no samples", nil, 400 * time.Millisecond, 400 * time.Millisecond},
 		{"fast links", []time.Duration{time.Millisecond, 4 * time.Millisecond}, 100 * time.Millisecond, 100 * time.Millisecond},
 		{"a slow VM", []time.Duration{20 * time.Millisecond, 120 * time.Millisecond}, 150 * time.Millisecond, 400 * time.Millisecond},
 		{"very slow", []time.Duration{time.Second}, 400 * time.Millisecond, 400 * time.Millisecond},
@@ -25,7 +25,7 @@
 			}
 		}
 		if got := d.Timeout(); got < c.least || got > c.most {
-			t.Errorf("%s: %s, want %s to %s", c.name, got, c.least, c.most)
+			t.Errorf("%s: timeout %s, want %s to %s", c.name, got, c.least, c.most)
 		}
 	}
 }
--- a/coordination/routing/expired_test.go
+++ b/coordination/routing/expired_test.go
@@ -25,12 +25,12 @@
 		asked  time.Duration // when the pool is built
 		usedOn int
 	}{
-		{"most lapse in the store's trouble", at(0, true, 3), 1, time.Second, 3},
-		{"most are still missing when they should be back", at(0, true, 3), 1, gracePeriod, 0},
-		{"most leave while the store is well", at(0, false, 3), 1, time.Second, 0},
-		{"as many lapse as are left", at(0, true, 2), 2, time.Second, 0},
-		{"one after the other", append(at(0, true, 1), at(1500*time.Millisecond, true, 1)...), 1, 1600 * time.Millisecond, 0},
-		{"all lapse", at(0, true, 2), 0, time.Second, 2},
+		{"most expire while the store is in trouble", at(0, true, 3), 1, time.Second, 3},
+		{"most are still missing after the grace period", at(0, true, 3), 1, gracePeriod, 0},
+		{"most leave while the store is available", at(0, false, 3), 1, time.Second, 0},
+		{"as many expire as are left", at(0, true, 2), 2, time.Second, 0},
+		{"expired one after the other", append(at(0, true, 1), at(1500*time.Millisecond, true, 1)...), 1, 1600 * time.Millisecond, 0},
+		{"all expire", at(0, true, 2), 0, time.Second, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			epoch := time.Unix(1000, 0)
@@ -41,7 +41,7 @@
 			p := &Pool{Ready: make([]Replica, c.left)}
 			got := l.Restore("s", p, epoch.Add(c.asked))
 			if len(got) != c.usedOn || len(p.Ready) != c.left+c.usedOn {
-				t.Errorf("used on %d, pool of %d; want %d and %d", len(got), len(p.Ready), c.usedOn, c.left+c.usedOn)
+				t.Errorf("%d kept in use, pool of %d; want %d and %d", len(got), len(p.Ready), c.usedOn, c.left+c.usedOn)
 			}
 		})
 	}
@@ -55,20 +55,20 @@
 	}
 	l.Remove("0")
 	if l.Expire(epoch.Add(gracePeriod - 1)) {
-		t.Error("decided before they could be back")
+		t.Error("grace period ended early")
 	}
 	if !l.Expire(epoch.Add(gracePeriod)) {
-		t.Error("the pools are not built anew when the missing ones are gone")
+		t.Error("the pools are not rebuilt at the end of the grace period")
 	}
 	if l.Expire(epoch.Add(gracePeriod)) {
-		t.Error("the pools are built anew again and again")
+		t.Error("the pools are rebuilt more than once")
 	}
 	p := &Pool{}
 	if l.Restore("s", p, epoch.Add(gracePeriod)); len(p.Expired) != 2 || len(p.Ready) != 0 {
-		t.Errorf("%d sources of copies and %d ready, want 2 and 0", len(p.Expired), len(p.Ready))
+		t.Errorf("%d copy sources and %d ready replicas, want 2 and 0", len(p.Expired), len(p.Ready))
 	}
 	l.Expire(epoch.Add(copySourceAge))
 	if n := len(l.entries); n != 0 {
-		t.Errorf("%d replicas are remembered for ever", n)
+		t.Errorf("%d expired replicas are never dropped", n)
 	}
 }
--- a/coordination/routing/loan_test.go
+++ b/coordination/routing/loan_test.go
@@ -78,9 +78,9 @@
 			return float64(without) / float64(failed)
 		}
 		alone, lending := denied(false), denied(true)
-		t.Logf("%d daemons: %.3f of the failed requests lack a retry, %.3f with loans", c.daemons, alone, lending)
+		t.Logf("%d daemons: %.3f of the failed requests lack a retry, %.3f with transfers", c.daemons, alone, lending)
 		if lending > 0.01 {
-			t.Errorf("%d daemons: %.3f of the failed requests lack a retry (%.3f without loans)", c.daemons, lending, alone)
+			t.Errorf("%d daemons: %.3f of the failed requests lack a retry (%.3f without transfers)", c.daemons, lending, alone)
 		}
 	}
 }
@@ -110,7 +110,7 @@
 		for _, end := range retries {
 			n, of := within(retries, end, rule.Window), within(requests, end, rule.Window)
 			if most := rule.Ratio*float64(of) + rule.Extra; float64(n) > most {
-				t.Fatalf("%d retries in a window of %d requests, allowed are %.1f", n, of, most)
+				t.Fatalf("%d retries in a window of %d requests, want at most %.1f", n, of, most)
 			}
 		}
 	})
@@ -133,9 +133,9 @@
 	for b.SpendRetry("s", epoch) {
 	}
 	if missing := b.Missing("s", 0, epoch); missing != 0 {
-		t.Errorf("asks for %v", missing)
+		t.Errorf("requests a transfer of %v", missing)
 	}
 	if lent := b.Lend("s", 1, epoch); lent >= 1 {
-		t.Errorf("lends %v of what it has spent", lent)
+		t.Errorf("transfers %v although its budget is spent", lent)
 	}
 }
--- a/coordination/routing/place_bench_test.go
+++ b/coordination/routing/place_bench_test.go
@@ -35,7 +35,7 @@
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
 					if _, ok := f.placer.Choose(f.view, requests[i%len(requests)], routing.Tried{}, epoch); !ok {
-						b.Fatal("nothing chosen")
+						b.Fatal("no replica chosen")
 					}
 				}
 			})
--- a/coordination/routing/replicas_test.go
+++ b/coordination/routing/replicas_test.go
@@ -43,14 +43,14 @@
 			for i := range got.Ready {
 				r := &got.Ready[i]
 				if found := v.Replica(r.LoadKey()); found == nil || found.ID != r.ID {
-					t.Fatalf("%v is not found by its key", r)
+					t.Fatalf("%v is not found by its load key", r)
 				}
 				if found := v.Replica(routing.LoadKey(r.Hash)); found == nil || found.ID != r.ID {
-					t.Fatalf("%v is not found by the key of its id", r)
+					t.Fatalf("%v is not found by the hash of its id", r)
 				}
 			}
 			if before != nil && !slices.Equal(before.Ready, copied) {
-				t.Fatal("a pool has changed after it was handed out")
+				t.Fatal("a pool was modified after it was returned")
 			}
 			before, copied = got, slices.Clone(got.Ready)
 		}
@@ -93,7 +93,7 @@
 			entries[r.ID] = r
 			return r
 		}
-		b.Run(fmt.Sprintf("anew/%d", n), func(b *testing.B) {
+		b.Run(fmt.Sprintf("rebuild/%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := range b.N {
 				for k := range 3 {
@@ -132,21 +132,21 @@
 	evacuations.End("a", epoch)
 	p = entries.Overlay()
 	if !evacuations.Apply(p, time.Second) || !p.Ready[0].IsCold(epoch) {
-		t.Fatal("taken back: not cold")
+		t.Fatal("returned to service: not cold")
 	}
 	leavings := routing.NewLeavings()
 	leavings.Observe([]routing.LeavingReport{{Replica: entries.Ready[2].LoadKey()}}, epoch)
 	p = entries.Overlay()
 	if !leavings.Apply(p) || len(p.Ready) != 5 || len(p.Draining) != 1 {
-		t.Fatalf("leaving: %d ready, %d draining", len(p.Ready), len(p.Draining))
+		t.Fatalf("departing: %d ready, %d draining", len(p.Ready), len(p.Draining))
 	}
 	for i, r := range entries.Ready {
 		if !strings.HasSuffix(string(r.ID), fmt.Sprint(i)) || r.IsCold(epoch) {
-			t.Fatalf("the shared pool was written to: %v", entries.Ready)
+			t.Fatalf("the shared pool was modified: %v", entries.Ready)
 		}
 	}
 	if len(entries.Ready) != 6 || len(entries.Draining) != 0 {
-		t.Fatal("the shared pool was written to")
+		t.Fatal("the shared pool was modified")
 	}
 }
 
--- a/coordination/routing/request.go
+++ b/coordination/routing/request.go
@@ -98,7 +98,7 @@
 func ParseContentKey(text string) (ContentKey, error) {
 	n, err := strconv.ParseUint(text, 36, 64)
 	if err != nil || n == 0 {
-		return 0, eris.Errorf("%q is no content key; take one from the log or from the list of what is held back", text)
+		return 0, eris.Errorf("%q is not a content key; copy one from the log or from the list of quarantined requests", text)
 	}
 	return ContentKey(n), nil
 }
--- a/coordination/routing/retry_test.go
+++ b/coordination/routing/retry_test.go
@@ -107,22 +107,22 @@
 		pool routing.Pool
 		want coordination.Reason
 	}{
-		{"nothing", routing.Pool{}, coordination.ReasonNoUpstream},
+		{"no replicas", routing.Pool{}, coordination.ReasonNoUpstream},
 		{"all evacuated", routing.Pool{Evacuated: []routing.Replica{warm}}, coordination.ReasonEvacuated},
 		{"all cold", routing.Pool{Ready: []routing.Replica{cold}}, coordination.ReasonCold},
-		{"one rests, others have ended", routing.Pool{Ready: []routing.Replica{warm, resting}}, coordination.ReasonResting},
+		{"one is backing off, others have terminated", routing.Pool{Ready: []routing.Replica{warm, resting}}, coordination.ReasonResting},
 		{"one warm and failing", routing.Pool{Ready: []routing.Replica{warm, cold}, Evacuated: []routing.Replica{warm}}, coordination.ReasonNoUpstream},
 	} {
 		v := &routing.View{Pools: map[routing.ServiceName]*routing.Pool{"s": &c.pool}}
 		a := routing.NewAttempts(&routing.Route{MaxAttempts: 1})
 		a.NoReplica(placer.WhyNone(v, &routing.Request{Service: "s"}, epoch))
 		if got, ok := a.Outcome.(coordination.NotRun); !ok || got.Reason != c.want || got.RetryAfter <= 0 {
-			t.Errorf("%s: %s, want %s", c.name, outcomeText(a.Outcome), c.want)
+			t.Errorf("%s: outcome %s, want %s", c.name, outcomeText(a.Outcome), c.want)
 		}
 		a.Outcome = answerBroken
 		a.NoReplica(placer.WhyNone(v, &routing.Request{Service: "s"}, epoch))
 		if a.Outcome != coordination.Outcome(answerBroken) {
-			t.Errorf("%s: a request that may have run ends as %s", c.name, outcomeText(a.Outcome))
+			t.Errorf("%s: outcome of a request that may have run changed to %s", c.name, outcomeText(a.Outcome))
 		}
 	}
 }
--- a/coordination/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -35,7 +35,7 @@
 }
 
 var _ = Describe("Table", func() {
-	It("takes the longest prefix of the host", func() {
+	It("matches the longest prefix of the host's routes", func() {
 		t := table([]routing.Route{
 			{Name: "short", Host: "A.example", Prefix: "/x/", Shares: shares("plain")},
 			{Name: "long", Host: "a.example", Prefix: "/x/y/", Shares: shares("plain")},
@@ -50,7 +50,7 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	DescribeTable("refuses a route and says why", func(r routing.Route, why string) {
+	DescribeTable("rejects an invalid route and reports the reason", func(r routing.Route, why string) {
 		_, err := routing.NewTable(&routing.Config{Routes: []routing.Route{r}})
 		Expect(err).To(MatchError(ContainSubstring(why)))
 	},
@@ -59,7 +59,7 @@
 		Entry("weight", routing.Route{Name: "r", Prefix: "/", Shares: []routing.Share{{Service: "s", Weight: -1}}}, "negative"),
 	)
 
-	It("splits by weight, alike in every daemon", func() {
+	It("splits by weight, with the same result in every daemon", func() {
 		t := table([]routing.Route{{Name: "r", Host: "h", Prefix: "/", Shares: []routing.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}})
 		r, _ := t.Match("h", "/")
 		n := 0
@@ -85,7 +85,7 @@
 		}
 	})
 
-	DescribeTable("says how long a request may wait for the first configuration", func(left, age, want time.Duration) {
+	DescribeTable("bounds how long a request may wait for the first configuration", func(left, age, want time.Duration) {
 		Expect(routing.StartWait(left, age)).To(Equal(want))
 	},
 		Entry("half of the caller's time", 600*time.Millisecond, 100*time.Millisecond, 300*time.Millisecond),
@@ -93,7 +93,7 @@
 		Entry("not at all once the daemon is older", 10*time.Second, 3*time.Second, time.Duration(0)),
 	)
 
-	It("asks for a key where there are workspaces and the route is not open", func() {
+	It("requires a key if there are workspaces and the route is not public", func() {
 		v := &routing.View{Table: table([]routing.Route{closed, open}, workspace)}
 		a, d := v.Admit("h", "/c/x", "k2")
 		Expect(d).To(Equal(routing.Admitted))
@@ -179,7 +179,7 @@
 }
 
 var _ = Describe("Placement of prompts", func() {
-	It("sends requests that share a prompt to one replica, whatever their own part", func() {
+	It("sends requests that share a prompt to one replica, whatever their unshared part", func() {
 		f := newFleet("llm", sameDomain(18)...)
 		home := f.choose(chat("s"))
 		other := chat("s")
@@ -187,20 +187,20 @@
 		Expect(f.choose(other).Replica.ID).To(Equal(home.Replica.ID))
 	})
 
-	It("guesses that a prompt nobody has announced is held where its home was before the home joined", func() {
+	It("guesses that an unannounced prompt is held by the home from before the current home joined", func() {
 		f := newFleet("llm", sameDomain(18)...)
 		home := f.choose(chat("s"))
 		f.remove(home.Replica.ID)
 		Expect(home.Source.ID).To(Equal(f.choose(chat("s")).Replica.ID))
 	})
 
-	It("keeps models apart", func() {
+	It("distinguishes models", func() {
 		a, b := chat("s"), chat("s")
 		b.Model = "m2"
 		Expect(a.Key()).NotTo(Equal(b.Key()))
 	})
 
-	It("passes a crowded home by and copies the prompt from there", func() {
+	It("skips an overloaded home and copies the prompt from it", func() {
 		f := newFleet("llm", sameDomain(18)...)
 		home := f.serve(chat("s"))
 		f.load(home, 30)
@@ -208,7 +208,7 @@
 		Expect(next.Rank).To(Equal(1))
 		Expect(next.Source.ID).To(Equal(home.ID))
 		Expect(f.serve(chat("s")).ID).To(Equal(next.Replica.ID), "the same second choice everywhere")
-		Expect(f.choose(chat("s")).Source.Address).To(BeEmpty(), "it holds the prompt by now")
+		Expect(f.choose(chat("s")).Source.Address).To(BeEmpty(), "the target already holds the prompt")
 	})
 
 	It("counts what peers sent", func() {
@@ -217,7 +217,7 @@
 		f.placer.Loads.Observe("p", []routing.LoadCount{{Replica: home.Replica.LoadKey(), Requests: 30}}, epoch, routing.PeerLoadAge)
 		Expect(f.choose(chat("s")).Replica.ID).NotTo(Equal(home.Replica.ID))
 		f.placer.Loads.Observe("q", nil, epoch.Add(time.Minute), routing.PeerLoadAge)
-		Expect(f.choose(chat("s")).Replica.ID).To(Equal(home.Replica.ID), "old figures no longer count")
+		Expect(f.choose(chat("s")).Replica.ID).To(Equal(home.Replica.ID), "old counts are ignored")
 	})
 
 	It("forgets what peers sent once it is old, also where no peer sends any more", func() {
@@ -229,7 +229,7 @@
 		Expect(t.Replica.ID).To(Equal(home.Replica.ID))
 	})
 
-	It("keeps a long prompt where it is held when a replica joins that ranks above", func() {
+	It("keeps a long prompt where it is cached when a higher-ranked replica joins", func() {
 		f := newFleet("llm", sameDomain(18)...)
 		home := f.choose(chat("s")).Replica
 		f.remove(home.ID)
@@ -257,7 +257,7 @@
 		f.load(first, 1)
 		second := f.choose(short("s"))
 		Expect(second.Rank).To(Equal(1))
-		Expect(second.Source.ID).To(Equal(first.ID), "though nobody has announced it")
+		Expect(second.Source.ID).To(Equal(first.ID), "although the location was not announced")
 		f.load(second.Replica, 2)
 		Expect(f.choose(short("s")).Replica.ID).To(Equal(first.ID))
 	})
@@ -278,10 +278,10 @@
 			}
 			Expect(f.choose(short(fmt.Sprint(i))).Replica.ID).To(Equal(want.ID))
 		}
-		Expect(near).To(BeNumerically(">", 0), "or nothing was tested")
+		Expect(near).To(BeNumerically(">", 0), "the test covers no such case")
 	})
 
-	It("reads a short prompt at no more than two replicas of a fleet that nobody overloads", func() {
+	It("reads a short prompt at no more than two replicas while none is overloaded", func() {
 		f := newFleet("llm", manyDomains(66)...)
 		f.view.LargeFleet = true
 		readers := make(map[routing.ReplicaID]bool)
@@ -314,7 +314,7 @@
 		Expect(f.choose(chat("s")).Source.ID).To(Equal(home.ID))
 	})
 
-	It("sends a long prompt to where it is held, whatever the domain", func() {
+	It("sends a long prompt to the replica that holds it, whatever the domain", func() {
 		f := newFleet("llm", "z0", "z0", "z1", "z1", "z1")
 		f.view.Domain = "z1"
 		there := f.serve(chat("s"))
@@ -322,7 +322,7 @@
 		Expect(f.choose(chat("s")).Replica.ID).To(Equal(there.ID))
 	})
 
-	It("learns from peers where a prompt is held", func() {
+	It("learns from peers which replica holds a prompt", func() {
 		f, g := newFleet("llm", sameDomain(18)...), newFleet("llm", sameDomain(18)...)
 		home := f.serve(chat("s"))
 		g.placer.Cache.Observe(f.placer.Cache.TakePending(10), false, epoch)
@@ -330,7 +330,7 @@
 		Expect(g.choose(chat("s")).Source.ID).To(Equal(home.ID))
 	})
 
-	DescribeTable("copies from a home that leaves", func(leave func(*routing.Pool, routing.Replica)) {
+	DescribeTable("copies from a home that is leaving", func(leave func(*routing.Pool, routing.Replica)) {
 		f := newFleet("llm", sameDomain(18)...)
 		home := f.serve(chat("s"))
 		f.remove(home.ID)
@@ -340,10 +340,10 @@
 		Expect(t.Source.ID).To(Equal(home.ID))
 	},
 		Entry("draining", func(p *routing.Pool, r routing.Replica) { p.Draining = append(p.Draining, r) }),
-		Entry("vanished", func(p *routing.Pool, r routing.Replica) { p.Expired = append(p.Expired, r) }),
+		Entry("expired", func(p *routing.Pool, r routing.Replica) { p.Expired = append(p.Expired, r) }),
 	)
 
-	It("does not copy from a replica that can't be reached", func() {
+	It("does not copy from an unreachable replica", func() {
 		f := newFleet("llm", sameDomain(18)...)
 		home := f.serve(chat("s"))
 		f.placer.Health.Report(&home, routing.ResultUnreachable, epoch)
@@ -352,7 +352,7 @@
 		Expect(t.Source.ID).NotTo(Equal(home.ID))
 	})
 
-	It("does not choose what was tried, unless nothing is left", func() {
+	It("does not choose a replica again that was tried", func() {
 		f := newFleet("llm", sameDomain(2)...)
 		first := f.choose(chat("s")).Replica.ID
 		second := f.choose(chat("s"), first).Replica.ID
@@ -371,7 +371,7 @@
 		for i := range 100 {
 			a, b := f.choose(chat(fmt.Sprint(i))).Replica.ID, g.choose(chat(fmt.Sprint(i))).Replica.ID
 			if a != b && b != joined {
-				t.Fatalf("prompt %d moved from %s to %s, which did not join", i, a, b)
+				t.Fatalf("prompt %d moved from %s to %s, which is not the new replica", i, a, b)
 			}
 		}
 	})
@@ -392,7 +392,7 @@
 		mean := float64(requests) / 18
 		for id, n := range counts {
 			if float64(n) > 2*mean+3 {
-				t.Fatalf("replica %s holds %d of %d requests", id, n, requests)
+				t.Fatalf("replica %s has %d of %d requests in flight", id, n, requests)
 			}
 		}
 	})
@@ -403,14 +403,14 @@
 		return &routing.Request{ID: routing.RequestID(id), Service: "plain"}
 	}
 
-	It("prefers near replicas until they are busy", func() {
+	It("prefers replicas of its own domain until they are busy", func() {
 		f := newFleet("plain", "z0", "z1", "z2")
 		Expect(f.choose(plain("a")).Replica.Domain).To(Equal(state.FailureDomain("z0")))
 		f.load(f.pool.Ready[0], 3)
 		Expect(f.choose(plain("a")).Replica.Domain).NotTo(Equal(state.FailureDomain("z0")))
 	})
 
-	It("spreads over equal replicas", func() {
+	It("spreads requests over equally loaded replicas", func() {
 		f := newFleet("plain", sameDomain(4)...)
 		counts := make(map[routing.ReplicaID]int)
 		for i := range 400 {
@@ -429,14 +429,14 @@
 
 	BeforeEach(func() { h = routing.NewHealth() })
 
-	It("ejects a replica that takes no connection at once, and tries it again", func() {
+	It("ejects an unreachable replica at once, and uses it again after a pause", func() {
 		Expect(h.Report(&r, routing.ResultUnreachable, epoch)).To(BeTrue())
 		Expect(h.Usable(&r, epoch)).To(BeFalse())
 		Expect(h.Reachable(&r, epoch)).To(BeFalse())
 		Expect(h.Usable(&r, epoch.Add(600*time.Millisecond))).To(BeTrue())
 	})
 
-	It("waits longer each time", func() {
+	It("lengthens the pause with each ejection", func() {
 		at := epoch
 		var pauses []time.Duration
 		for range 5 {
@@ -451,7 +451,7 @@
 		Expect(pauses[4]).To(BeNumerically("<=", 4*time.Second))
 	})
 
-	It("does not eject a replica that spoils a few answers", func() {
+	It("does not eject a replica with a few broken responses", func() {
 		for i := range 200 {
 			at := epoch.Add(time.Duration(i) * 10 * time.Millisecond)
 			result := routing.ResultGood
@@ -463,7 +463,7 @@
 		}
 	})
 
-	It("finds a grey replica on the sum of what daemons saw, earlier than one daemon could", func() {
+	It("detects a partially failing replica by the combined evidence of all daemons, earlier than one daemon could", func() {
 		Expect(h.Report(&r, routing.ResultFailed, epoch)).To(BeFalse())
 		for i := range 3 {
 			h.Observe(routing.PeerID(fmt.Sprint(i)), []routing.Evidence{{Replica: r.LoadKey(), Good: 1, Bad: 1}}, epoch, routing.PeerEvidenceAge)
@@ -472,7 +472,7 @@
 		Expect(h.Reachable(&r, epoch)).To(BeTrue(), "prompts can still be copied from it")
 	})
 
-	It("excludes a domain whose daemons all fell silent, until one is heard from", func() {
+	It("excludes a domain whose daemons are all silent, until a heartbeat arrives from one", func() {
 		h.ObserveDomains(map[state.FailureDomain]time.Time{"z1": epoch}, routing.DomainTimeout)
 		Expect(h.Usable(&r, epoch)).To(BeTrue())
 		later := epoch.Add(2 * time.Second)
@@ -481,7 +481,7 @@
 		Expect(h.Usable(&r, later)).To(BeTrue())
 	})
 
-	It("keeps to its own domain while all others are cut off, though most replicas are there", func() {
+	It("uses only its own domain while all others are cut off, even if they have most of the replicas", func() {
 		f := newFleet("llm", "z0", "z1", "z1", "z2", "z2", "z2", "z2")
 		for _, z := range []string{"z1", "z2"} {
 			f.placer.Health.ObserveDomains(map[state.FailureDomain]time.Time{state.FailureDomain(z): epoch.Add(-time.Second)}, routing.DomainTimeout)
@@ -490,7 +490,7 @@
 			Expect(f.choose(chat(fmt.Sprint(i))).Replica.Domain).To(Equal(state.FailureDomain("z0")))
 		}
 		f.pool.Ready = f.pool.Ready[1:]
-		Expect(f.choose(chat("s")).Replica.Domain).NotTo(BeEmpty(), "anything is better than nothing")
+		Expect(f.choose(chat("s")).Replica.Domain).NotTo(BeEmpty(), "a replica that is cut off is better than none")
 	})
 
 	It("goes to its own domain after a replica of another one could not be reached", func() {
@@ -504,7 +504,7 @@
 		}
 		tried.Replicas = append(tried.Replicas, "r0")
 		_, ok := f.placer.Choose(f.view, &routing.Request{ID: "x", Service: "gate"}, tried, epoch)
-		Expect(ok).To(BeTrue(), "others where the own domain has none left")
+		Expect(ok).To(BeTrue(), "other domains are used when the own domain has no replica left")
 	})
 
 	It("refuses at once what only replicas behind a cut could serve, and finds out when they are back", func() {
@@ -517,23 +517,23 @@
 			_, ok := f.placer.Choose(f.view, r, routing.Tried{Replicas: tried}, now)
 			return ok
 		}
-		Expect(choose(epoch)).To(BeTrue(), "silence of daemons alone proves nothing of replicas")
+		Expect(choose(epoch)).To(BeTrue(), "missing heartbeats of daemons alone do not exclude replicas")
 		h.Report(&f.pool.Ready[0], routing.ResultUnreachable, epoch)
 		Expect(choose(epoch)).To(BeTrue(), "the other domain is not tried yet")
 		h.Report(&f.pool.Ready[1], routing.ResultUnreachable, epoch)
 		Expect(choose(epoch)).To(BeFalse())
 		Expect(choose(epoch.Add(time.Second))).To(BeTrue(), "it is tried again")
 		h.ObserveDomains(map[state.FailureDomain]time.Time{"z1": epoch}, routing.DomainTimeout)
-		Expect(choose(epoch)).To(BeTrue(), "a daemon there is heard again")
+		Expect(choose(epoch)).To(BeTrue(), "a heartbeat from that domain arrived")
 	})
 
-	It("does not hold the silence of a domain against it for ever", func() {
+	It("forgets the silence of a domain after some time", func() {
 		h.ObserveDomains(map[state.FailureDomain]time.Time{"z1": epoch}, routing.DomainTimeout)
 		h.Forget("z0", epoch.Add(time.Minute))
 		Expect(h.Usable(&r, epoch.Add(time.Minute))).To(BeTrue())
 	})
 
-	It("is not asked where most replicas look ill", func() {
+	It("is ignored while most replicas look unhealthy", func() {
 		f := newFleet("llm", sameDomain(4)...)
 		for i := range f.pool.Ready[:3] {
 			f.placer.Health.Report(&f.pool.Ready[i], routing.ResultUnreachable, epoch)
@@ -582,7 +582,7 @@
 			most := max(sum(firsts, end-window, end), sum(firsts, end-window-window/2, end-window/2))
 			allowed := rule.Ratio*float64(most) + rule.Extra
 			if spent := sum(repeats, end-window, end); float64(spent) > allowed {
-				t.Fatalf("%d repeats in the window that ends at step %d, %.0f allowed", spent, end, allowed)
+				t.Fatalf("%d retries in the window that ends at step %d, want at most %.0f", spent, end, allowed)
 			}
 		}
 	})
@@ -597,12 +597,12 @@
 		n++
 	}
 	if n > 10 {
-		t.Fatalf("a daemon that sees 2 of 8 daemons spent %d of 80", n)
+		t.Fatalf("a daemon that sees 2 of 8 daemons spent %d retries of 80", n)
 	}
 }
 
 var _ = Describe("CacheTable", func() {
-	It("announces each location twice and no more", func() {
+	It("announces each location exactly twice", func() {
 		h := routing.NewCacheTable()
 		h.Record(1, 1000, 2, true, epoch)
 		h.Record(1, 1000, 2, true, epoch)
@@ -611,7 +611,7 @@
 		Expect(h.TakePending(10)).To(BeEmpty())
 	})
 
-	It("forwards what it received once, and only in a large fleet", func() {
+	It("forwards received locations once, and only in a large fleet", func() {
 		h := routing.NewCacheTable()
 		h.Observe([]routing.CacheLocation{{Prompt: 1, Replica: 2}}, false, epoch)
 		Expect(h.TakePending(10)).To(BeEmpty())
@@ -621,7 +621,7 @@
 		Expect(h.TakePending(10)).To(BeEmpty())
 	})
 
-	It("spreads over a large fleet", func() {
+	It("reaches most daemons of a large fleet", func() {
 		const daemons = 100
 		rng := rand.New(rand.NewPCG(1, 1))
 		tables := make([]*routing.CacheTable, daemons)
@@ -658,7 +658,7 @@
 	key := func(host, target string, w routing.WorkspaceName, body string) routing.ContentKey {
 		return routing.NewContentKey(host, target, w, []byte(body))
 	}
-	It("is the same for one request, also where the host is written in other letters", func() {
+	It("is the same for the same request, regardless of the case of the host", func() {
 		Expect(key("H.example", "/a", "w", "b")).To(Equal(key("h.example", "/a", "w", "b")))
 	})
 	DescribeTable("differs", func(other routing.ContentKey) {
@@ -669,21 +669,21 @@
 		Entry("for a query", key("h", "/a?", "w", "b")),
 		Entry("for another workspace", key("h", "/a", "v", "b")),
 		Entry("for another body", key("h", "/a", "w", "c")),
-		Entry("where the parts only join to the same text", key("h", "/aw", "", "b")),
+		Entry("if only the concatenation of the parts is equal", key("h", "/aw", "", "b")),
 	)
 })
 
 var _ = Describe("Incarnations of a replica", func() {
-	It("keep its place in the order, and share nothing that is held of it", func() {
+	It("have the same rank, but different load keys", func() {
 		first := routing.NewReplica(routing.Replica{ID: "i", Born: 1})
 		second := routing.NewReplica(routing.Replica{ID: "i", Born: 2})
 		Expect(second.Hash).To(Equal(first.Hash))
 		Expect(second.LoadKey()).NotTo(Equal(first.LoadKey()))
 		unknown := routing.NewReplica(routing.Replica{ID: "i"})
-		Expect(unknown.LoadKey()).To(Equal(routing.LoadKey(unknown.Hash)), "as daemons name it that know no incarnations")
+		Expect(unknown.LoadKey()).To(Equal(routing.LoadKey(unknown.Hash)), "the key used by daemons that do not know incarnations")
 	})
 
-	DescribeTable("are told apart as holders of a prompt", func(holder routing.Born, taken bool) {
+	DescribeTable("are distinguished as holders of a prompt", func(holder routing.Born, taken bool) {
 		f := newFleet("llm", sameDomain(18)...)
 		r := chat("s")
 		home := f.choose(r).Replica
@@ -701,7 +701,7 @@
 		f.placer.Cache.Record(r.Key(), r.SharedTokens(), former.LoadKey(), false, epoch)
 		Expect(f.choose(r).Replica.ID == third.ID).To(Equal(taken))
 	},
-		Entry("one that holds it", routing.Born(2), true),
-		Entry("one whose former start held it", routing.Born(1), false),
+		Entry("the current incarnation holds it", routing.Born(2), true),
+		Entry("a former incarnation held it", routing.Born(1), false),
 	)
 })
--- a/coordination/routing/table.go
+++ b/coordination/routing/table.go
@@ -80,12 +80,12 @@
 		return &InvalidRouteError{r.Name, fmt.Sprintf("prefix %q does not begin and end with a slash", r.Prefix), "correct it"}
 	}
 	if len(r.Shares) == 0 {
-		return &InvalidRouteError{r.Name, "no service is named", "name one or a split"}
+		return &InvalidRouteError{r.Name, "no service is configured", "set a service or a traffic split"}
 	}
 	r.totalWeight = 0
 	for _, s := range r.Shares {
 		if s.Weight < 0 {
-			return &InvalidRouteError{r.Name, fmt.Sprintf("weight of service %q is negative", s.Service), "write 0 or more"}
+			return &InvalidRouteError{r.Name, fmt.Sprintf("weight of service %q is negative", s.Service), "use 0 or more"}
 		}
 		r.totalWeight += s.Weight
 	}
