--- a/coordination/routing/place_bench_test.go
+++ b/coordination/routing/place_bench_test.go
@@ -9,8 +9,8 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// BenchmarkPlace chooses replicas in pools of several sizes, with loads of this
-// daemon and its peers and some replicas that are passed over.
+// BenchmarkPlace chooses replicas in pools of several sizes, with loads from this daemon's peers
+// and one ejected replica.
 func BenchmarkPlace(b *testing.B) {
 	for _, kind := range []string{"prompt", "plain"} {
 		for _, n := range []int{20, 190, 1000, 4500, 10000, 20000} {
@@ -35,7 +35,7 @@
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
 					if _, ok := f.placer.Choose(f.view, requests[i%len(requests)], routing.Tried{}, epoch); !ok {
-						b.Fatal("nothing chosen")
+						b.Fatal("no replica chosen")
 					}
 				}
 			})
