--- a/coordination/routing/barred.go
+++ b/coordination/routing/barred.go
@@ -1,10 +1,12 @@
-// This file joins the rules by which a replica gets nothing, whatever else is left: it asked this
-// daemon for rest (resting.go), or it said that it leaves (leaving.go). Both are its own word: what
-// may end in a refusal must be certain. That it has ended (ended.go) or fails (eject.go) is what
-// others conclude, and yields where nothing else is left.
+// This file combines the rules by which a replica is ineligible, that is, gets no request even if
+// no other replica is left: it requested a backoff from this daemon (resting.go), or it announced
+// that it is leaving (leaving.go). Both come from the replica itself, because a rule that can
+// lead to a refused request must not be based on an inference. That a replica has terminated
+// (ended.go) or fails (eject.go) is inferred by daemons, and is ignored if no other replica is
+// left.
 //
-// They hold for each choice, and once more right before the first byte of a request is written:
-// a connection may take a while to come up.
+// The rules are applied on each choice, and again right before the first byte of a request is
+// written, because opening a connection may take a while.
 
 package routing
 
@@ -14,14 +16,14 @@
 	"hingewinch.org/hingewinch/coordination"
 )
 
-// replicaSet is a set of the ready replicas of a pool, by their place there. Mostly it is empty, and
-// nil, which costs a choice nothing.
+// replicaSet is a set of ready replicas of a pool, indexed by their positions in Pool.Ready. It
+// is usually empty and then nil, so that a choice costs no allocation.
 type replicaSet []bool
 
-// has reports whether the replica at a place is in the set.
+// has reports whether the set contains the replica at position i.
 func (s replicaSet) has(i int) bool { return len(s) > 0 && s[i] }
 
-// with returns the set with a replica added to it, of a pool of n.
+// with returns the set with the replica at position i added; n is the size of the pool.
 func (s replicaSet) with(i, n int) replicaSet {
 	if s == nil {
 		s = make(replicaSet, n)
@@ -30,7 +32,7 @@
 	return s
 }
 
-// barred returns which ready replicas of a pool get nothing.
+// ineligible returns the ready replicas of a pool that must not get any request.
 func (p *Placer) barred(pool *Pool, now time.Time) replicaSet {
 	barred := p.Leavings.among(pool)
 	if !p.Rests.Known() {
@@ -44,13 +46,13 @@
 	return barred
 }
 
-// Bars reports whether a replica gets nothing.
+// Bars reports whether a replica must not get any request.
 func (p *Placer) Bars(r *Replica, now time.Time) bool {
 	return p.Rests.Left(r, now) > 0 || p.Leavings.Leaves(r)
 }
 
-// WhyNone says why a request found no replica that may be chosen, and when its caller should
-// come back.
+// WhyNone returns the reason why no replica can be chosen for a request, and the time after which
+// its caller should retry.
 func (p *Placer) WhyNone(v *View, r *Request, now time.Time) coordination.NotRun {
 	pool := v.Pool(r.Service)
 	back, rests := p.Rests.backIn(pool, r.ID, now)
--- a/coordination/routing/cold.go
+++ b/coordination/routing/cold.go
@@ -1,28 +1,29 @@
-// This file bounds what cold replicas get: those that started or came back a moment ago and
-// bear only some requests a second until they are warm.
+// This file limits the request rate of cold replicas: those that started, or whose failure domain
+// came back, a moment ago, and that can serve only some requests a second until they are warm.
 //
-// Inputs: until when each replica is cold, by its own entry or because its domain was taken
-// back (evacuate.go); how many requests a second a cold one bears, which the service's
-// configuration publishes; and the greatest number of daemons that was ever known. What is
-// promised: all daemons together, in touch or not, send a cold replica at most one and a half
-// times that rate and some more in any second. The rule:
+// Inputs: until when each replica is cold, from its own store entry or because the evacuation of
+// its domain ended (evacuate.go); how many requests a second a cold replica can serve, from the
+// service's configuration; and the largest number of daemons ever known. Guarantee: all daemons
+// together, connected to each other or not, send a cold replica in any second at most one and a
+// half times that rate, plus a small constant. The rule:
 //
-//  1. While the warm ones are at least warmShare of the replicas that may be chosen, cold
-//     ones get nothing. That holds whatever the daemons know of each other.
-//  2. Else a daemon sends a cold replica, in any second, a whole number of requests: its
-//     equal part of coldShare of the rate, rounded up or down by a hash of the daemon and
-//     the replica. In a large fleet a part is far below one, so that a few daemons, others
-//     for each replica, send it one a second each, and the rest nothing. Nobody is asked.
-//  3. The parts are shares of the greatest fleet that was ever known: daemons that are cut
-//     off go on spending theirs. A daemon that has just started assumes assumedFleet until
-//     it has been told of the fleet (FleetKnownAfter), so that a start of all at once,
-//     each of which knows only itself, sends next to nothing.
-//  4. A request that no part is left for goes to a warm replica if there is one, else it is
-//     refused at once, as not run.
+//  1. While warm replicas are at least warmFraction of the replicas that may be chosen, cold ones
+//     get nothing. This needs no knowledge of other daemons.
+//  2. Otherwise a daemon sends a cold replica a whole number of requests in any second: its equal
+//     part of coldFraction of the rate, rounded up or down by a hash of the daemon and the
+//     replica. In a large fleet the part is far below one, so that a few daemons, different ones
+//     for each replica, send one request a second each, and the others none. This needs no
+//     coordination.
+//  3. The rate is divided by the largest fleet size ever known, because daemons that are cut off
+//     go on using their parts. A daemon that has just started assumes assumedFleetSize until it
+//     has learned the fleet's size (FleetKnownAfter). Daemons that all start at once, each of
+//     which knows only itself, therefore send next to nothing.
+//  4. A request that exceeds this daemon's quota goes to a warm replica if there is one;
+//     otherwise it is refused at once as not run.
 //
-// The number of senders that rounding gives a replica is spread like a Poisson variable. With
-// coldShare at .5 of 13 a second it passes the promised 24 for one replica in 37 million; at
-// .75 for one in 32 thousand.
+// Because of the rounding, the number of daemons that send to one replica is approximately
+// Poisson distributed. With coldFraction at .5 of 13 a second it exceeds the guaranteed 24 for
+// one replica in 37 million; at .75, for one in 32 thousand.
 
 package routing
 
@@ -36,40 +37,41 @@
 )
 
 const (
-	// warmShare is the part of a service's usable replicas from which on the warm ones serve
+	// warmFraction is the fraction of a service's usable replicas from which the warm ones serve
 	// alone. A failure domain that comes back is a quarter to a half of a service.
 	warmShare = 0.5
-	// coldShare is the part of a cold replica's rate that is spent.
+	// coldFraction is the fraction of a cold replica's rate that daemons use.
 	coldShare = 0.5
-	// coldWindow is the time that the rate is counted in.
+	// coldWindow is the sliding window in which requests are counted.
 	coldWindow = time.Second
-	// assumedFleet is the number of daemons that one assumes that knows no others yet: a
-	// fleet of up to three times as many, of which none knows another, still keeps the bound.
+	// assumedFleetSize is the number of daemons assumed by a daemon that knows no others yet. Up
+	// to three times as many daemons, none of which knows another, still keep the limit.
 	assumedFleet = 1000
-	// FleetKnownAfter is how long after its start a daemon assumes assumedFleet: some twelve
+	// FleetKnownAfter is how long after its start a daemon assumes assumedFleetSize: about twelve
 	// heartbeats of a large fleet, each of which carries the fleet's size.
 	FleetKnownAfter = 5 * time.Second
-	// maxRates is the number of replicas above which those that got nothing lately are
-	// forgotten. A daemon sends to a hundred cold ones at most, by its parts.
+	// maxTracked is the number of replicas above which those without recent requests are removed.
+	// By its quotas a daemon sends to at most a hundred cold replicas.
 	maxRates = 1000
 )
 
-// ColdRates holds what this daemon has sent to cold replicas. It is safe for use by many
-// goroutines. A nil one bounds nothing.
+// ColdRates limits the requests that this daemon sends to cold replicas. It is safe for
+// concurrent use. A nil *ColdRates sets no limit.
 type ColdRates struct {
 	daemon PeerID
 
 	mu      sync.Mutex
-	daemons int // that share a rate; 0: not known yet
+	daemons int // largest number of daemons known; 0: not known yet
 	sent    map[LoadKey][]time.Time
 }
 
-// NewColdRates returns the rates of one daemon, which is named in its fleet by the given id.
+// NewColdRates returns the limiter of the daemon with the given id.
 func NewColdRates(daemon PeerID) *ColdRates {
 	return &ColdRates{daemon: daemon, sent: make(map[LoadKey][]time.Time)}
 }
 
-// SetDaemons sets how many daemons share a replica's rate. The number never falls.
+// SetDaemons sets the number of daemons that share a replica's rate. A smaller number than before
+// is ignored.
 func (c *ColdRates) SetDaemons(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,12 +81,12 @@
 // IsCold reports whether a replica is cold.
 func (r *Replica) IsCold(now time.Time) bool { return now.Before(r.ColdUntil) }
 
-// allCold reports whether there are ready replicas and all are cold.
+// allCold reports whether the pool has ready replicas and all of them are cold.
 func (p *Pool) allCold(now time.Time) bool {
 	return len(p.Ready) > 0 && !slices.ContainsFunc(p.Ready, func(r Replica) bool { return !r.IsCold(now) })
 }
 
-// allows reports whether a request may go to a replica of a service.
+// allows reports whether this daemon may send a request to a replica of service s now.
 func (c *ColdRates) allows(r *Replica, s *Service, now time.Time) bool {
 	if !c.bounds(r, s, now) {
 		return true
@@ -94,7 +96,8 @@
 	return len(c.recent(r.LoadKey(), now)) < c.part(r, s)
 }
 
-// take counts a request that goes to a replica of a service. It returns false if it may not.
+// reserve counts a request that is about to be sent to a replica of service s. It returns false
+// if the quota is used up.
 func (c *ColdRates) take(r *Replica, s *Service, now time.Time) bool {
 	if !c.bounds(r, s, now) {
 		return true
@@ -113,21 +116,20 @@
 	return true
 }
 
-// forget drops the replicas that got nothing in the last coldWindow. The caller holds the
-// lock.
+// forget removes the replicas without a request in the last coldWindow. c.mu must be held.
 func (c *ColdRates) forget(now time.Time) {
 	for key := range c.sent {
 		c.recent(key, now)
 	}
 }
 
-// bounds reports whether there is a bound on what a replica gets.
+// isLimited reports whether the rate of a replica is limited.
 func (c *ColdRates) bounds(r *Replica, s *Service, now time.Time) bool {
 	return c != nil && s != nil && s.ColdPerSecond > 0 && r.IsCold(now)
 }
 
-// recent returns when requests of the last coldWindow went to a replica, and forgets older
-// ones. The caller holds the lock.
+// recent returns the times of the requests sent to a replica within the last coldWindow, and
+// removes older ones. c.mu must be held.
 func (c *ColdRates) recent(key LoadKey, now time.Time) []time.Time {
 	sent := c.sent[key]
 	for len(sent) > 0 && now.Sub(sent[0]) > coldWindow {
@@ -141,8 +143,8 @@
 	return sent
 }
 
-// part returns how many requests this daemon may send to a cold replica in any coldWindow,
-// by rule 2. The caller holds the lock.
+// quota returns how many requests this daemon may send to a cold replica in any coldWindow, by
+// rule 2. c.mu must be held.
 func (c *ColdRates) part(r *Replica, s *Service) int {
 	daemons := c.daemons
 	if daemons == 0 {
--- a/coordination/routing/cold_test.go
+++ b/coordination/routing/cold_test.go
@@ -14,19 +14,19 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// What a cold replica bears, and what all daemons together may send it in any second: one
-// and a half times as much and 5.
+// The request rate that a cold replica can serve, and the number of requests that all daemons
+// together may send it in any second: one and a half times as much, plus 5.
 const (
 	coldPerSecond = 13
 	mostWhileCold = 24
 	coldStart     = 3 * time.Second
 )
 
-// coldWorld is a fleet of which each daemon has more requests than cold replicas bear. Its
-// replicas stand in as many domains as its daemons.
+// coldFleetSim simulates a fleet in which each daemon has more requests than cold replicas can
+// serve. Replicas and daemons are spread over the same failure domains.
 type coldWorld struct {
 	rng     *rand.Rand
-	view    map[state.FailureDomain]*routing.View // by the domain of the daemon
+	view    map[state.FailureDomain]*routing.View // by failure domain of the daemon
 	daemons []*coldDaemon
 	arrived map[routing.ReplicaID][]time.Time
 	refused int
@@ -62,8 +62,8 @@
 	return w
 }
 
-// cut parts a domain from the others: its daemons reach its replicas alone, and no other
-// daemon reaches them.
+// cut disconnects a domain from the others: its daemons reach only its own replicas, and no other
+// daemon reaches these.
 func (w *coldWorld) cut(domain state.FailureDomain) {
 	for d, v := range w.view {
 		pool := &routing.Pool{}
@@ -77,7 +77,7 @@
 	}
 }
 
-// run has each daemon place a request each 50 ms, at moments of its own.
+// run lets each daemon place a request every 50 ms, with a random offset.
 func (w *coldWorld) run(from, d time.Duration) {
 	const step = 50 * time.Millisecond
 	for at := from; at < from+d; at += step {
@@ -95,7 +95,7 @@
 	}
 }
 
-// most returns how many requests reached one replica in any second at most.
+// most returns the largest number of requests that reached one replica within any second.
 func (w *coldWorld) most() int {
 	most := 0
 	for _, list := range w.arrived {
@@ -114,10 +114,10 @@
 
 var fleetSizes = []int{8, 65, 300, 930}
 
-// TestAColdReplicaKeepsItsRate is the heaviest moment of a fleet whose replicas all came back
-// cold: each daemon has ten times the requests that they bear. Daemons believe different
-// sizes of the fleet, some or all have started a moment ago, and one domain may be cut off
-// with what only it knows. No replica may get more than promised in any second.
+// TestAColdReplicaKeepsItsRate checks the rate limit under the heaviest load: all replicas of the
+// fleet came back cold, and each daemon has ten times the requests that they can serve. Daemons
+// know different fleet sizes, some or all have just started, and one domain may be cut off, whose
+// daemons know only each other.
 func TestAColdReplicaKeepsItsRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		RegisterTestingT(t)
@@ -140,19 +140,19 @@
 		}
 		w.run(0, 1500*time.Millisecond)
 		if most := w.most(); most > mostWhileCold {
-			t.Fatalf("%d requests reached a cold replica within a second, at most %d may", most, mostWhileCold)
+			t.Fatalf("%d requests reached a cold replica within a second, want at most %d", most, mostWhileCold)
 		}
 	})
 }
 
-// TestTheLoadOfColdReplicasBreaksWhatKeepsNoRate holds that the load above is heavy enough: a
-// cold replica gets too much without a rate, and with one that each daemon makes of the
-// daemons that it knows when all have started a moment ago and know only themselves.
+// TestColdLoadExceedsUnlimitedRate checks that the load above is heavy enough to exceed the limit
+// if there is no rate limit, or if each daemon derives its quota from the daemons it knows when
+// all have just started and know only themselves.
 func TestTheLoadOfColdReplicasBreaksWhatKeepsNoRate(t *testing.T) {
 	RegisterTestingT(t)
 	for name, naive := range map[string]func(*routing.Placer){
-		"no rate":                 func(p *routing.Placer) { p.Cold = nil },
-		"the daemons that I know": func(p *routing.Placer) { p.Cold.SetDaemons(1) },
+		"no rate":                      func(p *routing.Placer) { p.Cold = nil },
+		"quota from the known daemons": func(p *routing.Placer) { p.Cold.SetDaemons(1) },
 	} {
 		for _, n := range fleetSizes {
 			w := newColdWorld(n, 8, 4, 1)
@@ -161,14 +161,15 @@
 			}
 			w.run(0, 1500*time.Millisecond)
 			if most := w.most(); most <= mostWhileCold {
-				t.Errorf("%s, %d daemons: %d in a second; the load is too light to find a fault", name, n, most)
+				t.Errorf("%s, %d daemons: %d in a second; the load is too light to exceed the limit", name, n, most)
 			}
 		}
 	}
 }
 
-// TestPartsOfARateAreSpreadEvenly counts the parts of 930 daemons at 4,500 replicas: rounding
-// gives no replica more senders than it bears, and the mean is the share that is spent.
+// TestPartsOfARateAreSpreadEvenly adds up the quotas of 930 daemons at 4,500 replicas: rounding
+// must give no replica more senders than it can serve, and the mean must be coldFraction of the
+// rate.
 func TestPartsOfARateAreSpreadEvenly(t *testing.T) {
 	RegisterTestingT(t)
 	const daemons, replicas = 930, 4500
@@ -186,10 +187,10 @@
 		sum, most = sum+n, max(most, n)
 	}
 	if most > mostWhileCold {
-		t.Errorf("a replica has %d senders, at most %d may be", most, mostWhileCold)
+		t.Errorf("a replica has %d senders, want at most %d", most, mostWhileCold)
 	}
 	if mean := float64(sum) / replicas; mean < .45*coldPerSecond || mean > .55*coldPerSecond {
-		t.Errorf("%.2f requests a second are spent on a replica, want half of %d", mean, coldPerSecond)
+		t.Errorf("%.2f requests a second are sent to a replica, want half of %d", mean, coldPerSecond)
 	}
 }
 
@@ -216,7 +217,7 @@
 		}
 	})
 
-	It("get their part where fewer are warm, and the rest goes to warm ones", func() {
+	It("get their quota while fewer are warm, and the rest goes to warm ones", func() {
 		f := coldFleet(sameDomain(8)...)
 		turnCold(f, 6)
 		cold := make(map[routing.ReplicaID]int)
@@ -231,7 +232,7 @@
 		}
 	})
 
-	It("serve within their rate where none is warm, and refuse the rest at once", func() {
+	It("get requests within their rate while none is warm, and the rest is refused at once", func() {
 		f := coldFleet(sameDomain(8)...)
 		turnCold(f, 8)
 		served := 0
@@ -244,10 +245,10 @@
 		Expect(served).To(BeNumerically("<=", 8))
 	})
 
-	// A failure domain is emptied and comes back cold: the prompts whose home is there were
-	// served by others meanwhile, which hold them. Expected at their homes they would be read
-	// again, all in the seconds after the return.
-	It("are no sources of prompts that they held before, and copy them", func() {
+	// When a failure domain is evacuated and comes back cold, other replicas have cached the
+	// prompts whose home is there. If these were still expected at their homes, they would be
+	// read again, all within the seconds after the return.
+	It("are not sources of prompts cached before they went cold, and copy them", func() {
 		f := newFleet("llm", sameDomain(18)...)
 		home := f.serve(chat("s"))
 		f.remove(home.ID)
@@ -262,7 +263,7 @@
 		Expect(t.Source.ID).To(Equal(meanwhile.ID))
 	})
 
-	It("are like others once they are warm", func() {
+	It("are treated like others once they are warm", func() {
 		f := coldFleet(sameDomain(8)...)
 		home := f.choose(chat("s")).Replica.ID
 		turnCold(f, 8)
@@ -272,15 +273,14 @@
 	})
 })
 
-// Seen: a daemon refused for over a second what a living replica could serve. All others had
-// just started, and the daemon had no part of what cold ones bear.
-// Cause: the replica was ejected for some refusals, and cold ones that get nothing counted as what
-// is left without it.
+// A daemon refused requests for over a second although a live replica could serve them. The
+// replica was ejected after some refusals, all others had just started and the daemon's quota for
+// these was 0, but they counted as usable, so that the ejection was not ignored.
 func TestAnEjectedReplicaIsBetterThanColdOnesThatGetNothing(t *testing.T) {
 	RegisterTestingT(t)
 	f := newFleet("llm", sameDomain(3)...)
 	f.view.Table, _ = routing.NewTable(&routing.Config{Services: []routing.Service{{Name: "llm", Generates: true, ColdPerSecond: coldPerSecond}}})
-	f.placer.Cold = routing.NewColdRates("10.0.0.1:1") // it does not know its fleet
+	f.placer.Cold = routing.NewColdRates("10.0.0.1:1") // it does not know the fleet's size
 	f.pool.Sort()
 	warm := f.pool.Ready[0]
 	for i := range f.pool.Ready[1:] {
@@ -293,6 +293,6 @@
 		t.Errorf("chosen is %q (%t), want %s", target.Replica.ID, ok, warm.ID)
 	}
 	if _, ok := f.placer.Choose(f.view, chat("s"), routing.Tried{Replicas: []routing.ReplicaID{warm.ID}}, epoch); ok {
-		t.Error("a replica that was tried is chosen again, or a cold one that gets nothing")
+		t.Error("a replica that was already tried, or a cold one without quota, is chosen")
 	}
 }
--- a/coordination/routing/crash.go
+++ b/coordination/routing/crash.go
@@ -1,33 +1,37 @@
-// This file decides which requests are held back because replicas end under them: a request
-// may crash each replica that begins to run it, and its caller comes again at any daemon, with
-// the same path and body under another id.
+// This file decides which requests are quarantined because replicas crash while serving them.
+// Such a request may crash every replica that begins to run it, and its caller retries it at any
+// daemon with the same path and body under another request id.
 //
-// Inputs: the ends of replicas under requests, as this daemon saw them (transport/relay finds
-// out whether a replica has ended) and as others report them; whole answers; operators'
-// releases. A request is known by its [ContentKey], its caller by its workspace. The rule:
+// Inputs: crashes of replicas with requests in flight, as seen by this daemon (transport/relay
+// detects whether a replica process has terminated) and as reported by others; complete
+// responses; releases by operators. A request is identified by its [ContentKey], its caller by
+// its workspace. The rule:
 //
-//  1. All that ran at a replica when it ended are suspects. A replica ends once, whoever saw it:
-//     one that starts again is another one ([Replica.LoadKey]).
-//  2. A whole answer acquits: the ends of its content until then count no more, here and at all
-//     daemons. So does an operator's release.
-//  3. A content with heldEnds ends is held back: no daemon sends it to a replica, be it the
-//     first attempt, a retry or the rest of a stream. Nothing but rule 2 ends that. There is no
-//     probe after a time: callers are promised that such a request reaches replicas three times
-//     more at most, ever, and that allowance is left to daemons that do not know yet.
-//  4. What is new is reported at once, and passed on once by every daemon that learns of it, those
-//     contents first that have the most ends. One daemon, drawn by chance, is sent all again
-//     each second (daemon/routes), and one that has just been found at once: a lost
-//     datagram, a cut and a restart are made good by that.
+//  1. All requests in flight at a replica when it crashes are suspects. A replica crashes once,
+//     however many daemons see it; after a restart it is another incarnation with another
+//     [Replica.LoadKey].
+//  2. A complete response clears a content: crashes counted against it until then no longer
+//     count, at any daemon. A release by an operator does the same.
+//  3. A content with crashesToQuarantine crashes is quarantined: no daemon sends it to a replica,
+//     neither as a first attempt nor as a retry nor as the remainder of a stream. Only rule 2
+//     ends that. There is no probe after some time: callers are promised that such a request
+//     reaches at most three more replicas, ever, and that allowance is used up by daemons that
+//     don't know of the crashes yet.
+//  4. A new report is sent to other daemons at once, and forwarded once by each daemon that
+//     receives it; contents with the most crashes go first. In addition, each second one random
+//     daemon is sent everything again (daemon/routes), and so is a newly discovered daemon at
+//     once. This makes up for lost datagrams, partitions and restarts.
 //
-// Why three ends and not two: where one of 18 replicas ends a second, and requests last half a
-// second, one request in 30 meets an end, one in 900 two and one in 30,000 three; with three ends
-// a second one in 6, 37 and 210. So many would be refused without cause. Each of these has lost
-// three attempts, and few callers come a fourth time.
+// Why three crashes and not two: with 18 replicas of which one crashes each second, and requests
+// that last half a second, one request in 30 meets one crash by coincidence, one in 900 two and
+// one in 30,000 three; with three crashes a second, one in 6, 37 and 210. Those would be refused
+// without cause. Each of them has lost three attempts, and few callers retry a fourth time.
 //
-// The memory is bounded by maxContents, of which the caller with the most gives way. When all
-// daemons are killed at once nothing is remembered, and three more replicas may end. A caller with
-// many different requests of the kind ends three replicas with each: to hold back all that a caller
-// sends would cost its good requests their retries, so that it is left to operators, who see it.
+// Memory is bounded by maxContents; contents of the caller that has the most are evicted first.
+// If all daemons are killed at once the knowledge is lost, and three more replicas may crash. A
+// caller with many different crashing requests crashes three replicas with each. Quarantining
+// everything that a caller sends would also affect its valid requests, so that this is left to
+// operators, who see it.
 
 package routing
 
@@ -40,51 +44,51 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// CallerKey names a caller in reports: a hash of its workspace.
+// CallerKey identifies a caller in reports. It is a hash of its workspace.
 type CallerKey uint32
 
 // NewCallerKey returns the key of a workspace.
 func NewCallerKey(w WorkspaceName) CallerKey { return CallerKey(xxhash.Sum64String(string(w))) }
 
-// CrashReport says that a replica ended under a request, or that a request is acquitted.
+// CrashReport says that a replica crashed while serving a request, or that a request is cleared.
 type CrashReport struct {
 	Content ContentKey
 	Caller  CallerKey
-	// Replica is the one that ended, if the request is not acquitted.
+	// Replica is the incarnation that crashed; unset if the request is cleared.
 	Replica  LoadKey
 	Acquits  bool
-	Age      time.Duration // since the end or the answer
-	sortEnds int           // of the content, as far as they are known
+	Age      time.Duration // since the crash or the complete response
+	sortEnds int           // crashes known of the content; sorts pending reports
 }
 
 const (
-	// heldEnds is how many replicas may end before a content is held back: as many as callers
-	// are promised.
+	// crashesToQuarantine is the number of crashes after which a content is quarantined. Callers
+	// are promised this number.
 	heldEnds = 3
-	// maxEnds bounds the ends that are kept of one content; more change nothing.
+	// maxCrashesKept bounds the crashes that are kept of one content; more have no effect.
 	maxEnds = 6
-	// repeatMemory bounds what is repeated: contents that one or two replicas ended under long
-	// ago, most of them beside others, are kept by the daemons that know them and not repeated.
+	// repeatPeriod bounds which contents are repeated to other daemons. Contents with one or two
+	// crashes long ago were mostly in flight by coincidence; they are kept but not repeated.
 	repeatMemory = time.Minute
-	// acquittalMemory is far longer than it takes until a daemon that missed an acquittal is
-	// sent it again; till then it sends others the ends that it knows.
+	// clearedRetention is far longer than it takes to resend a clearance to a daemon that missed
+	// it. Until then that daemon sends others the crashes that it knows.
 	acquittalMemory = time.Minute
-	// maxContents bounds the memory to some 0.5 MB. A series of 20 ends leaves 200 contents.
+	// maxContents bounds the memory to about 0.5 MB. A series of 20 crashes leaves 200 contents.
 	maxContents = 2000
-	// crashesPerSecond bounds what a daemon spends on reports: 30 of some 24 bytes to seven
-	// daemons are 5 KB/s, for as long as replicas end in series. With 18 replicas of 12
-	// requests each and one end a second, 12 are needed.
+	// crashReportsPerSecond bounds the cost of reports: 30 of about 24 bytes to seven daemons are
+	// 5 KB/s while replicas crash in series. With 18 replicas of 12 requests each and one crash a
+	// second, 12 are needed.
 	crashesPerSecond  = 30
 	maxPendingCrashes = 400
-	// retryAfterHeld keeps a caller from hammering. Nothing is known of when the request may
-	// run again; a caller with a deadline has mostly given up by then.
+	// retryAfterQuarantined keeps a caller from retrying in quick succession. It is not known
+	// when the request may run again; a caller with a deadline has mostly given up by then.
 	retryAfterHeld = 30 * time.Second
 )
 
-// Crashes remembers the requests that replicas ended under. It is safe for use by many
-// goroutines. A nil one remembers none.
+// Crashes records the requests during which replicas crashed. It is safe for concurrent use. A
+// nil *Crashes records nothing.
 type Crashes struct {
-	// known is the number of suspects, so that requests take no lock while there are none.
+	// known is the number of suspects. It lets requests skip the lock while there are none.
 	known atomic.Int64
 
 	mu       sync.RWMutex
@@ -95,19 +99,19 @@
 // suspect is what is known of one content.
 type suspect struct {
 	caller      CallerKey
-	ends        []replicaEnd // since it was acquitted last, the oldest first
+	ends        []replicaEnd // since the content was last cleared, oldest first
 	acquittedAt time.Time
-	usedAt      time.Time // when it was last reported or asked for
-	refused     int       // requests that this daemon held back
+	usedAt      time.Time // when it was last reported or requested
+	refused     int       // requests refused by this daemon
 }
 
-// replicaEnd is the end of a replica under a request.
+// replicaCrash is the crash of a replica while it served a request.
 type replicaEnd struct {
 	replica LoadKey
 	at      time.Time
 }
 
-// NewCrashes returns an empty memory.
+// NewCrashes returns an empty record.
 func NewCrashes() *Crashes {
 	return &Crashes{
 		suspects: make(map[ContentKey]*suspect),
@@ -118,11 +122,12 @@
 	}
 }
 
-// Waiting has a value once reports wait for [Crashes.TakeReports].
+// Waiting returns a channel that receives a value when reports are available from
+// [Crashes.TakeReports].
 func (c *Crashes) Waiting() <-chan struct{} { return c.outbox.waiting }
 
-// ReportEnd takes in that a replica ended under a request of a workspace. It returns true if
-// the request's content is held back from now on and was not before.
+// ReportEnd records that a replica crashed while serving a request of a workspace. It returns
+// true if the content of the request is quarantined from now on and was not before.
 func (c *Crashes) ReportEnd(content ContentKey, w WorkspaceName, r *Replica, now time.Time) bool {
 	if c == nil || content == 0 {
 		return false
@@ -131,9 +136,9 @@
 	return len(c.Observe([]CrashReport{report}, now)) > 0
 }
 
-// Acquit lets a content be sent again, after a whole answer or on an operator's word. It returns
-// false if no replica is known to have ended under it since it was acquitted last; then
-// nothing is remembered.
+// Acquit clears a content, after a complete response or a release by an operator, so that it may
+// be sent again. It returns false, and records nothing, if no crash has been reported for the
+// content since it was last cleared.
 func (c *Crashes) Acquit(content ContentKey, now time.Time) bool {
 	if c == nil || c.known.Load() == 0 {
 		return false
@@ -148,8 +153,8 @@
 	return ended
 }
 
-// Observe takes in reports. It returns the contents that are held back from now on and were
-// not before.
+// Observe applies reports. It returns the contents that are quarantined from now on and were not
+// before.
 func (c *Crashes) Observe(reports []CrashReport, now time.Time) []ContentKey {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -170,9 +175,9 @@
 	return held
 }
 
-// take applies a report of what happened at a time. It returns true if it is new. An
-// acquittal is new if it is the first one known or ends go by it: the times of one acquittal
-// differ from daemon to daemon by the links' delays.
+// apply applies a report of an event at the given time and returns true if it is new. A clearance
+// is new if it is the first one known or if it removes crashes; times alone can't tell, because
+// the time of one clearance differs from daemon to daemon by the network delay.
 func (s *suspect) take(r CrashReport, at time.Time) bool {
 	if r.Acquits {
 		isNew, before := s.acquittedAt.IsZero(), len(s.ends)
@@ -189,7 +194,7 @@
 	return true
 }
 
-// suspect returns what is known of a content. The caller holds the lock.
+// suspect returns the record of a content, which is created if needed. c.mu must be held.
 func (c *Crashes) suspect(content ContentKey, caller CallerKey, now time.Time) *suspect {
 	s := c.suspects[content]
 	if s == nil {
@@ -203,8 +208,8 @@
 	return s
 }
 
-// makeRoom forgets an acquitted content, or else one of the caller that has the most: the one
-// that was used the longest ago, one that is not held back before one that is.
+// evict removes one content: a cleared one if there is any, else one of the caller that has the
+// most. Among those it prefers one that is not quarantined, then the least recently used.
 func (c *Crashes) makeRoom() {
 	counts := make(map[CallerKey]int)
 	for _, s := range c.suspects {
@@ -233,7 +238,7 @@
 	return s.usedAt.Before(than.usedAt)
 }
 
-// Held reports whether requests of a content may not be sent, and counts one that is refused.
+// Held reports whether requests of a content must not be sent, and if so counts a refusal.
 func (c *Crashes) Held(content ContentKey, now time.Time) bool {
 	if c == nil || c.known.Load() == 0 {
 		return false
@@ -255,8 +260,8 @@
 // isHeld applies rule 3.
 func (s *suspect) isHeld() bool { return len(s.ends) >= heldEnds }
 
-// TakeReports returns up to n reports to pass on, as far as crashesPerSecond allows. What is
-// left waits.
+// TakeReports returns up to n reports to send to other daemons, as far as crashReportsPerSecond
+// allows. The others stay queued.
 func (c *Crashes) TakeReports(n int, now time.Time) []CrashReport {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -266,9 +271,10 @@
 	})
 }
 
-// All returns up to n reports that tell another daemon what is known here of the contents that
-// are held back or were reported within repeatMemory. They begin after the given content, in an
-// order that is the same for each call; last is the content of the last one, or 0 at the end.
+// All returns up to n reports with all that this daemon knows of the contents that are
+// quarantined or were reported within repeatPeriod, for another daemon. The reports follow the
+// content after, in a fixed order; last is the content of the last report, or 0 if there are no
+// more.
 func (c *Crashes) All(after ContentKey, n int, now time.Time) (reports []CrashReport, last ContentKey) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -302,7 +308,7 @@
 	return out
 }
 
-// Disprove drops the ends that were none, by the given knowledge of replicas.
+// Disprove removes the crashes that were false alarms according to wasNone.
 func (c *Crashes) Disprove(wasNone func(replica LoadKey, at time.Time) bool) {
 	if c.known.Load() == 0 {
 		return
@@ -314,7 +320,7 @@
 	}
 }
 
-// Forget drops contents that were acquitted long ago.
+// Forget removes contents that were cleared longer than clearedRetention ago.
 func (c *Crashes) Forget(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -326,16 +332,16 @@
 	c.known.Store(int64(len(c.suspects)))
 }
 
-// HeldContent is one content that is held back.
+// HeldContent describes a content that is quarantined.
 type HeldContent struct {
 	Content  ContentKey
 	Caller   CallerKey
-	Replicas []LoadKey     // that ended under it
-	For      time.Duration // since the last of them ended
-	Refused  int           // requests that this daemon held back
+	Replicas []LoadKey     // that crashed while serving it
+	For      time.Duration // since the last of these crashes
+	Refused  int           // requests refused by this daemon
 }
 
-// AllHeld returns what is held back, the newest first.
+// AllHeld returns the contents that are quarantined, the most recent crash first.
 func (c *Crashes) AllHeld(now time.Time) []HeldContent {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/coordination/routing/crash_bench_test.go
+++ b/coordination/routing/crash_bench_test.go
@@ -8,7 +8,8 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// BenchmarkContentKey hashes a request without a body, a usual one and the largest.
+// BenchmarkContentKey hashes a request without a body, with a typical body and with the largest
+// body.
 func BenchmarkContentKey(b *testing.B) {
 	for name, size := range map[string]int{"0": 0, "2KB": 2 << 10, "4MB": 4 << 20} {
 		body := make([]byte, size)
@@ -21,8 +22,8 @@
 	}
 }
 
-// BenchmarkHeld asks for a content as each request does: with nothing known, and beside all
-// that is remembered at most.
+// BenchmarkHeld looks up a content as each request does: with no content recorded, and with the
+// maximum number.
 func BenchmarkHeld(b *testing.B) {
 	now := time.Now()
 	for name, contents := range map[string]int{"nothing_known": 0, "all_known": 2000} {
@@ -37,7 +38,7 @@
 	}
 }
 
-// BenchmarkMemoryOfCrashes reports what is held at most, in bytes.
+// BenchmarkMemoryOfCrashes reports the largest memory use, in bytes.
 func BenchmarkMemoryOfCrashes(b *testing.B) {
 	var before, after runtime.MemStats
 	for b.Loop() {
@@ -52,7 +53,7 @@
 	}
 }
 
-// crashesOf remembers contents that are held back.
+// newHeldCrashes records the given number of contents, all of which are quarantined.
 func crashesOf(contents int, now time.Time) *routing.Crashes {
 	c := routing.NewCrashes()
 	for i := range contents {
--- a/coordination/routing/crash_fleet_test.go
+++ b/coordination/routing/crash_fleet_test.go
@@ -11,23 +11,24 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// TestCrashingRequestReachesThreeReplicasMore plays the incident of internal/soak's
-// TestCrashingRequestsReachFewReplicas in virtual time, in fleets of each size, under loss,
-// restarts and cuts. A naive fleet, which shares nothing or forgets at a restart, fails it.
+// TestCrashingRequestReachesThreeReplicasMore simulates the incident of internal/soak's
+// TestCrashingRequestsReachFewReplicas in virtual time, in fleets of several sizes, with packet
+// loss, restarts and partitions. A naive fleet that shares nothing, or loses its knowledge at
+// restarts, must exceed the limit.
 func TestCrashingRequestReachesThreeReplicasMore(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		play  crashPlay
-		naive bool // must break the bound
+		naive bool // expected to exceed the limit
 	}{
 		{"lossless", crashPlay{}, false},
 		{"a fifth of the datagrams lost", crashPlay{loss: .2}, false},
-		{"daemons killed as they see an end", crashPlay{loss: .05, killWitness: true}, false},
-		{"each daemon restarted each 10 s", crashPlay{loss: .05, lives: 10 * time.Second}, false},
+		{"daemons killed when they see a crash", crashPlay{loss: .05, killWitness: true}, false},
+		{"each daemon restarted every 10 s", crashPlay{loss: .05, lives: 10 * time.Second}, false},
 		{"a domain cut off from 2 s to 12 s", crashPlay{loss: .05, cutFrom: 2 * time.Second, cutTo: 12 * time.Second}, false},
-		{"comes each 2 s only, each daemon restarted each 10 s", crashPlay{every: 2 * time.Second, lives: 10 * time.Second}, false},
+		{"request every 2 s only, each daemon restarted every 10 s", crashPlay{every: 2 * time.Second, lives: 10 * time.Second}, false},
 		{"naive: nothing is shared", crashPlay{silent: true}, true},
-		{"naive: nothing is repeated to daemons that start", crashPlay{lives: 10 * time.Second, noRepeats: true}, true},
+		{"naive: reports are not repeated to daemons that start", crashPlay{lives: 10 * time.Second, noRepeats: true}, true},
 	} {
 		for _, daemons := range []int{8, 65, 300, 930} {
 			t.Run(fmt.Sprintf("%s/%d", c.name, daemons), func(t *testing.T) {
@@ -35,30 +36,30 @@
 				worst, ends := 0, 0
 				lasts := 40 * time.Second
 				if c.naive {
-					lasts *= 2 // daemons that forget break the bound a little at a time
+					lasts *= 2 // daemons that forget exceed the limit slowly
 				}
 				for seed := range uint64(3) {
 					w := newCrashWorld(daemons, seed, c.play)
 					w.run(lasts)
 					worst, ends = max(worst, w.late), max(ends, len(w.ends))
 				}
-				t.Logf("%d replicas ended at most, %d arrivals too late", ends, worst)
+				t.Logf("at most %d replicas crashed, %d arrivals too late", ends, worst)
 				const allowed = 3
 				if broken := worst > allowed; broken != c.naive {
-					t.Errorf("%d arrivals later than 3 s after the third end, want at most %d: %t", worst, allowed, !c.naive)
+					t.Errorf("%d arrivals more than 3 s after the third crash, want at most %d: %t", worst, allowed, !c.naive)
 				}
 			})
 		}
 	}
 }
 
-// crashPlay is what happens to a fleet.
+// crashFaults describes the faults of a fleet.
 type crashPlay struct {
-	every       time.Duration // between two tries of the request; 0: .15 to .5 s
-	loss        float64       // of the datagrams
-	killWitness bool          // a daemon is killed 5 ms after it saw one of the first three ends
-	lives       time.Duration // until a daemon is restarted, on average; 0: none is
-	cutFrom     time.Duration // the first domain is cut off
+	every       time.Duration // time between two tries of the request; 0: .15 to .5 s
+	loss        float64       // fraction of the datagrams
+	killWitness bool          // a daemon is killed 5 ms after it saw one of the first three crashes
+	lives       time.Duration // mean time between restarts of a daemon; 0: no restarts
+	cutFrom     time.Duration // when the first domain is cut off
 	cutTo       time.Duration
 	silent      bool
 	noRepeats   bool
@@ -66,7 +67,7 @@
 
 const (
 	crashStep     = 5 * time.Millisecond
-	crashDelay    = 10 * time.Millisecond // of a datagram, and of the reports that wait for others
+	crashDelay    = 10 * time.Millisecond // of a datagram, including the batching of reports
 	crashDomains  = 4
 	crashTouch    = 3 * time.Second
 	crashAttempts = 2
@@ -74,7 +75,8 @@
 	crashFanOut   = 5
 )
 
-// crashWorld is a fleet in virtual time that gets one crashing request again and again.
+// crashSim simulates a fleet in virtual time to which one crashing request is sent again and
+// again.
 type crashWorld struct {
 	crashPlay
 	rng     *rand.Rand
@@ -82,8 +84,8 @@
 	daemons []*crashDaemon
 	mail    []crashMail
 	ends    []time.Time
-	late    int // arrivals by daemons in touch, 3 s and more after the third end
-	starts  int // replicas so far
+	late    int // arrivals more than 3 s after the third crash, at daemons that were up for as long
+	starts  int // replica incarnations so far
 }
 
 type crashDaemon struct {
@@ -95,7 +97,7 @@
 	killAt   time.Time // zero: it is not killed
 }
 
-// crashMail is a datagram on its way.
+// crashDatagram is a datagram in transit.
 type crashMail struct {
 	at      time.Time
 	to      int
@@ -136,7 +138,7 @@
 	return 150*time.Millisecond + time.Duration(w.rng.Int64N(int64(350*time.Millisecond)))
 }
 
-// try sends the request at a daemon, which sends it on once when its replica has ended.
+// try sends the request to a daemon, which retries it once after a crash.
 func (w *crashWorld) try(at int) {
 	const content = 99
 	d := w.daemons[at]
@@ -157,7 +159,7 @@
 	}
 }
 
-// restart starts a daemon anew; three others are found by it and send it what they know.
+// restart restarts a daemon. Three others discover it and send it what they know.
 func (w *crashWorld) restart(i int) {
 	d := w.daemons[i]
 	d.Crashes, d.started, d.killAt, d.after = routing.NewCrashes(), w.now, time.Time{}, 0
@@ -171,7 +173,8 @@
 	}
 }
 
-// speak sends a daemon's reports to some others, and repeats what it knows to one each second.
+// sendReports sends a daemon's queued reports to its targets, and repeats what it knows to one of
+// them each second.
 func (w *crashWorld) speak(i int) {
 	d := w.daemons[i]
 	if w.silent {
@@ -196,8 +199,8 @@
 	}
 }
 
-// targets draws as membership.Roster does: all others in a small fleet, else some of the own
-// domain and one of another.
+// targets selects daemons as membership.Roster does: all others in a small fleet, otherwise some
+// of the same domain and one of another.
 func (w *crashWorld) targets(i int) []int {
 	var near, far []int
 	for k, d := range w.daemons {
@@ -235,33 +238,33 @@
 	})
 }
 
-// TestInnocentRequestsAreRarelyHeldBack plays requests that were only beside the ends of
-// replicas: 18 replicas, of which some end each second and are back 3 s later, and requests
-// that last half a second, each with two attempts at its daemon and a caller that comes once
-// more. It bounds how many are held back, and compares with holding back after two ends.
+// TestInnocentRequestsAreRarelyHeldBack simulates requests that were in flight by coincidence
+// when a replica crashed: 18 replicas, of which some crash each second and are back 3 s later,
+// and requests that last half a second, each with two attempts at its daemon and one retry by its
+// caller. It bounds how many are quarantined, and compares with quarantining after two crashes.
 func TestInnocentRequestsAreRarelyHeldBack(t *testing.T) {
 	for _, c := range []struct {
 		endsPerSecond float64
-		most          float64 // share of the requests that are held back
+		most          float64 // fraction of the requests that are quarantined
 	}{{1, .0001}, {3, .005}} {
 		share, near := innocentsHeld(c.endsPerSecond)
-		t.Logf("%.0f ends a second: of the requests %.2f%% are near one end, %.3f%% near two, %.4f%% near three and held back", c.endsPerSecond, 100*near[1], 100*near[2], 100*share)
+		t.Logf("%.0f crashes a second: %.2f%% of the requests met one crash, %.3f%% two, %.4f%% three and are quarantined", c.endsPerSecond, 100*near[1], 100*near[2], 100*share)
 		if share > c.most || share == 0 {
-			t.Errorf("%.0f ends a second: %.4f%% of the requests are held back, want some and at most %.4f%%", c.endsPerSecond, 100*share, 100*c.most)
+			t.Errorf("%.0f crashes a second: %.4f%% of the requests are quarantined, want some and at most %.4f%%", c.endsPerSecond, 100*share, 100*c.most)
 		}
 	}
 }
 
-// innocentsHeld returns the share of the requests that are held back, and the shares that were
-// near as many ends, or more.
+// coincidentalHolds returns the fraction of the requests that are quarantined, and the fractions
+// that met at least one, two and three crashes.
 func innocentsHeld(endsPerSecond float64) (held float64, near [4]float64) {
 	const (
 		replicas, requests = 18, 100_000
 		lasts, down        = 500 * time.Millisecond, 3 * time.Second
 	)
 	rng := rand.New(rand.NewPCG(1, 2))
-	// An attempt meets the end of its replica with the share of the replicas that are up and end
-	// within its time.
+	// An attempt meets a crash with the probability that its replica, one of those that are up,
+	// crashes while the attempt lasts.
 	up := replicas - endsPerSecond*down.Seconds()
 	meets := endsPerSecond * lasts.Seconds() / up
 	c := routing.NewCrashes()
--- a/coordination/routing/crash_test.go
+++ b/coordination/routing/crash_test.go
@@ -13,7 +13,7 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// numbered returns a replica of its own for each number.
+// numberedReplica returns a distinct replica for each number.
 func numbered(n int) *routing.Replica {
 	r := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(rune('a' + n))})
 	return &r
@@ -28,7 +28,7 @@
 	}
 	takeAll := func(now time.Time) []routing.CrashReport { return c.TakeReports(1000, now) }
 
-	It("holds a content back after the third replica, for good", func() {
+	It("quarantines a content permanently after the third crash", func() {
 		Expect(end(content, 0, epoch)).To(BeFalse())
 		Expect(end(content, 1, epoch)).To(BeFalse())
 		Expect(c.Held(content, epoch)).To(BeFalse())
@@ -40,7 +40,7 @@
 		Expect(c.Held(content+1, epoch)).To(BeFalse())
 	})
 
-	It("counts the end of one replica once, whoever saw it and whenever that is heard", func() {
+	It("counts the crash of one replica once, whichever daemon saw it and whenever the report arrives", func() {
 		for i := range 5 {
 			end(content, 0, epoch.Add(time.Duration(i)*time.Second))
 		}
@@ -48,20 +48,20 @@
 		Expect(c.Held(content, epoch)).To(BeFalse())
 	})
 
-	It("is acquitted by a whole answer, of ends until then and not of later ones", func() {
+	It("clears a content of earlier crashes, but not of later ones, after a complete response", func() {
 		for i := range 4 {
 			end(content, i, epoch)
 		}
 		c.Acquit(content, epoch.Add(time.Second))
 		Expect(c.Held(content, epoch.Add(time.Second))).To(BeFalse())
-		Expect(end(content, 5, epoch.Add(500*time.Millisecond))).To(BeFalse(), "heard late")
+		Expect(end(content, 5, epoch.Add(500*time.Millisecond))).To(BeFalse(), "reported late")
 		for i := range 3 {
 			end(content, 6+i, epoch.Add(2*time.Second))
 		}
 		Expect(c.Held(content, epoch.Add(2*time.Second))).To(BeTrue())
 	})
 
-	It("remembers nothing of contents that no replica ended under", func() {
+	It("records nothing for contents without a crash", func() {
 		c.Acquit(content, epoch)
 		end(content+1, 0, epoch)
 		c.Acquit(content, epoch)
@@ -70,7 +70,7 @@
 		Expect(c.Acquit(content, epoch)).To(BeFalse())
 	})
 
-	It("is released by an operator, and held back again after three more ends", func() {
+	It("clears a content that an operator releases, and quarantines it again after three more crashes", func() {
 		for i := range 3 {
 			end(content, i, epoch)
 		}
@@ -83,7 +83,7 @@
 		Expect(c.Held(content, epoch.Add(2*time.Hour))).To(BeTrue())
 	})
 
-	It("lists what is held back with the replicas and the refusals", func() {
+	It("lists quarantined contents with their replicas and refusals", func() {
 		for i := range 3 {
 			end(content, i, epoch.Add(time.Duration(i)*time.Second))
 		}
@@ -97,7 +97,7 @@
 		}))
 	})
 
-	It("passes on what is new, once, and says that it waits", func() {
+	It("forwards each new report once, and signals that reports are available", func() {
 		end(content, 0, epoch)
 		Expect(c.Waiting()).To(Receive())
 		now := epoch.Add(time.Second)
@@ -110,10 +110,10 @@
 		c.Acquit(content, now)
 		Expect(takeAll(now)).To(ConsistOf(HaveField("Acquits", true)))
 		c.Observe([]routing.CrashReport{{Content: content, Acquits: true}}, now.Add(20*time.Millisecond))
-		Expect(takeAll(now)).To(BeEmpty(), "the same acquittal on another way")
+		Expect(takeAll(now)).To(BeEmpty(), "the same clearance through another daemon")
 	})
 
-	It("sends a bounded number of reports a second, those of the contents with the most ends first", func() {
+	It("sends a bounded number of reports a second, those of the contents with the most crashes first", func() {
 		for i := range 100 {
 			end(routing.ContentKey(1000+i), 0, epoch)
 		}
@@ -126,10 +126,10 @@
 		for i := range 5 {
 			sent += len(takeAll(epoch.Add(time.Duration(i+2) * time.Second)))
 		}
-		Expect(sent).To(Equal(102), "what waits is sent later")
+		Expect(sent).To(Equal(102), "the queued reports are sent later")
 	})
 
-	It("stays bounded, and one caller's contents push out its own and not another's", func() {
+	It("stays bounded, and evicts a caller's own contents and not another's", func() {
 		for i := range 3 {
 			c.ReportEnd(content, "another", numbered(i), epoch)
 		}
@@ -141,11 +141,11 @@
 		}
 		Expect(c.AllHeld(epoch)).To(HaveLen(2000))
 		Expect(c.Held(content, epoch.Add(time.Hour))).To(BeTrue())
-		Expect(c.Held(1000, epoch.Add(time.Hour))).To(BeFalse(), "the oldest gave way")
+		Expect(c.Held(1000, epoch.Add(time.Hour))).To(BeFalse(), "the oldest was evicted")
 		Expect(c.Held(5999, epoch.Add(time.Hour))).To(BeTrue())
 	})
 
-	It("forgets contents that were acquitted long ago, and those alone", func() {
+	It("removes only contents that were cleared long ago", func() {
 		end(content, 0, epoch)
 		end(content+1, 0, epoch)
 		c.Acquit(content, epoch)
@@ -154,7 +154,7 @@
 		Expect(reports).To(ConsistOf(HaveField("Content", content+1)))
 	})
 
-	It("tells all in pages, each content once", func() {
+	It("returns everything in pages, each content once", func() {
 		for i := range 100 {
 			for r := range 3 {
 				end(routing.ContentKey(100+i), r, epoch)
@@ -178,7 +178,7 @@
 		}
 	})
 
-	It("repeats what is held back for good, and other contents for a minute", func() {
+	It("repeats quarantined contents permanently, and others for a minute", func() {
 		end(content, 0, epoch)
 		for i := range 3 {
 			end(content+1, i, epoch)
@@ -189,22 +189,22 @@
 		Expect(reports).To(HaveLen(3))
 		Expect(reports).To(HaveEach(HaveField("Content", content+1)))
 		end(content, 1, epoch.Add(time.Hour))
-		Expect(end(content, 2, epoch.Add(2*time.Hour))).To(BeTrue(), "it is remembered all the same")
+		Expect(end(content, 2, epoch.Add(2*time.Hour))).To(BeTrue(), "it is still recorded")
 	})
 
-	It("does nothing where there is none", func() {
+	It("does nothing if nil, or for the zero content", func() {
 		var none *routing.Crashes
 		Expect(none.ReportEnd(content, workspace, numbered(0), epoch)).To(BeFalse())
 		Expect(none.Held(content, epoch)).To(BeFalse())
 		none.Acquit(content, epoch)
-		Expect(end(0, 0, epoch)).To(BeFalse(), "a content that is not known")
+		Expect(end(0, 0, epoch)).To(BeFalse(), "the zero content")
 		Expect(end(0, 1, epoch)).To(BeFalse())
 		Expect(end(0, 2, epoch)).To(BeFalse())
 	})
 })
 
-// TestReportsOfCrashesMergeAlike holds that what two daemons believe depends on the reports
-// that they received and on nothing else: not on order, repeats or ways.
+// TestReportsOfCrashesMergeAlike checks that the state of a daemon depends only on the set of
+// reports received, not on their order or number of copies.
 func TestReportsOfCrashesMergeAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var reports []routing.CrashReport
@@ -215,7 +215,7 @@
 			}
 			if r.Acquits = rapid.IntRange(0, 4).Draw(t, "acquits") == 0; !r.Acquits {
 				r.Replica = routing.LoadKey(rapid.IntRange(1, 5).Draw(t, "replica"))
-				r.Age = time.Duration(r.Replica) * 3 * time.Second // a replica ends once
+				r.Age = time.Duration(r.Replica) * 3 * time.Second // a replica crashes once
 			}
 			reports = append(reports, r)
 		}
--- a/coordination/routing/doubt.go
+++ b/coordination/routing/doubt.go
@@ -1,17 +1,17 @@
-// This file decides which idle connections are doubted: those to a failure domain whose
-// links broke under a request a moment ago.
+// This file decides which idle connections are not reused: those to a failure domain to which
+// connections broke a moment ago while a request was in flight.
 //
-// A request that is written to a connection whose link has broken may have run, so that one
-// which must not run twice ends there. A new connection that fails proves that nothing has
-// run, and the request goes elsewhere. Inputs: when a connection broke before a byte of the
-// answer came, and since when another one is idle. The rule:
+// A request that is written to a connection whose link is down may have run, so that a
+// non-idempotent one can't be retried. A new connection that fails proves that nothing has run,
+// and the request can go elsewhere. Inputs: when a connection broke before the first byte of the
+// response, and since when another one has been idle. The rule:
 //
-//  1. After a connection to a domain broke so, none that was idle before then is used: a
-//     new one is opened.
+//  1. After a connection to a domain broke that way, no connection to that domain that was idle
+//     before then is reused; a new one is opened.
 //
-// Where all links of a domain break at once a daemon loses one request to each domain in
-// place of some three. A replica that crashed alone breaks its connections too; the others
-// of its domain are then opened anew, 28 for each daemon that saw it.
+// If all links of a domain break at once, a daemon loses one request to that domain instead of
+// about three. A replica that crashes alone breaks its connections too; connections to the other
+// replicas of its domain are then opened again, 28 for each daemon that saw it.
 
 package routing
 
@@ -22,14 +22,14 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// LinkDoubts remembers when links to failure domains broke. It is safe for use by many
-// goroutines. The zero value has no doubts.
+// LinkDoubts records when connections to failure domains broke. It is safe for concurrent use.
+// The zero value is ready to use.
 type LinkDoubts struct {
 	mu    sync.Mutex
 	broke map[state.FailureDomain]time.Time
 }
 
-// Broke records that a connection to a replica of a domain broke before it answered.
+// Broke records that a connection to a replica of a domain broke before the response began.
 func (l *LinkDoubts) Broke(d state.FailureDomain, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -39,8 +39,8 @@
 	l.broke[d] = now
 }
 
-// Trusts reports whether a connection to a domain that has been idle since a time may be
-// used.
+// Trusts reports whether a connection to a domain that has been idle since the given time may be
+// reused.
 func (l *LinkDoubts) Trusts(d state.FailureDomain, idleSince time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/coordination/routing/doubt_test.go
+++ b/coordination/routing/doubt_test.go
@@ -8,17 +8,17 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// TestBrokenLinksCostOneRequestADomain plays the first second and a half of a failure domain
-// that is cut off by resets, until which no heartbeat is missed: a daemon sends four requests
-// a second to the domain, over connections that were idle when the links broke. Each that
-// goes out on one is lost, since it may have run.
+// TestBrokenLinksCostOneRequestPerDomain simulates the first second and a half after the links to
+// a failure domain were reset, before a heartbeat is missed: a daemon sends four requests a
+// second to the domain, over connections that were idle when the links broke. Each request sent
+// on such a connection is lost, since it may have run.
 func TestBrokenLinksCostOneRequestADomain(t *testing.T) {
 	const replicas, requests = 28, 6
 	for _, c := range []struct {
 		name   string
 		lost   int
 		doubts bool
-	}{{"without doubts", requests, false}, {"with doubts", 1, true}} {
+	}{{"without tracking", requests, false}, {"with tracking", 1, true}} {
 		var l routing.LinkDoubts
 		idleSince := make([]time.Time, replicas)
 		for i := range idleSince {
@@ -47,16 +47,16 @@
 	for _, c := range []struct {
 		name   string
 		domain state.FailureDomain
-		idle   time.Duration // since this long after the break
+		idle   time.Duration // idle since this long after the break
 		trusts bool
 	}{
-		{"idle before", "z1", -time.Second, false},
-		{"idle at that moment", "z1", 0, false},
-		{"opened since", "z1", time.Millisecond, true},
-		{"of another domain", "z2", -time.Second, true},
+		{"idle before the break", "z1", -time.Second, false},
+		{"idle since the break", "z1", 0, false},
+		{"opened after the break", "z1", time.Millisecond, true},
+		{"another domain", "z2", -time.Second, true},
 	} {
 		if got := l.Trusts(c.domain, epoch.Add(c.idle)); got != c.trusts {
-			t.Errorf("%s: trusts %t, want %t", c.name, got, c.trusts)
+			t.Errorf("%s: reusable %t, want %t", c.name, got, c.trusts)
 		}
 	}
 }
--- a/coordination/routing/eject.go
+++ b/coordination/routing/eject.go
@@ -1,23 +1,24 @@
-// This file decides which replicas get no requests because requests to them failed.
-// cutoff.go has those that are cut off with their whole failure domain, silence.go those
-// that other daemons found silent, barred.go those that get nothing whatever is left.
+// This file decides which replicas get no requests because requests to them failed. cutoff.go
+// handles failure domains that are cut off as a whole, silence.go replicas that other daemons
+// found silent, barred.go replicas that are ineligible even if no other is left.
 //
-// Inputs: the results of this daemon's attempts within [evidenceWindow], and those
-// that its peers publish. Replicas' own health checks are not used: a check costs a
-// slot, and a replica can fail requests while its check is good. The rule:
+// Inputs: the results of this daemon's attempts within [evidenceWindow], and those published by
+// its peers. Health checks of the replicas are not used: a check takes a slot, and a replica can
+// fail requests while its check succeeds. The rule:
 //
-//  1. A replica that takes no connection, or is silent for longer than giveup.go
-//     allows, is ejected at once by the daemon that saw it.
-//  2. Any other failure ejects it if the fleet counted at least leastFailures and
-//     they are at least failureShare of all results. One daemon sees some 1.6 requests a
-//     second at one replica, too few to judge by itself.
-//  3. An ejection lasts firstEjection, twice as long each time up to
-//     longestEjection, and is short again after ejectionMemory without one. After
-//     it the replica gets requests again; that is the only probe.
-//  4. The replicas that are barred (barred.go), ended or cut off are left out first. Where fewer than half
-//     of the others would be left, ejections are ignored: then the evidence speaks against
-//     the service or this daemon's links, and ejecting would only crowd the others.
-//     The cut comes first, or the silence of a large domain would bring its replicas back.
+//  1. A replica that refuses a connection, or is silent for longer than giveup.go allows, is
+//     ejected at once by the daemon that saw it.
+//  2. Any other failure ejects it if the fleet counted at least minFailures failures and they are
+//     at least minFailureRatio of all results. One daemon sees about 1.6 requests a second at one
+//     replica, too few to decide by itself.
+//  3. An ejection lasts initialEjection at first and doubles each time up to maxEjection. It is
+//     reset after ejectionResetAfter without an ejection. When it ends the replica gets requests
+//     again; there is no other probe.
+//  4. Replicas that are ineligible (barred.go), terminated or cut off are skipped first. If
+//     ejections would leave fewer than half of the others, ejections are ignored: then the
+//     failures point to the service or to this daemon's links, and ejecting would only overload
+//     the others. The cut is applied first because a large domain without heartbeats would
+//     otherwise bring its own replicas back.
 
 package routing
 
@@ -29,48 +30,49 @@
 )
 
 const (
-	// leastFailures and failureShare: a replica that spoils a few answers in a hundred
-	// stays below them. Not varied one at a time.
+	// minFailures and minFailureRatio: a replica that fails a few responses in a hundred stays
+	// below them. The two were not varied one at a time.
 	leastFailures = 4
 	failureShare  = 0.3
-	// firstEjection and longestEjection bound one ejection.
+	// initialEjection and maxEjection bound the duration of one ejection.
 	firstEjection   = 500 * time.Millisecond
 	longestEjection = 4 * time.Second
-	// ejectionMemory is the time without an ejection after which the next one is short again.
+	// ejectionResetAfter is the time without an ejection after which the next one lasts
+	// initialEjection again.
 	ejectionMemory = 6 * time.Second
 	// PeerEvidenceAge is how long a peer's counts are used: five of its heartbeats.
-	// PeerEvidenceAgeLarge holds in a large fleet, where a peer's heartbeat comes
-	// every 5 s; after 1 s a daemon of 62 saw a fifth of the evidence.
+	// PeerEvidenceAgeLarge holds in a large fleet, where a peer's heartbeat arrives every 5 s;
+	// with 1 s a daemon of 62 saw a fifth of the evidence.
 	PeerEvidenceAge      = time.Second
 	PeerEvidenceAgeLarge = 3 * time.Second
 )
 
-// Health keeps the evidence for each replica. It is safe for use by many
-// goroutines.
+// Health records the evidence for the health of each replica. It is safe for concurrent use.
 type Health struct {
-	// Reporter names this daemon in its reports of silent replicas. It is set before
-	// the first use.
+	// Reporter identifies this daemon in its reports of silent replicas. It is set before the
+	// first use.
 	Reporter ReporterID
 
 	mu      sync.Mutex
 	records map[LoadKey]*record
-	ejected map[LoadKey]*record // those of records whose replica is ejected
+	ejected map[LoadKey]*record // subset of records: ejected replicas
 	peers   map[PeerID]*peerEvidence
-	// domainSeen is when a daemon of a domain was last seen.
+	// domainSeen is when a daemon of each domain was last seen.
 	domainSeen    map[state.FailureDomain]time.Time
 	domainTimeout time.Duration
-	// unreachable is until when a domain that is cut off gets no requests, because a
-	// replica there could not be reached.
+	// unreachable is until when a domain that is cut off gets no requests because a connection to
+	// a replica there failed.
 	unreachable map[state.FailureDomain]time.Time
 	silences    silences
-	ended       map[LoadKey]time.Time // when incarnations ended
-	endedHold   time.Duration         // how long an end counts
-	// lives are through which times incarnations lived, which disproves ends.
+	ended       map[LoadKey]time.Time // when incarnations terminated
+	endedHold   time.Duration         // how long a termination counts
+	// liveness is the time through which each incarnation is known to have lived. It disproves
+	// terminations.
 	lives       map[LoadKey]*life
 	lifeReports outbox[LifeReport]
 }
 
-// NewHealth returns an empty table.
+// NewHealth returns an empty Health.
 func NewHealth() *Health {
 	return &Health{
 		records: make(map[LoadKey]*record), ejected: make(map[LoadKey]*record), peers: make(map[PeerID]*peerEvidence),
@@ -84,8 +86,8 @@
 	}
 }
 
-// Report takes in the result of an attempt. It returns true if the replica is
-// ejected from now on and was not before.
+// Report records the result of an attempt. It returns true if the replica is ejected from now on
+// and was not before.
 func (h *Health) Report(r *Replica, result Result, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -114,7 +116,7 @@
 	return true
 }
 
-// shouldEject applies the rules 1 and 2 after a failure.
+// shouldEject applies rules 1 and 2 after a failure.
 func (h *Health) shouldEject(key LoadKey, rec *record, result Result, now time.Time) bool {
 	if meansSilence(result) {
 		return true
@@ -128,19 +130,18 @@
 	return bad >= leastFailures && float64(bad) >= failureShare*float64(good+bad)
 }
 
-// meansSilence reports whether a result says that nothing came from the replica.
+// isNoResponse reports whether a result means that nothing was received from the replica.
 func meansSilence(r Result) bool { return r == ResultUnreachable || r == ResultSilent }
 
-// Observe takes in a peer's counts, which are used until they have the given age.
-// They must not be changed afterwards.
+// Observe records a peer's counts, which are used for the given time. The caller must not change
+// them afterwards.
 func (h *Health) Observe(p PeerID, counts []Evidence, now time.Time, age time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.peers[p] = &peerEvidence{until: now.Add(age), counts: counts}
 }
 
-// Own returns this daemon's counts of the replicas at which requests failed, for
-// its peers.
+// Own returns this daemon's counts of the replicas at which requests failed, for its peers.
 func (h *Health) Own(now time.Time) []Evidence {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -155,8 +156,8 @@
 	return out
 }
 
-// Reachable reports whether a replica can be expected to answer, even if its
-// answers are errors: prompts can be copied from it.
+// Reachable reports whether a replica can be expected to respond, even if with errors. Prompts
+// can be copied from such a replica.
 func (h *Health) Reachable(r *Replica, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -165,8 +166,8 @@
 	return !lost && !h.domainIsCutOff(r.Domain, now)
 }
 
-// markUsable writes into usable which ready replicas of a pool may be chosen, by
-// rule 4, and returns how many. None of those that are left out may.
+// markUsable sets usable[i] for each ready replica of a pool that may be chosen by rule 4, none
+// of which is in skip, and returns their number.
 func (h *Health) markUsable(usable []bool, leftOut replicaSet, p *Pool, now time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -202,7 +203,7 @@
 	return rec != nil && rec.ejected(now)
 }
 
-// Forget drops what is too old to matter. ownDomain never counts as cut off.
+// Forget removes expired records. ownDomain never counts as cut off.
 func (h *Health) Forget(ownDomain state.FailureDomain, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -229,8 +230,8 @@
 	}
 }
 
-// Explain returns the share of failures at a replica as this daemon counted them,
-// and why the replica gets no requests; the reason is empty if it does.
+// Explain returns the fraction of failures at a replica as counted by this daemon, and the reason
+// why the replica gets no requests, which is empty if it gets them.
 func (h *Health) Explain(r *Replica, now time.Time) (failures float64, why string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/coordination/routing/ended.go
+++ b/coordination/routing/ended.go
@@ -1,35 +1,39 @@
-// This file decides which replicas get nothing because they have ended: connections broke under
-// requests, and a new one was refused (transport/relay).
+// This file decides which replicas get no requests because their process has terminated:
+// connections broke with requests in flight, and a new one was refused (transport/relay).
 //
-// Inputs: the ends that this daemon saw and that others reported (crash.go), and the entries of
-// replicas. The rule:
+// Inputs: terminations that this daemon saw or that others reported (crash.go), and the store
+// entries of replicas. The rule:
 //
-//  1. An incarnation that has ended gets nothing more while anything else may be chosen. Its entry
-//     stays for three of its heartbeats, and one that starts again within that time takes the
-//     connections of those who mean the former one: it is cold, and must not get what a warm one
-//     gets. Its new entry names another incarnation, to which none of this applies.
-//  2. Where nothing else may be chosen, or fewer than have ended and the service bounds what cold
-//     ones get, it is tried, and gets what a cold one may (cold.go). Links that refuse look like
-//     ends, so that most replicas of a service may be taken for ended that live; a trial that is
-//     answered on a connection from before proves so (lives.go).
-//  3. After endedHold the end counts no more: the store would have told of another start. While no
-//     daemon that is known reads it, or none did a moment ago, it may not, and endedHoldStale holds.
+//  1. An incarnation that has terminated gets nothing while any other replica may be chosen. Its
+//     entry stays in the store for three of its heartbeats. A replica that restarts within that
+//     time accepts the connections meant for its former incarnation, but is cold and must not get
+//     the load of a warm one. Its new entry names another incarnation, to which this rule does
+//     not apply.
+//  2. If no other replica may be chosen, or fewer than have terminated and the service limits
+//     cold replicas, terminated replicas are tried at the rate of cold ones (cold.go). Links that
+//     refuse connections look like terminations, so that most replicas of a service may be taken
+//     for terminated although they live; a response on a connection that was opened before proves
+//     it (lives.go).
+//  3. After terminatedHold the termination no longer counts: by then the store would have
+//     announced another incarnation. While no known daemon reads the store, or none did a moment
+//     ago, it may not have; then terminatedHoldStale applies.
 
 package routing
 
 import "time"
 
 const (
-	// endedHold is how long a new start's entry may be unknown: the store's watches can be silent for
-	// 1.7 s, and peers pass it on in tenths of a second.
+	// terminatedHold is how long the entry of a new incarnation may be unknown: store watches can
+	// be silent for 1.7 s, and peers forward it within tenths of a second.
 	endedHold = 3 * time.Second
-	// endedHoldStale outlasts a restart of some seconds and the cold time after it. With
-	// endedHold in its place replicas that come back while the store is away get too much.
+	// terminatedHoldStale is longer than a restart of some seconds and the cold time after it.
+	// With terminatedHold instead, replicas that come back while the store is unavailable get too
+	// much.
 	endedHoldStale = 10 * time.Second
 )
 
-// SetEntriesStale says whether nobody reads the store, or nobody did a moment ago, so that entries
-// may be those of former starts.
+// SetEntriesStale sets whether no daemon reads the store, or none did a moment ago, so that
+// entries may be those of former incarnations.
 func (h *Health) SetEntriesStale(stale bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -39,7 +43,7 @@
 	}
 }
 
-// ReportEnds takes in that incarnations of replicas ended a while ago.
+// ReportEnds records terminations of replicas from crash reports.
 func (h *Health) ReportEnds(reports []CrashReport, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -50,20 +54,20 @@
 	}
 }
 
-// ReportEnd takes in that a replica has just ended.
+// ReportEnd records that a replica has just terminated.
 func (h *Health) ReportEnd(r *Replica, now time.Time) {
 	h.ReportEnds([]CrashReport{{Replica: r.LoadKey()}}, now)
 }
 
-// hasEnded reports whether an incarnation has ended and gets nothing. The caller holds the
-// lock.
+// isTerminated reports whether an incarnation has terminated and gets no requests. h.mu must be
+// held.
 func (h *Health) hasEnded(key LoadKey, now time.Time) bool {
 	at, ok := h.ended[key]
 	return ok && now.Sub(at) < h.endedHold
 }
 
-// markEnded returns which ready replicas of a pool have ended, and until when each is held for
-// that; nil if none has.
+// terminatedReplicas returns the positions of the ready replicas of a pool that have terminated,
+// with the time until which each is skipped for that; nil if there are none.
 func (h *Health) markEnded(p *Pool, now time.Time) map[int]time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -81,7 +85,7 @@
 	return out
 }
 
-// Ended returns the incarnations that have ended, by what is known here.
+// Ended returns the incarnations known to have terminated.
 func (h *Health) Ended(now time.Time) []LoadKey {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -94,7 +98,7 @@
 	return out
 }
 
-// forgetEnds drops the ends that no longer matter. The caller holds the lock.
+// forgetTerminated removes terminations that have expired. h.mu must be held.
 func (h *Health) forgetEnds(now time.Time) {
 	for key, at := range h.ended {
 		if now.Sub(at) >= endedHoldStale {
@@ -103,5 +107,5 @@
 	}
 }
 
-// reasonEnded is the reason that operators see.
+// reasonTerminated is shown to operators. Tools match the text.
 const reasonEnded = "it has ended; its entry is not renewed yet"
--- a/coordination/routing/ended_test.go
+++ b/coordination/routing/ended_test.go
@@ -10,11 +10,11 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// Seen: a replica that came back under its id while the store was away got 15 requests of all
-// daemons in a second, of 14 that a cold one may get.
-// Cause: its entry, and with it the cold time, was not known yet; the former incarnation was no
-// longer ejected, and the new one took the connections that were meant for it.
-var _ = Describe("Replicas that have ended", func() {
+// A replica that restarted under its id while the store was unavailable got 15 requests from all
+// daemons together in a second; a cold one may get 14. Its new entry, and with it the cold time,
+// was not known yet. The ejection of the former incarnation had expired, and the new one accepted
+// the connections meant for it.
+var _ = Describe("Terminated replicas", func() {
 	var f *fleet
 	var gone routing.Replica
 	BeforeEach(func() {
@@ -27,7 +27,7 @@
 		return f.placer.Choose(f.view, chat("s"), routing.Tried{}, epoch.Add(after))
 	}
 
-	It("get nothing for as long as their entry may be that of the former incarnation", func() {
+	It("get nothing while their entry may be that of the former incarnation", func() {
 		f.placer.Health.SetEntriesStale(true)
 		t, ok := choose(9 * time.Second)
 		Expect(ok).To(BeTrue())
@@ -40,10 +40,10 @@
 		t, _ = choose(2999 * time.Millisecond)
 		Expect(t.Replica.ID).NotTo(Equal(gone.ID))
 		t, _ = choose(3 * time.Second)
-		Expect(t.Replica.ID).To(Equal(gone.ID), "a store that is well would have told of another start")
+		Expect(t.Replica.ID).To(Equal(gone.ID), "a working store would have announced another incarnation")
 	})
 
-	It("get nothing where others are ejected, and what cold ones may where all have ended", func() {
+	It("get nothing while others are merely ejected, and the quota of cold ones if all have terminated", func() {
 		for i := range f.pool.Ready {
 			if r := &f.pool.Ready[i]; r.ID != gone.ID {
 				f.placer.Health.Report(r, routing.ResultUnreachable, epoch)
@@ -69,12 +69,12 @@
 			r := &f.pool.Ready[i]
 			Expect(taken[r.ID]).To(Equal(f.placer.Cold.Part(r, coldPerSecond)))
 		}
-		f.placer.Cold = routing.NewColdRates("10.0.0.1:1") // it does not know its fleet
+		f.placer.Cold = routing.NewColdRates("10.0.0.1:1") // it does not know the fleet's size
 		_, ok = choose(0)
 		Expect(ok).To(BeFalse())
 	})
 
-	It("are tried as cold ones where most have ended, and serve once an answer proves that they live", func() {
+	It("are tried as cold ones if most have terminated, and are used normally once a response proves that they live", func() {
 		f := newFleet("llm", sameDomain(7)...)
 		f.pool.Sort()
 		f.view.Table, _ = routing.NewTable(&routing.Config{Services: []routing.Service{{Name: "llm", Generates: true, ColdPerSecond: coldPerSecond}}})
@@ -106,7 +106,7 @@
 		Expect(taken[ended[1].ID]).To(BeNumerically(">", 10))
 	})
 
-	It("get requests again at once under a new entry of their own", func() {
+	It("get requests again at once when a new incarnation has an entry", func() {
 		for i := range f.pool.Ready {
 			if r := &f.pool.Ready[i]; r.ID == gone.ID {
 				r.Born = 7
@@ -117,23 +117,23 @@
 		Expect(t.Replica.ID).To(Equal(gone.ID))
 	})
 
-	It("are not named by an acquittal", func() {
+	It("are not affected by a clearance", func() {
 		other, _ := choose(0)
 		f.placer.Health.ReportEnds([]routing.CrashReport{{Replica: other.Replica.LoadKey(), Acquits: true}}, epoch)
 		again, _ := choose(0)
 		Expect(again.Replica.ID).To(Equal(other.Replica.ID))
 	})
 
-	It("are known from others, as of when they ended", func() {
+	It("are known from reports of others, from the time of their termination", func() {
 		f.placer.Health.SetEntriesStale(true)
 		for i := range f.pool.Ready {
 			f.placer.Health.ReportEnds([]routing.CrashReport{{Replica: f.pool.Ready[i].LoadKey(), Age: 4 * time.Second}}, epoch)
 		}
 		t, ok := choose(5 * time.Second)
 		Expect(ok).To(BeTrue())
-		Expect(t.Replica.IsCold(epoch.Add(5*time.Second))).To(BeTrue(), "all have ended")
+		Expect(t.Replica.IsCold(epoch.Add(5*time.Second))).To(BeTrue(), "all have terminated")
 		t, _ = choose(6 * time.Second)
 		Expect(t.Replica.IsCold(epoch.Add(6 * time.Second))).To(BeFalse())
-		Expect(t.Replica.ID).NotTo(BeElementOf(gone.ID, ""), "the one whose end was seen later is still left out")
+		Expect(t.Replica.ID).NotTo(BeElementOf(gone.ID, ""), "the one whose termination was seen later is still skipped")
 	})
 })
--- a/coordination/routing/evacuate.go
+++ b/coordination/routing/evacuate.go
@@ -1,20 +1,20 @@
-// This file decides which replicas get nothing because operators evacuate their failure
+// This file decides which replicas get no requests because operators evacuate their failure
 // domain.
 //
-// Inputs: which domains are evacuated, by the operators' documents, and when this daemon
-// learned that one was taken back. The rule:
+// Inputs: the evacuated domains, from the operators' documents, and when this daemon learned that
+// an evacuation ended. The rule:
 //
-//  1. A replica in an evacuated domain gets no request, whatever the reason: no first try,
-//     no retry, no resumed stream, and none as the home of a prompt or because nothing else
-//     is left. What runs there goes on to its end.
-//  2. If only evacuated replicas could serve a request it is refused at once, as not run.
-//  3. Prompts may be copied from replicas of an evacuated domain: a copy is no request.
-//  4. When a domain is taken back its replicas may have turned cold a moment before, and
-//     their entries say so up to two seconds later. Until a cold start's time has passed
-//     they count as cold (cold.go).
+//  1. A replica in an evacuated domain gets no request of any kind: no first attempt, retry or
+//     resumed stream, and none because it is the home of a prompt or because no other replica is
+//     left. Requests that already run there are completed.
+//  2. If only evacuated replicas could serve a request, it is refused at once as not run.
+//  3. Prompts may be copied from replicas of an evacuated domain: a copy is not a request.
+//  4. When an evacuation ends, replicas of the domain may have turned cold a moment before, and
+//     their store entries say so up to two seconds later. Until the time of a cold start has
+//     passed they count as cold (cold.go).
 //
-// The operators allow 5 s from their change until the last request; a daemon that is in
-// touch needs as long as for any document, some tenths of a second.
+// The operators allow 5 s from their change until the last request. A connected daemon learns of
+// it like of any other document, within some tenths of a second.
 
 package routing
 
@@ -25,19 +25,19 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// Evacuations knows which failure domains are evacuated and which were taken back. Its
-// owner guards it.
+// Evacuations records which failure domains are evacuated, and when evacuations ended. It is not
+// safe for concurrent use.
 type Evacuations struct {
 	evacuated map[state.FailureDomain]bool
 	takenBack map[state.FailureDomain]time.Time
 }
 
-// NewEvacuations returns a state in which no domain is evacuated.
+// NewEvacuations returns an Evacuations without an evacuated domain.
 func NewEvacuations() *Evacuations {
 	return &Evacuations{evacuated: make(map[state.FailureDomain]bool), takenBack: make(map[state.FailureDomain]time.Time)}
 }
 
-// Begin records that a domain is evacuated. It returns true if it was not before.
+// Begin records that a domain is evacuated. It returns false if it already was.
 func (e *Evacuations) Begin(d state.FailureDomain) bool {
 	if e.evacuated[d] {
 		return false
@@ -47,7 +47,8 @@
 	return true
 }
 
-// End records that a domain was taken back. It returns true if it was evacuated before.
+// End records that the evacuation of a domain ended. It returns false if the domain was not
+// evacuated.
 func (e *Evacuations) End(d state.FailureDomain, now time.Time) bool {
 	if !e.evacuated[d] {
 		return false
@@ -57,7 +58,7 @@
 	return true
 }
 
-// Domains returns the evacuated domains in the order of their names.
+// Domains returns the evacuated domains sorted by name.
 func (e *Evacuations) Domains() []state.FailureDomain {
 	out := make([]state.FailureDomain, 0, len(e.evacuated))
 	for d := range e.evacuated {
@@ -67,9 +68,9 @@
 	return out
 }
 
-// Apply moves the ready replicas of evacuated domains out of the way of requests, and marks
-// those whose domain was taken back as cold for the time of a cold start. It returns false if
-// there is nothing of either.
+// Apply moves the ready replicas of evacuated domains to p.Evacuated, and marks the replicas of
+// domains whose evacuation ended as cold for the duration of a cold start. It returns false if
+// there are no such domains.
 func (e *Evacuations) Apply(p *Pool, coldStart time.Duration) bool {
 	if len(e.evacuated)+len(e.takenBack) == 0 {
 		return false
--- a/coordination/routing/evacuate_test.go
+++ b/coordination/routing/evacuate_test.go
@@ -16,27 +16,27 @@
 	"hingewinch.org/hingewinch/state/feed"
 )
 
-// evacuationBound is how long after the operators' change requests may still reach an
-// evacuated domain.
+// evacuationBound is how long after the operators' change requests may still reach an evacuated
+// domain.
 const evacuationBound = 5 * time.Second
 
-// evacuationWorld is a fleet whose daemons learn of documents from a few readers of the store
-// and from each other, in messages that are lost, late and repeated.
+// evacuationSim simulates a fleet whose daemons learn of documents from a few store readers and
+// from each other, in messages that may be lost, delayed or duplicated.
 type evacuationWorld struct {
 	rng     *rand.Rand
 	now     time.Duration
-	lost    float64 // share of the messages
+	lost    float64 // fraction of the messages
 	daemons []*evacuationDaemon
-	mail    map[time.Duration][]evacuationMail // by the step at which it arrives
-	// obey takes a document over; a naive one takes whatever comes last.
+	mail    map[time.Duration][]evacuationMail // by the time of arrival, in steps
+	// apply applies a document; the naive version applies whatever arrives last.
 	obey func(*evacuationDaemon, feed.Item)
 }
 
 type evacuationDaemon struct {
 	feed      *feed.Feed
-	last      feed.Revision // of what it obeyed
+	last      feed.Revision // of the last document applied
 	evacuated *routing.Evacuations
-	news      int // messages that it still sends
+	news      int // rounds for which it still forwards the document
 }
 
 type evacuationMail struct {
@@ -46,7 +46,7 @@
 
 const evacuationStep = 50 * time.Millisecond
 
-// readersOfFleet is how many daemons read the store, whatever the size of the fleet.
+// storeReaders is the number of daemons that read the store, in a fleet of any size.
 const readersOfFleet = 4
 
 func newEvacuationWorld(daemons int, seed uint64) *evacuationWorld {
@@ -57,14 +57,14 @@
 	return w
 }
 
-// obeyNewest takes a document over if the feed finds it newer than what is held.
+// applyNewest applies a document if the feed finds it newer than the current one.
 func obeyNewest(d *evacuationDaemon, it feed.Item) {
 	for _, changed := range d.feed.Apply([]feed.Item{it}) {
 		d.take(changed)
 	}
 }
 
-// obeyLatest is naive: it takes over what came last.
+// applyLast is naive: it applies whatever arrives last.
 func obeyLatest(d *evacuationDaemon, it feed.Item) { d.take(it) }
 
 func (d *evacuationDaemon) take(it feed.Item) {
@@ -79,7 +79,7 @@
 	d.evacuated.Begin("z0")
 }
 
-// write has the store take a document: its readers learn of it within .6 s.
+// write stores a document. The store readers receive it within .6 s.
 func (w *evacuationWorld) write(it feed.Item) {
 	for i := range readersOfFleet {
 		w.post(i, it, time.Duration(w.rng.Int64N(int64(600*time.Millisecond))))
@@ -91,8 +91,8 @@
 	w.mail[at] = append(w.mail[at], evacuationMail{to, it})
 }
 
-// step delivers what is due, and has each daemon pass on what is new to it, to five others
-// each 400 ms; some messages come late, when a newer document has long been known.
+// step delivers the messages that are due. Every 400 ms each daemon forwards what is new to it to
+// five others; some messages arrive so late that a newer document has long been known.
 func (w *evacuationWorld) step(documents []feed.Item) {
 	w.now += evacuationStep
 	for _, m := range w.mail[w.now] {
@@ -118,8 +118,8 @@
 	}
 }
 
-// play writes documents that evacuate a domain and take it back by turns, and returns how
-// many daemons stand against the newest of them after the bound.
+// runChanges writes documents that evacuate a domain and end the evacuation in turn, and returns
+// the number of daemons that have not applied the newest one after the bound.
 func (w *evacuationWorld) play(changes int) (wrong int) {
 	var documents []feed.Item
 	for i := range changes {
@@ -141,22 +141,22 @@
 	return wrong
 }
 
-// TestAnEvacuationReachesTheFleet evacuates a domain and takes it back in quick succession,
-// while a tenth of the messages between daemons is lost and some come two seconds late: after
-// the bound every daemon obeys the newest document.
+// TestAnEvacuationReachesTheFleet evacuates a domain and ends the evacuation in quick succession,
+// while a tenth of the messages between daemons is lost and some arrive two seconds late. After
+// the bound every daemon must have applied the newest document.
 func TestAnEvacuationReachesTheFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom(fleetSizes).Draw(t, "daemons")
 		w := newEvacuationWorld(n, rapid.Uint64().Draw(t, "seed"))
 		w.lost = .1
 		if wrong := w.play(rapid.IntRange(1, 5).Draw(t, "changes")); wrong > 0 {
-			t.Fatalf("%d of %d daemons do not obey the newest document", wrong, n)
+			t.Fatalf("%d of %d daemons have not applied the newest document", wrong, n)
 		}
 	})
 }
 
-// TestLateDocumentsBreakWhatObeysTheLatest holds that the world above is hard enough: daemons
-// that take over whatever comes last end with an old document.
+// TestLateDocumentsBreakApplyLast checks that the simulation above is hard enough: daemons that
+// apply whatever arrives last must end with an old document.
 func TestLateDocumentsBreakWhatObeysTheLatest(t *testing.T) {
 	for _, n := range fleetSizes {
 		wrong := 0
@@ -166,14 +166,14 @@
 			wrong += w.play(5)
 		}
 		if wrong == 0 && n > readersOfFleet*2 {
-			t.Errorf("%d daemons that obey the latest document all end with the newest", n)
+			t.Errorf("%d daemons that apply whatever arrives last all end with the newest document", n)
 		}
 	}
 }
 
-// TestEvacuatedReplicasGetNothing draws what a choice can meet: evacuated domains, replicas
-// that fail, loads, hot prompts, earlier attempts, a domain that is cut off. No replica of an
-// evacuated domain is chosen, and a request is refused only if there is no other.
+// TestEvacuatedReplicasGetNothing draws the conditions of a choice: evacuated domains, failing
+// replicas, loads, hot prompts, earlier attempts, a domain that is cut off. No replica of an
+// evacuated domain may be chosen, and a request may be refused only if there is no other replica.
 func TestEvacuatedReplicasGetNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		RegisterTestingT(t)
@@ -211,13 +211,13 @@
 			tried.Replicas = append(tried.Replicas, target.Replica.ID)
 		}
 		if len(tried.Replicas) == 0 && len(f.pool.Ready) > 0 && !evacuated["z0"] {
-			t.Fatalf("a request was refused although a replica of the own domain is left")
+			t.Fatalf("a request was refused although a replica of the daemon's own domain is left")
 		}
 	})
 }
 
 var _ = Describe("Evacuations", func() {
-	It("hold replicas back until the domain is taken back, and then count them as cold", func() {
+	It("exclude replicas until the evacuation ends, and then mark them as cold", func() {
 		e := routing.NewEvacuations()
 		Expect(e.Begin("z0")).To(BeTrue())
 		Expect(e.Begin("z0")).To(BeFalse())
@@ -236,7 +236,7 @@
 		Expect(f.pool.Ready[1].IsCold(epoch)).To(BeFalse())
 	})
 
-	It("leave evacuated replicas as sources of copies", func() {
+	It("keep evacuated replicas as sources of prompt copies", func() {
 		f := newFleet("llm", "z0", "z1")
 		home := f.serve(chat("s"))
 		e := routing.NewEvacuations()
--- a/coordination/routing/evidence.go
+++ b/coordination/routing/evidence.go
@@ -1,34 +1,34 @@
-// This file counts how attempts at replicas ended, here and at peers.
+// This file counts the results of attempts at replicas, by this daemon and by its peers.
 
 package routing
 
 import "time"
 
-// Result says how an attempt at a replica ended, as evidence of its health.
+// Result is the result of an attempt at a replica, as evidence of its health.
 type Result int
 
-// The results of attempts.
+// Results of attempts.
 const (
-	// ResultGood is a whole answer.
+	// ResultGood is a complete response.
 	ResultGood Result = iota
-	// ResultRefused is an answer that says that the request was not run.
+	// ResultRefused is a response that says that the request was not run.
 	ResultRefused
-	// ResultFailed is an answer with an error of the replica's own.
+	// ResultFailed is an error response from the replica itself.
 	ResultFailed
-	// ResultBroken is an answer that broke off or was none.
+	// ResultBroken is an incomplete or invalid response, or none because the connection broke.
 	ResultBroken
-	// ResultSilent is no answer within the time that others need.
+	// ResultSilent is no response within the time limit (giveup.go).
 	ResultSilent
-	// ResultUnreachable is a connection that was not taken.
+	// ResultUnreachable is a failed connection attempt.
 	ResultUnreachable
 )
 
-// String returns the name of the result in logs and operators' answers.
+// String returns the name of the result in logs and in answers to operators.
 func (r Result) String() string {
 	return [...]string{"good", "refused", "failed", "broken", "silent", "unreachable"}[r]
 }
 
-// Evidence is what a daemon counted at one replica within the window.
+// Evidence is the number of results that a daemon counted at one replica within evidenceWindow.
 type Evidence struct {
 	Replica LoadKey
 	Good    uint16
@@ -36,11 +36,11 @@
 }
 
 const (
-	// evidenceWindow is the time whose results count. With one daemon's counts alone
-	// a grey replica took 10 s to be found; with those of all daemons 3 s of counts
-	// are enough.
+	// evidenceWindow is the sliding window in which results count. With one daemon's counts alone
+	// it took 10 s to find a replica that fails part of its requests; with those of all daemons 3
+	// s of counts are enough.
 	evidenceWindow = 3 * time.Second
-	// evidenceSlots is how many parts the window is counted in.
+	// evidenceSlots is the number of slots that the window is divided into.
 	evidenceSlots = 6
 )
 
@@ -49,14 +49,15 @@
 	good, bad [evidenceSlots]int
 	slot      int64
 	clock     slotClock
-	// ejection is how long the last ejection was, until its end and cause why.
+	// ejectDuration is the duration of the last ejection, ejectedUntil its end and ejectCause its
+	// cause.
 	ejection time.Duration
 	until    time.Time
 	cause    Result
-	answered time.Time // when it last gave this daemon a whole answer
+	answered time.Time // when it last sent this daemon a complete response
 }
 
-// advance clears the slots whose time is over.
+// advance clears the slots that have left the window.
 func (r *record) advance(now time.Time) {
 	slot := r.clock.slot(now, evidenceWindow/evidenceSlots)
 	for steps := 0; r.slot < slot && steps < evidenceSlots; steps++ {
@@ -88,13 +89,13 @@
 
 func (r *record) ejected(now time.Time) bool { return now.Before(r.until) }
 
-// peerEvidence is the counts of one peer.
+// peerEvidence holds the counts of one peer.
 type peerEvidence struct {
-	until  time.Time // when the counts no longer matter
+	until  time.Time // when the counts expire
 	counts []Evidence
 }
 
-// of returns the peer's counts of one replica.
+// countsOf returns the peer's counts of one replica.
 func (p *peerEvidence) of(key LoadKey, now time.Time) (good, bad int) {
 	if now.After(p.until) {
 		return 0, 0
--- a/coordination/routing/leaving.go
+++ b/coordination/routing/leaving.go
@@ -1,22 +1,24 @@
-// This file decides which replicas leave by their own word, whatever their entries say: a
-// replica that leaves says so in all its answers.
+// This file decides which replicas are leaving because they announced it, whatever their store
+// entries say: a replica that is shutting down says so in all its responses.
 //
-// Inputs: such answers (transport/relay hands them on), the reports of other daemons, and the
-// entries of replicas. An answer by another replica at the address says as much: the one that was
-// meant has gone. The rule:
+// Inputs: such responses (from transport/relay), reports of other daemons, and the store entries
+// of replicas. A response by another replica at the same address counts as an announcement too:
+// the intended replica has gone. The rule:
 //
-//  1. A replica that said so gets no new request from then on, not even where nothing else is
-//     left. What runs there ends in peace, prompts are copied from it, and its place among the
-//     ready ones is taken as if its entry said that it is draining.
-//  2. That is final for the start that said so: no entry, list or answer undoes it. Another start
-//     is free; an entry that does not say when its start began is held to be the same one.
-//  3. What is new is told to other daemons at once, and passed on once by each that learns of it.
-//     While an entry still calls the replica ready, daemons that start are sent it first, and one
-//     daemon, drawn by chance, each second (daemon/routes): the store would not tell them.
-//  4. It is forgotten when no entry has named that start for leavingMemory.
+//  1. A replica that announced its departure gets no new request from then on, even if no other
+//     replica is left. Requests that already run there are completed, prompts can be copied from
+//     it, and it is treated as if its entry said that it is draining.
+//  2. The announcement is final for that incarnation: no entry, list or response reverts it.
+//     Another incarnation is not affected. An entry without an incarnation time is taken for the
+//     same incarnation.
+//  3. A new announcement is sent to other daemons at once, and forwarded once by each that
+//     receives it. While the entry still says that the replica is ready, it is also sent first of
+//     all to daemons that start, and each second to one random daemon (daemon/routes), because
+//     they would not learn it from the store.
+//  4. An announcement is removed when no entry has named the incarnation for departureRetention.
 //
-// Unlike a rest (resting.go) it is a fact about the replica and not about one daemon's share of
-// it, so that one daemon's word is enough for all.
+// Unlike a backoff (resting.go), which concerns one daemon's share of the load, a departure is a
+// fact about the replica, so that a report from one daemon is enough for all.
 
 package routing
 
@@ -28,41 +30,41 @@
 	"time"
 )
 
-// LeavingReport says that a start of a replica leaves.
+// LeavingReport says that an incarnation of a replica is leaving.
 type LeavingReport struct {
 	Replica LoadKey
-	Age     time.Duration // since it said so
+	Age     time.Duration // since the announcement
 }
 
 const (
-	// leavingMemory outlasts entries that lapse and are back while the store is in trouble.
+	// departureRetention covers entries that expire and reappear while the store has problems.
 	leavingMemory = 10 * time.Minute
-	// leastLeavings bounds the memory, and what waits to be sent, of a fleet with fewer entries;
-	// with more it is as many as there are entries, since all may leave at once. Of more than
-	// that, the one that was named longest ago is forgotten.
+	// minDepartureCapacity bounds the announcements kept and queued in a fleet with fewer
+	// entries; with more entries the bound is their number, since all may leave at once. Beyond
+	// the bound, the one whose entry was seen longest ago is evicted.
 	leastLeavings = 5000
 )
 
-// Leavings remembers which replicas leave by their own word. It is safe for use by many
-// goroutines. A nil one knows none.
+// Leavings records which replicas announced that they are leaving. It is safe for concurrent use.
+// A nil *Leavings has no records.
 type Leavings struct {
-	// known is the number of entries, so that requests take no lock while there are none.
+	// known is the number of records. It lets requests skip the lock while there are none.
 	known atomic.Int64
 
 	mu     sync.RWMutex
-	told   map[ReplicaID]time.Time // when replicas told this daemon, whichever start
+	told   map[ReplicaID]time.Time // when replicas told this daemon, in any incarnation
 	starts map[LoadKey]*leaving
-	outbox outbox[LeavingReport] // its bound is that of starts
+	outbox outbox[LeavingReport] // its capacity is that of incarnations
 }
 
-// leaving is what is known of one start, from whomever.
+// departure is what is known of one incarnation that is leaving.
 type leaving struct {
-	at      time.Time // when it said so
-	namedAt time.Time // when an entry named it last, or when that was learnt
-	ready   bool      // its entry calls it ready
+	at      time.Time // when it was announced
+	namedAt time.Time // when an entry last named the incarnation, or when the departure became known
+	ready   bool      // the entry says that it is ready
 }
 
-// NewLeavings returns an empty memory.
+// NewLeavings returns an empty record.
 func NewLeavings() *Leavings {
 	return &Leavings{
 		told: make(map[ReplicaID]time.Time), starts: make(map[LoadKey]*leaving),
@@ -73,11 +75,11 @@
 	}
 }
 
-// Waiting has a value once something is new: views are to be built anew, and reports wait for
-// [Leavings.TakeReports].
+// Waiting returns a channel that receives a value when a new departure is known: views must be
+// rebuilt, and reports are available from [Leavings.TakeReports].
 func (l *Leavings) Waiting() <-chan struct{} { return l.outbox.waiting }
 
-// Say takes in that a replica told this daemon that it leaves. It returns true if that is new.
+// Say records that a replica told this daemon that it is leaving. It returns true if that is new.
 func (l *Leavings) Say(r *Replica, now time.Time) bool {
 	if l == nil {
 		return false
@@ -88,7 +90,7 @@
 	return l.add(r.LoadKey(), now, now)
 }
 
-// Observe takes in the reports of another daemon. It returns the starts that are new.
+// Observe applies the reports of another daemon. It returns the incarnations that are new.
 func (l *Leavings) Observe(reports []LeavingReport, now time.Time) []LoadKey {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,7 +103,8 @@
 	return found
 }
 
-// add notes a start that leaves, and has it passed on if it is new. The caller holds the lock.
+// add records the departure of an incarnation and, if it is new, queues a report. l.mu must be
+// held.
 func (l *Leavings) add(key LoadKey, at, now time.Time) bool {
 	if l.starts[key] != nil {
 		return false
@@ -115,7 +118,7 @@
 	return true
 }
 
-// makeRoom forgets the start that was named longest ago. The caller holds the lock.
+// evictOldest removes the incarnation whose entry was seen longest ago. l.mu must be held.
 func (l *Leavings) makeRoom() {
 	var first LoadKey
 	for key, s := range l.starts {
@@ -126,13 +129,13 @@
 	delete(l.starts, first)
 }
 
-// count sets known. The caller holds the lock.
+// updateKnown sets known. l.mu must be held.
 func (l *Leavings) count() { l.known.Store(int64(len(l.told) + len(l.starts))) }
 
-// Known reports whether any replica is known to leave by its own word.
+// Known reports whether any replica is known to have announced that it is leaving.
 func (l *Leavings) Known() bool { return l != nil && l.known.Load() > 0 }
 
-// Leaves reports whether a start of a replica leaves by its own word, by rule 2.
+// Leaves reports whether a replica has announced that it is leaving, by rule 2.
 func (l *Leavings) Leaves(r *Replica) bool {
 	if !l.Known() {
 		return false
@@ -143,8 +146,8 @@
 	return l.starts[r.LoadKey()] != nil || r.Born == 0 && wasTold
 }
 
-// Apply moves the replicas that leave by their own word from the ready ones of a pool to the
-// draining ones. It returns false if there are none.
+// Apply moves the replicas that announced their departure from p.Ready to p.Draining. It returns
+// false if there are none.
 func (l *Leavings) Apply(p *Pool) bool {
 	leaving := l.among(p)
 	if leaving == nil {
@@ -162,8 +165,8 @@
 	return true
 }
 
-// among returns which ready replicas of a pool leave by their own word. It looks them up by their
-// keys: few leave, of very many.
+// leavingReady returns the ready replicas of a pool that announced their departure. It looks the
+// departures up in the pool's index, because there are few of them among many replicas.
 func (l *Leavings) among(p *Pool) (out replicaSet) {
 	if !l.Known() {
 		return nil
@@ -192,7 +195,7 @@
 	return out
 }
 
-// TakeReports returns up to n reports to pass on. What is left waits.
+// TakeReports returns up to n reports to send to other daemons. The others stay queued.
 func (l *Leavings) TakeReports(n int, now time.Time) []LeavingReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -202,9 +205,9 @@
 	})
 }
 
-// All returns up to n reports of the starts that leave although their entries call them ready.
-// They begin after the given key, in an order that is the same for each call; last is the key of
-// the last one, or 0 at the end.
+// All returns up to n reports of the incarnations that are leaving although their entries say
+// that they are ready. The reports follow the key after, in a fixed order; last is the key of the
+// last report, or 0 if there are no more.
 func (l *Leavings) All(after LoadKey, n int, now time.Time) (reports []LeavingReport, last LoadKey) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -224,7 +227,7 @@
 	return reports, 0
 }
 
-// Named takes in which replicas have entries, and forgets by rule 4.
+// Named records which replicas have entries, and removes departures by rule 4.
 func (l *Leavings) Named(replicas iter.Seq[Replica], now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/coordination/routing/leaving_test.go
+++ b/coordination/routing/leaving_test.go
@@ -12,17 +12,17 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-var _ = Describe("Replicas that said that they leave", func() {
-	It("get nothing from then on, not even where nothing else is left", func() {
+var _ = Describe("Replicas that announced their departure", func() {
+	It("get nothing from then on, not even if no other replica is left", func() {
 		f := restingFleet(3)
 		for i := range f.pool.Ready {
 			Expect(f.placer.Leavings.Say(&f.pool.Ready[i], epoch)).To(BeTrue())
-			Expect(f.placer.Leavings.Say(&f.pool.Ready[i], epoch)).To(BeFalse(), "it is not new")
+			Expect(f.placer.Leavings.Say(&f.pool.Ready[i], epoch)).To(BeFalse(), "it is already known")
 		}
 		Expect(f.chosen(time.Hour)).To(BeEmpty())
 	})
 
-	It("are draining in views that are built anew, and prompts are copied from them", func() {
+	It("are draining in rebuilt views, and prompts are copied from them", func() {
 		f := restingFleet(3)
 		t := f.choose(chat("s"))
 		f.placer.RecordRead(chat("s"), &t, epoch)
@@ -35,7 +35,7 @@
 		Expect(next.Source.ID).To(Equal(t.Replica.ID))
 	})
 
-	It("are known to other daemons by one report, which each passes on once", func() {
+	It("become known to other daemons by one report, which each forwards once", func() {
 		here, there := routing.NewLeavings(), routing.NewLeavings()
 		r := routing.NewReplica(routing.Replica{ID: "r", Born: 5})
 		here.Say(&r, epoch)
@@ -48,7 +48,7 @@
 		Expect(there.TakeReports(10, epoch)).To(BeEmpty())
 	})
 
-	It("are told to daemons that start for as long as their entries call them ready", func() {
+	It("are reported to starting daemons while their entries say that they are ready", func() {
 		l := routing.NewLeavings()
 		var replicas []routing.Replica
 		for i := range 5 {
@@ -69,19 +69,19 @@
 		Expect(told()).To(Equal(5))
 		replicas[0].Draining = true
 		l.Named(slices.Values(replicas), epoch)
-		Expect(told()).To(Equal(4), "the store tells of one")
+		Expect(told()).To(Equal(4), "the store says that one is draining")
 		l.Named(slices.Values(replicas[:3]), epoch)
 		Expect(told()).To(Equal(2), "two have no entry")
 	})
 
-	It("are forgotten some time after no entry names them, and bounded in number", func() {
+	It("are removed some time after the last entry that names them, and bounded in number", func() {
 		l := routing.NewLeavings()
 		r := routing.NewReplica(routing.Replica{ID: "r"})
 		l.Say(&r, epoch)
 		l.Named(slices.Values([]routing.Replica{r}), epoch.Add(time.Hour))
 		Expect(l.Leaves(&r)).To(BeTrue())
 		l.Named(slices.Values[[]routing.Replica](nil), epoch.Add(time.Hour+9*time.Minute))
-		Expect(l.Leaves(&r)).To(BeTrue(), "its entry may have lapsed")
+		Expect(l.Leaves(&r)).To(BeTrue(), "its entry may have expired temporarily")
 		l.Named(slices.Values[[]routing.Replica](nil), epoch.Add(time.Hour+11*time.Minute))
 		Expect(l.Leaves(&r)).To(BeFalse())
 		Expect(l.Known()).To(BeFalse())
@@ -93,8 +93,9 @@
 	})
 })
 
-// TestAllReplicasOfALargeFleetMayLeave plays a release of most replicas of a large fleet at once, by
-// their answers: none is forgotten while its entry calls it ready.
+// TestAllReplicasOfLargeFleetMayLeave simulates a release of most replicas of a large fleet at
+// once, announced in their responses: none may be forgotten while its entry says that it is
+// ready.
 func TestAllReplicasOfALargeFleetMayLeave(t *testing.T) {
 	const entries, leaving = 20000, 9000
 	l := routing.NewLeavings()
@@ -115,17 +116,17 @@
 	}
 }
 
-// TestStartsThatALeavingBinds holds rule 2.
+// TestDepartureAppliesToIncarnation checks rule 2.
 func TestStartsThatALeavingBinds(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		said, other routing.Born
 		leaves      bool
 	}{
-		{"the one that said so", 7, 7, true},
-		{"another one", 7, 8, false},
-		{"an entry that does not say which it is", 7, 0, true},
-		{"one whose entry says so now", 0, 8, false},
+		{"the incarnation that announced it", 7, 7, true},
+		{"another incarnation", 7, 8, false},
+		{"an entry without an incarnation time", 7, 0, true},
+		{"another incarnation, after an announcement without one", 0, 8, false},
 	} {
 		l := routing.NewLeavings()
 		r := routing.NewReplica(routing.Replica{ID: "r", Born: c.said})
--- a/coordination/routing/lives.go
+++ b/coordination/routing/lives.go
@@ -1,61 +1,62 @@
-// This file decides which ends of replicas are disproved. An end is seen as a connection that
-// breaks and a new one that is refused (ended.go); links that refuse look the same to all whom they
-// cut off, and what these saw is believed by others.
+// This file decides which reported terminations of replicas are false. A termination is detected
+// as a connection that breaks followed by a new one that is refused (ended.go). Links that refuse
+// connections look the same to all daemons that they cut off, whose reports others believe.
 //
-// Inputs: which requests replicas answered, when they were sent, and on connections of which age;
-// idle connections that are open; the ends that are known here; the reports of other daemons. The
-// rule:
+// Inputs: which requests replicas responded to, when these were sent, and when their connections
+// were opened; idle connections that are open; the terminations known here; the reports of other
+// daemons. The rule:
 //
-//  1. An answer proves that the same start lived from the opening of its connection until the
-//     request was sent: no connection outlives its process. When the answer is read proves
-//     nothing, since a daemon may be slow or frozen. An idle connection proves as much until
-//     it is found open: the end of a process that leaves new ones refused closes it. Such times
-//     that overlap are one.
-//  2. An end within that time was none. Reports of ends say how old they are, and are on their way
-//     for a while, so that an end is held to be later than it was: the time must have begun
-//     lifeSlack before it, and gone on past it. The end is forgotten, with the suspicion that it
-//     casts on requests (crash.go).
-//  3. A daemon that hears of an end, and knows better, tells others. Each that learns something by
-//     that passes it on once.
+//  1. A response proves that the same incarnation lived from the opening of its connection until
+//     the request was sent, because no connection outlives its process. The time at which the
+//     response is read proves nothing, since a daemon may be slow or frozen. An idle connection
+//     proves as much until the time at which it is found open: when a process terminates so that
+//     new connections are refused, its old ones are closed. Overlapping intervals are merged.
+//  2. A termination within such an interval is false. Reports of terminations carry their age and
+//     take time to arrive, so that a termination seems to be later than it was. The interval must
+//     therefore begin more than livenessSlack before it, and end after it. A false termination is
+//     removed, together with the crashes that it counts against requests (crash.go).
+//  3. A daemon that receives a report of a termination that it can disprove tells others. Each
+//     daemon that learns something from that forwards it once.
 
 package routing
 
 import "time"
 
-// LifeReport says that a start of a replica lived through a time.
+// LifeReport says that an incarnation of a replica lived throughout an interval.
 type LifeReport struct {
 	Replica LoadKey
-	Since   time.Duration // how long ago that time began
-	Age     time.Duration // how long ago it ended
+	Since   time.Duration // how long ago the interval began
+	Age     time.Duration // how long ago the interval ended
 }
 
 const (
-	// lifeSlack bounds by how much later an end is held to be. Reports are passed on within tens of
-	// milliseconds. On the other side ageRounding is enough: more would let ends count that a cut
-	// made up.
+	// livenessSlack bounds how much later than it was a termination can appear. Reports are
+	// forwarded within tens of milliseconds. At the other end of the interval ageRounding is
+	// enough: with more, false terminations caused by a partition would count.
 	lifeSlack   = 300 * time.Millisecond
 	ageRounding = 10 * time.Millisecond
-	// lifeMemory is how long a time without answers is kept: as long as ends matter, and
-	// reports of them are on their way.
+	// livenessRetention is how long an interval is kept after its end: as long as terminations
+	// count and reports of them are in transit.
 	lifeMemory = 2 * endedHoldStale
-	// lifeInterval is how often a daemon says the same again.
+	// livenessReportInterval is the minimum time between two reports of the same incarnation.
 	lifeInterval = time.Second
-	// maxLifeReports bounds those that wait: each daemon of a large fleet may know as much.
+	// maxLivenessReports bounds the queued reports, because each daemon of a large fleet may have
+	// as many.
 	maxLifeReports = 500
 )
 
-// life is the latest time through which a start is known to have lived.
+// liveInterval is the latest interval throughout which an incarnation is known to have lived.
 type life struct {
 	from, to time.Time
 	toldAt   time.Time
 }
 
-// covers reports whether an end at a time was none, by rule 2.
+// covers reports whether a termination at the given time is false, by rule 2.
 func (l *life) covers(at time.Time) bool {
 	return l != nil && at.Sub(l.from) > lifeSlack && l.to.Sub(at) > ageRounding
 }
 
-// add joins a time to the one that is known, or takes its place.
+// extend merges an interval with the known one if they overlap, or replaces an older one.
 func (l *life) add(from, to time.Time) {
 	if from.After(l.to) || l.to.IsZero() {
 		l.from = from
@@ -66,8 +67,9 @@
 	l.to = latest(l.to, to)
 }
 
-// Lived takes in that a replica answered a request of this daemon, which was sent at a time on a
-// connection that was opened at a time; or that such a connection was found open.
+// Lived records that a replica responded to a request of this daemon that was sent at the time
+// sent on a connection opened at the time opened, or that such an idle connection was found open
+// at the time sent.
 func (h *Health) Lived(r *Replica, opened, sent time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -75,7 +77,8 @@
 	h.tellOfLife(r.LoadKey(), sent)
 }
 
-// life returns what is known of a start. The caller holds the lock.
+// livenessOf returns the interval of an incarnation, which is created if needed. h.mu must be
+// held.
 func (h *Health) life(key LoadKey) *life {
 	l := h.lives[key]
 	if l == nil {
@@ -85,8 +88,8 @@
 	return l
 }
 
-// tellOfLife has others told that an end which is known here was none, if that is so, and
-// forgets it. The caller holds the lock.
+// removeDisproved removes the known termination of an incarnation if it is false, and queues a
+// report of that. It returns true if it did. h.mu must be held.
 func (h *Health) tellOfLife(key LoadKey, now time.Time) bool {
 	at, ended := h.ended[key]
 	l := h.lives[key]
@@ -98,7 +101,8 @@
 	return true
 }
 
-// queueLife has a report sent, unless the same was sent a moment ago. The caller holds the lock.
+// queueLiveness queues a report unless one was queued within livenessReportInterval. h.mu must be
+// held.
 func (h *Health) queueLife(key LoadKey, l *life, now time.Time) {
 	if now.Sub(l.toldAt) < lifeInterval {
 		return
@@ -107,15 +111,16 @@
 	h.lifeReports.add(LifeReport{Replica: key}, now)
 }
 
-// Disproves reports whether an end of a start at a time is known to have been none.
+// Disproves reports whether a termination of an incarnation at the given time is known to be
+// false.
 func (h *Health) Disproves(key LoadKey, at time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.lives[key].covers(at)
 }
 
-// Believable returns those of the reports of ends that are not disproved, acquittals included.
-// Others are told of those that are.
+// Believable returns the crash reports that are not disproved, including clearances. For those
+// that are disproved, it queues reports for other daemons.
 func (h *Health) Believable(reports []CrashReport, now time.Time) []CrashReport {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -131,8 +136,8 @@
 	return out
 }
 
-// ObserveLives takes in the reports of another daemon. It returns the starts of which an end is
-// disproved by that.
+// ObserveLives applies the reports of another daemon. It returns the incarnations whose
+// termination they disprove.
 func (h *Health) ObserveLives(reports []LifeReport, now time.Time) []LoadKey {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -146,10 +151,11 @@
 	return found
 }
 
-// LivesWaiting has a value once reports wait for [Health.TakeLives].
+// LivesWaiting returns a channel that receives a value when reports are available from
+// [Health.TakeLives].
 func (h *Health) LivesWaiting() <-chan struct{} { return h.lifeReports.waiting }
 
-// TakeLives returns up to n reports to pass on. What is left waits.
+// TakeLives returns up to n reports to send to other daemons. The others stay queued.
 func (h *Health) TakeLives(n int, now time.Time) []LifeReport {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -160,7 +166,7 @@
 	})
 }
 
-// forgetLives drops what no longer matters. The caller holds the lock.
+// forgetLiveness removes expired intervals. h.mu must be held.
 func (h *Health) forgetLives(now time.Time) {
 	for key, l := range h.lives {
 		if now.Sub(l.to) > lifeMemory {
--- a/coordination/routing/lives_fleet_test.go
+++ b/coordination/routing/lives_fleet_test.go
@@ -10,8 +10,8 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// cutWorld is, in virtual time, two failure domains of daemons before a service with replicas in
-// both, and links between them that refuse for a while.
+// partitionSim simulates in virtual time a service with daemons and replicas in two failure
+// domains, and links between them that refuse connections for a while.
 type cutWorld struct {
 	pool    *routing.Pool
 	view    *routing.View
@@ -20,12 +20,12 @@
 	isCut   bool
 }
 
-// cutDaemon is a daemon with a connection to each replica that it reaches.
+// partitionDaemon is a daemon with a connection to each replica that it reaches.
 type cutDaemon struct {
 	domain int
 	placer *routing.Placer
 	opened map[routing.ReplicaID]time.Time
-	ends   []routing.CrashReport // that it saw, with their times as ages at the begin
+	ends   []routing.CrashReport // seen by this daemon; Age is relative to epoch
 }
 
 func newCutWorld(daemons, replicas int) *cutWorld {
@@ -42,11 +42,11 @@
 	return w
 }
 
-// domainOf returns where a replica stands: the first of three in the one domain, the others in the
-// other, as where a small service has one replica behind the cut.
+// domainOf returns the domain of a replica: one of three replicas is in the first domain, the
+// others in the second, as with a small service that has one replica on one side of a partition.
 func (w *cutWorld) domainOf(i int) int { return min(1, i%3) }
 
-// request has a daemon serve one request. It returns false if it found no replica.
+// request lets a daemon serve one request. It returns false if there was no replica to choose.
 func (w *cutWorld) request(d *cutDaemon, id string) bool {
 	var tried routing.Tried
 	for range routing.MaxChoices {
@@ -74,10 +74,11 @@
 		d.placer.Health.Lived(&w.pool.Ready[i], d.opened[t.Replica.ID], w.now)
 		return true
 	}
-	return true // connections were refused: that is no want of a replica
+	return true // connections were refused, but replicas were available
 }
 
-// gossip has each daemon told all that others have seen and know, within what the cut allows.
+// gossip sends each daemon all that the others have seen and know, as far as the partition
+// allows.
 func (w *cutWorld) gossip() {
 	for _, from := range w.daemons {
 		lives := from.placer.Health.TakeLives(100, w.now)
@@ -96,9 +97,10 @@
 	}
 }
 
-// TestACutThatRefusesLeavesNoReplicaOut plays a cut by links that refuse, of several lengths, and
-// counts the requests that daemons refuse for want of a replica in the seconds after its heal,
-// though all replicas live. Entries are held to be stale, the worst case.
+// TestACutThatRefusesLeavesNoReplicaOut simulates partitions of several lengths in which links
+// refuse connections, and counts the requests that daemons refuse for lack of a replica in the
+// seconds after the partition, although all replicas live. Entries are taken for stale, which is
+// the worst case.
 func TestACutThatRefusesLeavesNoReplicaOut(t *testing.T) {
 	RegisterTestingT(t)
 	const step = 20 * time.Millisecond
@@ -126,7 +128,7 @@
 			refused, all := play(8 * time.Second)
 			t.Logf("%d daemons, cut for %v: %d of %d requests refused after it", daemons, cut, refused, all)
 			if refused > 0 {
-				t.Errorf("%d daemons, cut for %v: %d of %d requests refused after it for want of a replica, all of which live", daemons, cut, refused, all)
+				t.Errorf("%d daemons, cut for %v: %d of %d requests refused after it for lack of a replica, although all replicas live", daemons, cut, refused, all)
 			}
 		}
 	}
--- a/coordination/routing/lives_test.go
+++ b/coordination/routing/lives_test.go
@@ -9,7 +9,7 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// TestLivesDisproveEnds holds which answers prove that an end, at second 100, was none.
+// TestLivenessDisprovesTerminations checks which responses disprove a termination at second 100.
 func TestLivesDisproveEnds(t *testing.T) {
 	type answer struct{ opened, at float64 }
 	at := func(s float64) time.Time { return epoch.Add(time.Duration(s * float64(time.Second))) }
@@ -40,8 +40,9 @@
 	}
 }
 
-// TestDaemonsThatKnowBetterTellOthers plays two daemons: one believes an end, the other answers
-// its report, and both go on with the replica. The suspicion of its requests goes too.
+// TestDaemonsForwardDisprovedTerminations checks that a daemon that can disprove a termination
+// replies to the report of one that believes it, so that both use the replica again, and that the
+// crash no longer counts against requests.
 func TestDaemonsThatKnowBetterTellOthers(t *testing.T) {
 	here, there := routing.NewHealth(), routing.NewHealth()
 	crashes := routing.NewCrashes()
@@ -52,24 +53,24 @@
 	now := epoch.Add(2 * time.Second)
 	here.Lived(&r, epoch.Add(-time.Minute), now)
 	if got := here.Believable(reports, now); len(got) != 1 || !got[0].Acquits {
-		t.Fatalf("believed are %+v, want the acquittal alone", got)
+		t.Fatalf("got %+v, want only the clearance", got)
 	}
 	lives := here.TakeLives(10, now)
 	if len(lives) != 1 || lives[0].Since < time.Minute {
-		t.Fatalf("told are %+v, want one life", lives)
+		t.Fatalf("reports are %+v, want one interval", lives)
 	}
 	if here.Believable(reports, now); len(here.TakeLives(10, now)) != 0 {
-		t.Error("the same is told again at once")
+		t.Error("the same report is queued again at once")
 	}
 	found := there.ObserveLives(lives, now)
 	if _, why := there.Explain(&r, now); len(found) != 1 || why != "" {
-		t.Errorf("found are %v, it gets nothing there because %q", found, why)
+		t.Errorf("disproved are %v; the replica gets no requests because %q", found, why)
 	}
 	if len(there.TakeLives(10, now)) != 1 {
-		t.Error("what disproves an end is not passed on")
+		t.Error("the report that disproves a termination is not forwarded")
 	}
 	if there.ObserveLives(lives, now); len(there.TakeLives(10, now)) != 0 {
-		t.Error("it is passed on twice")
+		t.Error("the report is forwarded twice")
 	}
 	crashes.Disprove(there.Disproves)
 	for _, replica := range []string{"a", "b"} {
@@ -77,17 +78,17 @@
 		crashes.ReportEnd(5, "w", &other, now)
 	}
 	if crashes.Held(5, now) {
-		t.Error("a request is held back for three ends of which one was none")
+		t.Error("a request is quarantined after three crashes, one of which is disproved")
 	}
 }
 
-// TestRealEndsAreNeverDisproved plays, in virtual time, a replica that starts again and again, any
-// number of connections to it that are opened and answered at any time while a start lives, reports
-// that arrive late, in any order, and holds that no end is disproved.
+// TestRealEndsAreNeverDisproved simulates in virtual time a replica that restarts again and
+// again, any number of connections that are opened and used at any time while an incarnation
+// lives, and reports that arrive late. No real termination may be disproved.
 func TestRealEndsAreNeverDisproved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		daemons := []*routing.Health{routing.NewHealth(), routing.NewHealth(), routing.NewHealth()}
-		r := routing.NewReplica(routing.Replica{ID: "r"}) // one key for all starts
+		r := routing.NewReplica(routing.Replica{ID: "r"}) // one key for all incarnations
 		draw := func(name string, most int) time.Duration {
 			return time.Duration(rapid.IntRange(0, most).Draw(t, name)) * time.Millisecond
 		}
@@ -105,13 +106,13 @@
 			ends = append(ends, end)
 			now = now.Add(draw("down", 2000) + time.Millisecond)
 			for _, d := range daemons {
-				d.ObserveLives(rapid.SampledFrom(daemons).Draw(t, "teller").TakeLives(10, now), now.Add(draw("way", 100)))
+				d.ObserveLives(rapid.SampledFrom(daemons).Draw(t, "sender").TakeLives(10, now), now.Add(draw("delay", 100)))
 			}
 		}
 		for i, d := range daemons {
 			for _, end := range ends {
 				if d.Disproves(r.LoadKey(), end.Add(draw("late", 40))) {
-					t.Fatalf("daemon %d disproves the end at %v", i, end.Sub(epoch))
+					t.Fatalf("daemon %d disproves the termination at %v", i, end.Sub(epoch))
 				}
 			}
 		}
--- a/coordination/routing/outbox.go
+++ b/coordination/routing/outbox.go
@@ -1,5 +1,5 @@
-// This file holds reports that wait to be passed on to other daemons: of silent replicas, of
-// crowded ones, and of requests that replicas ended under.
+// This file queues reports to other daemons: of silent, overloaded, terminated, live and leaving
+// replicas.
 
 package routing
 
@@ -8,32 +8,33 @@
 	"time"
 )
 
-// pendingReport is a report that waits to be sent.
+// pendingReport is a queued report.
 type pendingReport[R any] struct {
 	report R
-	at     time.Time // when it was found
+	at     time.Time // when the reported event was seen
 }
 
-// outbox holds the reports of one kind. Its owner guards it.
+// outbox queues the reports of one kind. It is not safe for concurrent use.
 type outbox[R any] struct {
-	// waiting has a value once reports wait.
+	// notify receives a value when reports are queued.
 	waiting chan struct{}
-	most    int // reports that wait; more are dropped
-	// perSecond bounds what is sent, saved up for a second at most; 0: no bound.
+	most    int // maximum number of queued reports; more are dropped
+	// rate is the number of reports sent a second, with bursts of up to one second's worth; 0:
+	// unlimited.
 	perSecond float64
-	// maxAge is the age from which a report is not sent any more; 0: none is too old.
+	// maxAge is the age from which a report is dropped instead of sent; 0: unlimited.
 	maxAge time.Duration
-	// keeps says that what can't be sent now waits on.
+	// keepUnsent keeps reports that can't be sent now in the queue.
 	keeps bool
-	// before orders reports: those that matter more go first.
+	// compare orders reports by priority: those that sort first are sent first.
 	before func(a, b pendingReport[R]) int
 
 	pending   []pendingReport[R]
-	allowance float64 // how many may be sent, as of allowedAt
+	allowance float64 // reports that may be sent, as of refilledAt
 	allowedAt time.Time
 }
 
-// add has a report sent on. It is dropped if as many wait as may.
+// add queues a report. It is dropped if the queue is full.
 func (o *outbox[R]) add(r R, at time.Time) {
 	if len(o.pending) >= o.most {
 		return
@@ -42,7 +43,7 @@
 	o.signal()
 }
 
-// signal fills waiting, unless it is full.
+// signal sends a value to notify, unless one is pending.
 func (o *outbox[R]) signal() {
 	select {
 	case o.waiting <- struct{}{}:
@@ -50,7 +51,7 @@
 	}
 }
 
-// take returns up to n reports to send, with their ages filled in.
+// take removes up to n reports from the queue to be sent, and sets their ages with withAge.
 func (o *outbox[R]) take(n int, now time.Time, withAge func(r R, age time.Duration) R) []R {
 	pending := o.pending
 	o.pending = nil
@@ -71,7 +72,7 @@
 	return out
 }
 
-// allow returns how many reports may be sent.
+// refill returns how many reports may be sent now.
 func (o *outbox[R]) allow(now time.Time) int {
 	if o.perSecond == 0 {
 		return o.most
--- a/coordination/routing/resting.go
+++ b/coordination/routing/resting.go
@@ -1,27 +1,27 @@
-// This file decides which replicas get nothing because they asked this daemon for rest: they
-// turned a request away and said for how long they want no more.
+// This file decides which replicas get no requests because they requested a backoff from this
+// daemon: they refused a request and said for how long they want no more.
 //
-// Inputs: the rests that replicas asked for in their answers (transport/relay hands them on),
-// operators' wishes to lift one. The rule:
+// Inputs: the backoffs that replicas requested in their responses (from transport/relay), and
+// requests of operators to lift one. The rule:
 //
-//  1. A replica that rests gets no request from this daemon: no first try, retry or rest of a
-//     stream, not as the home of a prompt, and not because nothing else is left. What evidence
-//     does (eject.go) does not stand in for that: it needs four refusals, lasts half a second
-//     at first and is void where most replicas are left out.
-//  2. Of several rests the one that ends last counts. A shorter one that is asked for later, a
-//     success, a refusal that asks for none, and a text that is no time change nothing.
-//  3. A rest binds the start of the replica that asked, as far as entries tell starts apart. It
-//     outlives the entry, a list, a view and a reload; another start is free. An answer of a
-//     start whose entry is not known yet is taken for the former one's: then one request more
-//     may be turned away, and two are allowed.
-//  4. It binds the daemon that was told and no other, and is no evidence of failure: a replica
-//     that is full with the requests of one daemon is not broken.
-//  5. More than longestRest is cut to that.
-//  6. Where all that could serve a request rest, it is refused at once, as not run, with the time
-//     until the first of them is back.
+//  1. A replica that is backing off gets no request from this daemon: no first attempt, retry or
+//     remainder of a stream, and none because it is the home of a prompt or because no other
+//     replica is left. Ejection (eject.go) does not achieve that: it needs four refusals, lasts
+//     half a second at first, and is ignored where most replicas are skipped.
+//  2. Of several backoffs the one that ends last counts. It is not changed by a later request for
+//     a shorter one, a success, a refusal without a backoff, or a value that is not a duration.
+//  3. A backoff applies to the incarnation that requested it, as far as entries identify
+//     incarnations. It outlives the entry, a list, a view and a reload, but does not apply to
+//     another incarnation. A response from an incarnation whose entry is not known yet is
+//     attributed to the former one: then one more request may be refused, and two are allowed.
+//  4. It applies only to the daemon that received the response, and is not evidence of failure: a
+//     replica that is full with the requests of one daemon is not broken.
+//  5. A backoff longer than maxBackoff is reduced to that.
+//  6. If all replicas that could serve a request are backing off, it is refused at once as not
+//     run, with the time until the first of them is back.
 //
-// A replica that rests is still counted in the service's mean, and prompts can be copied from
-// it: a copy is a request of another replica, not of this daemon.
+// A replica that is backing off still counts in the service's mean load, and prompts can be
+// copied from it: the copy is requested by another replica, not by this daemon.
 
 package routing
 
@@ -35,44 +35,44 @@
 )
 
 const (
-	// longestRest bounds what a replica can ask for: one that is broken may ask for years, and nothing
-	// but a new start would end that. A replica that means to serve again asks for seconds; operators
-	// see rests and can lift them.
+	// maxBackoff bounds what a replica can request. A broken replica may request years, and only
+	// a restart of it would end that. A replica that means to serve again requests seconds;
+	// operators see backoffs and can lift them.
 	longestRest = time.Hour
-	// maxRests bounds the memory: far more replicas than are planned, 4,500. Of more, the one
-	// that ends first is forgotten.
+	// maxBackoffs bounds the memory. It is far above the planned number of replicas, 4,500.
+	// Beyond it, the backoff that ends first is evicted.
 	maxRests = 10_000
-	// restSpread is the time over which callers come back after the first rest has ended, so that they
-	// do not all find the one replica that is back.
+	// backoffJitter is the time over which the retries of callers are spread after the first
+	// backoff has ended, so that they don't all arrive at the one replica that is back.
 	restSpread = 300 * time.Millisecond
 )
 
-// Rests remembers which replicas asked this daemon for rest. It is safe for use by many
-// goroutines. A nil one knows none.
+// Rests records which replicas requested a backoff from this daemon. It is safe for concurrent
+// use. A nil *Rests has no records.
 type Rests struct {
-	// known is the number of rests, so that requests take no lock while there are none.
+	// known is the number of backoffs. It lets requests skip the lock while there are none.
 	known atomic.Int64
 
 	mu    sync.RWMutex
 	rests map[ReplicaID]rest
 }
 
-// rest is the time of one replica.
+// backoff is the backoff of one replica.
 type rest struct {
-	born  Born // the start that asked
+	born  Born // start time of the incarnation that requested it
 	until time.Time
-	by    RequestID // whose answer asked last
+	by    RequestID // the request whose response last requested the backoff
 }
 
-// NewRests returns an empty memory.
+// NewRests returns an empty record.
 func NewRests() *Rests { return &Rests{rests: make(map[ReplicaID]rest)} }
 
-// binds reports whether a start of the replica is bound by the rest, by rule 3. An entry that
-// does not say when its start began is held to be the same one.
+// appliesTo reports whether the backoff applies to an incarnation of the replica, by rule 3. An
+// entry without an incarnation time is taken for the same incarnation.
 func (t rest) binds(r *Replica) bool { return t.born == r.Born || t.born == 0 || r.Born == 0 }
 
-// Ask takes in that a replica, in its answer to a request, asked for rest. It returns how much longer the replica rests, and
-// whether it did not before.
+// Ask records that a replica, in its response to the request by, requested a backoff of duration
+// d. It returns how much longer the replica backs off, and whether it was not backing off before.
 func (s *Rests) Ask(r *Replica, d time.Duration, by RequestID, now time.Time) (left time.Duration, isNew bool) {
 	if s == nil || d <= 0 {
 		return 0, false
@@ -93,7 +93,7 @@
 	return t.until.Sub(now), isNew
 }
 
-// makeRoom forgets the rest that ends first. The caller holds the lock.
+// evictFirst removes the backoff that ends first. s.mu must be held.
 func (s *Rests) makeRoom() {
 	var first ReplicaID
 	for id, t := range s.rests {
@@ -104,10 +104,10 @@
 	delete(s.rests, first)
 }
 
-// Known reports whether any replica rests.
+// Known reports whether any backoff is recorded.
 func (s *Rests) Known() bool { return s != nil && s.known.Load() > 0 }
 
-// Left returns how much longer a replica rests; 0: it does not.
+// Left returns how much longer a replica backs off, or 0 if it does not.
 func (s *Rests) Left(r *Replica, now time.Time) time.Duration {
 	if !s.Known() {
 		return 0
@@ -121,8 +121,8 @@
 	return max(0, t.until.Sub(now))
 }
 
-// AskedBy returns the request whose answer asked last for the rest of a replica; empty: it does
-// not rest.
+// AskedBy returns the request whose response last requested the current backoff of a replica, or
+// "" if there is none.
 func (s *Rests) AskedBy(r *Replica, now time.Time) RequestID {
 	if s.Left(r, now) == 0 {
 		return ""
@@ -132,8 +132,9 @@
 	return s.rests[r.ID].by
 }
 
-// backIn returns the time after which the caller of a request should come back that was refused
-// because replicas of a pool rest, by rule 6; false: none rests.
+// retryAfter returns the time after which the caller of the request id, which was refused because
+// replicas of the pool are backing off, should retry, by rule 6. It returns false if no replica
+// of the pool is backing off.
 func (s *Rests) backIn(p *Pool, id RequestID, now time.Time) (time.Duration, bool) {
 	if !s.Known() {
 		return 0, false
@@ -148,7 +149,8 @@
 	return first + time.Duration(draw*float64(restSpread)), first > 0
 }
 
-// Lift ends the rest of a replica on an operator's word. It returns false if it did not rest.
+// Lift ends the backoff of a replica on behalf of an operator. It returns false if the replica
+// was not backing off.
 func (s *Rests) Lift(id ReplicaID, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,7 +160,7 @@
 	return ok && now.Before(t.until)
 }
 
-// Forget drops the rests that are over.
+// Forget removes the backoffs that are over.
 func (s *Rests) Forget(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/coordination/routing/resting_test.go
+++ b/coordination/routing/resting_test.go
@@ -13,14 +13,14 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// restingFleet is a fleet whose daemon knows rests and leavings.
+// newBackoffFleet returns a fleet whose daemon records backoffs and departures.
 func restingFleet(replicas int) *fleet {
 	f := newFleet("llm", sameDomain(replicas)...)
 	f.placer.Rests, f.placer.Leavings = routing.NewRests(), routing.NewLeavings()
 	return f
 }
 
-// chosen returns which replicas take requests with many prompts at a time.
+// chosen returns the replicas that are chosen for requests with many different prompts at a time.
 func (f *fleet) chosen(after time.Duration) map[routing.ReplicaID]bool {
 	f.pool.Sort()
 	out := make(map[routing.ReplicaID]bool)
@@ -32,8 +32,8 @@
 	return out
 }
 
-var _ = Describe("Replicas that asked for rest", func() {
-	It("get nothing until it is over, and then their part", func() {
+var _ = Describe("Replicas that requested a backoff", func() {
+	It("get nothing until it is over, and then their share", func() {
 		f := restingFleet(4)
 		r := f.pool.Ready[0]
 		f.placer.Rests.Ask(&r, 3*time.Second, "q", epoch)
@@ -42,7 +42,7 @@
 		Expect(f.chosen(3 * time.Second)).To(HaveKey(r.ID))
 	})
 
-	It("get nothing where all others are ejected, or hold far more", func() {
+	It("get nothing even if all others are ejected or far more loaded", func() {
 		f := restingFleet(4)
 		r := f.pool.Ready[0]
 		f.placer.Rests.Ask(&r, 3*time.Second, "q", epoch)
@@ -60,7 +60,7 @@
 		Expect(f.chosen(0)).NotTo(HaveKey(r.ID))
 	})
 
-	It("are refused for at once where all rest, with the time until the first is back", func() {
+	It("lead to an immediate refusal if all are backing off, with the time until the first is back", func() {
 		f := restingFleet(3)
 		for i := range f.pool.Ready {
 			f.placer.Rests.Ask(&f.pool.Ready[i], time.Duration(2+i)*time.Second, "q", epoch)
@@ -73,10 +73,10 @@
 			Expect(why.RetryAfter).To(And(BeNumerically(">=", 2*time.Second), BeNumerically("<", 2500*time.Millisecond)))
 			seen[why.RetryAfter] = true
 		}
-		Expect(len(seen)).To(BeNumerically(">", 40), "callers come back by and by")
+		Expect(len(seen)).To(BeNumerically(">", 40), "retries are spread over time")
 	})
 
-	It("are still the source of copies", func() {
+	It("are still sources of prompt copies", func() {
 		f := restingFleet(3)
 		t := f.choose(chat("s"))
 		f.placer.RecordRead(chat("s"), &t, epoch)
@@ -85,7 +85,7 @@
 		Expect(next.Source.ID).To(Equal(t.Replica.ID))
 	})
 
-	It("rest for an hour at most, and until an operator lifts it", func() {
+	It("back off for an hour at most, and until an operator lifts it", func() {
 		r := routing.NewReplica(routing.Replica{ID: "r"})
 		rests := routing.NewRests()
 		left, isNew := rests.Ask(&r, 10*365*24*time.Hour, "q", epoch)
@@ -97,7 +97,7 @@
 		Expect(rests.Lift("r", epoch)).To(BeFalse())
 	})
 
-	It("are forgotten when it is over, and bounded in number", func() {
+	It("are removed when the backoff is over, and bounded in number", func() {
 		rests := routing.NewRests()
 		last := routing.NewReplica(routing.Replica{ID: "last"})
 		for i := range 10_001 {
@@ -112,32 +112,32 @@
 	})
 })
 
-// TestStartsThatARestBinds holds rule 3.
+// TestBackoffAppliesToIncarnation checks rule 3.
 func TestStartsThatARestBinds(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		asked, other routing.Born
 		bound        bool
 	}{
-		{"the one that asked", 7, 7, true},
-		{"another one", 7, 8, false},
-		{"an entry that does not say which it is", 7, 0, true},
-		{"one that asked under such an entry", 0, 8, true},
+		{"the incarnation that requested it", 7, 7, true},
+		{"another incarnation", 7, 8, false},
+		{"an entry without an incarnation time", 7, 0, true},
+		{"an incarnation that requested it under such an entry", 0, 8, true},
 	} {
 		rests := routing.NewRests()
 		r := routing.NewReplica(routing.Replica{ID: "r", Born: c.asked})
 		rests.Ask(&r, 10*time.Second, "q", epoch)
 		other := routing.NewReplica(routing.Replica{ID: "r", Born: c.other})
 		if got := rests.Left(&other, epoch) > 0; got != c.bound {
-			t.Errorf("%s: bound %t, want %t", c.name, got, c.bound)
+			t.Errorf("%s: backs off %t, want %t", c.name, got, c.bound)
 		}
 	}
 }
 
-// TestRestsAreKeptWhateverComesAfter plays, in virtual time, any order of refusals, rests,
-// successes, ejections, entries that come and go, and starts, before any number of replicas, and
-// holds that no request of the daemon reaches a replica between the answer and the end of the
-// rest. Two would be allowed, half a second later.
+// TestBackoffsAreKept simulates in virtual time any sequence of refusals, backoffs, successes,
+// ejections, entries that come and go, and restarts, with any number of replicas. No request of
+// the daemon may reach a replica between the response that requested a backoff and the end of the
+// backoff. Two would be allowed, half a second later.
 func TestRestsAreKeptWhateverComesAfter(t *testing.T) {
 	RegisterTestingT(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -156,7 +156,7 @@
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
 			case 0:
 				now = now.Add(time.Duration(rapid.IntRange(1, 2500).Draw(t, "ms")) * time.Millisecond)
-			case 1: // turned away, with rest or without
+			case 1: // refused, with or without a backoff
 				rest := time.Duration(rapid.IntRange(0, 4000).Draw(t, "rest")) * time.Millisecond
 				f.placer.Rests.Ask(r, rest, "q", now)
 				if end := now.Add(rest); end.After(until[r.ID]) {
@@ -164,11 +164,11 @@
 				}
 			case 2:
 				f.placer.Health.Report(r, rapid.SampledFrom([]routing.Result{routing.ResultGood, routing.ResultRefused, routing.ResultUnreachable}).Draw(t, "result"), now)
-			case 3: // its entry goes
+			case 3: // its entry is removed
 				f.pool.Ready = withoutReplica(f.pool.Ready, r.ID)
-			case 4: // its entry is there again
+			case 4: // its entry is back
 				f.pool.Ready = append(withoutReplica(f.pool.Ready, r.ID), *r)
-			case 5: // it starts again
+			case 5: // it restarts
 				r.Born++
 				*r = routing.NewReplica(*r)
 				delete(until, r.ID)
@@ -180,10 +180,10 @@
 			for q := range 6 {
 				target, ok := f.placer.Choose(f.view, chat(fmt.Sprint(q)), routing.Tried{}, now)
 				if ok && now.Before(until[target.Replica.ID]) {
-					t.Fatalf("%s got a request %v before the end of its rest", target.Replica.ID, until[target.Replica.ID].Sub(now))
+					t.Fatalf("%s got a request %v before the end of its backoff", target.Replica.ID, until[target.Replica.ID].Sub(now))
 				}
 				if !ok && someServes(f, until, now) {
-					t.Fatalf("refused although a replica that does not rest is there")
+					t.Fatalf("a request was refused although a replica is not backing off")
 				}
 			}
 		}
@@ -200,7 +200,7 @@
 	return out
 }
 
-// someServes reports whether a replica of the fleet does not rest.
+// anyServing reports whether a replica of the fleet is not backing off.
 func someServes(f *fleet, until map[routing.ReplicaID]time.Time, now time.Time) bool {
 	for i := range f.pool.Ready {
 		if !now.Before(until[f.pool.Ready[i].ID]) {
--- a/coordination/routing/silence.go
+++ b/coordination/routing/silence.go
@@ -1,24 +1,24 @@
-// This file shares which replicas are silent, so that a daemon need not find out by a request of
-// its own: before a hundred replicas and more, each daemon sends to a given one a few times a
-// minute.
+// This file shares between daemons which replicas are silent, so that not every daemon has to
+// find out by a request of its own: with a hundred replicas or more, each daemon sends requests
+// to a given one only a few times a minute.
 //
-// Inputs: this daemon's own attempts that met silence or no connection, and the reports
-// of other daemons, which every daemon passes on once. The rule:
+// Inputs: this daemon's own attempts that met silence or no connection, and the reports of other
+// daemons, each of which every daemon forwards once. The rule:
 //
-//  1. A daemon reports a replica that took no connection, or that was silent for
-//     blameTimeout (giveup.go). A request that goes elsewhere sooner reports nothing:
-//     a replica that is only busy keeps some waiting that long, and if all daemons then
-//     left it the others of a small service would be the next.
-//  2. A report names the replica, the daemon that met the silence, and its age. Of two
-//     that name the same replica and daemon the newer one counts, so that a report
-//     counts once in whatever order and however often it arrives.
-//  3. A replica is silent while at least silentReporters daemons reported it within
-//     silenceAge, and none of those reports is older than this daemon's last whole
-//     answer from it.
-//  4. A silent replica gets no requests, as one that is ejected (eject.go, rule 4
-//     included). When its reports have expired, requests find out.
+//  1. A daemon reports a replica that accepted no connection, or that was silent for blameTimeout
+//     (giveup.go). A request that is retried elsewhere sooner reports nothing: a replica that is
+//     merely busy keeps some requests waiting that long, and if all daemons then avoided it, the
+//     other replicas of a small service would be overloaded next.
+//  2. A report names the replica, the daemon that met the silence, and its age. Of two reports
+//     with the same replica and daemon the newer one counts, so that the order and number of
+//     copies in which reports arrive do not matter.
+//  3. A replica is silent while at least minSilentReporters daemons reported it within
+//     silenceReportTTL, and all these reports are newer than the last complete response that this
+//     daemon got from it.
+//  4. A silent replica is treated like an ejected one (eject.go, including rule 4). When the
+//     reports have expired, it gets requests again.
 //
-// The memory is bounded by maxSilences reports.
+// The memory is bounded by maxSilenceReports.
 
 package routing
 
@@ -28,7 +28,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ReporterID names a daemon in reports: a hash of its address.
+// ReporterID identifies a daemon in reports. It is a hash of its address.
 type ReporterID uint32
 
 // NewReporterID returns the id of the daemon at an address.
@@ -38,34 +38,34 @@
 type SilenceReport struct {
 	Replica  LoadKey
 	Reporter ReporterID
-	Age      time.Duration // since the silence was met
+	Age      time.Duration // since the daemon found it silent
 }
 
 const (
-	// silentReporters is how many daemons must have met the silence. One may be cut off itself, or
-	// have lost a packet; two may be so at a time.
+	// minSilentReporters is how many daemons must report a replica. One may be cut off itself or
+	// have lost a packet; two may be so at the same time.
 	silentReporters = 3
-	// silenceAge is how long a report counts: as long as other evidence.
+	// silenceReportTTL is how long a report counts: as long as other evidence.
 	silenceAge = evidenceWindow
-	// refreshAfter is how much newer a report must be than the one it replaces to be
-	// passed on again: a third of its life, so that what is known does not expire while
-	// the silence goes on.
+	// forwardInterval is how much newer than the last forwarded report of the same replica and
+	// daemon a report must be to be forwarded again: a third of its lifetime, so that the
+	// information does not expire while the silence goes on.
 	refreshAfter = silenceAge / 3
-	// maxSilences bounds the reports that are kept: ten for each of 400 replicas.
+	// maxSilenceReports bounds the reports kept: ten for each of 400 replicas.
 	maxSilences = 4000
 )
 
-// silences keeps the reports. Its owner guards it.
+// silenceTable holds the reports. It is not safe for concurrent use.
 type silences struct {
 	reports map[LoadKey]map[ReporterID]silence
 	count   int
 	outbox  outbox[SilenceReport]
 }
 
-// silence is the newest that one daemon reported of one replica.
+// silenceRecord is the newest report by one daemon of one replica.
 type silence struct {
-	at     time.Time // when it was met
-	passed time.Time // the time of the newest report that was passed on
+	at     time.Time // when the silence was met
+	passed time.Time // the time of the newest report that was forwarded
 }
 
 func newSilences() silences {
@@ -78,7 +78,7 @@
 	}
 }
 
-// add takes in a report, and has it passed on if it is new.
+// add records a report, and queues it to be forwarded if it is new.
 func (s *silences) add(replica LoadKey, reporter ReporterID, at, now time.Time) {
 	known, ok := s.reports[replica][reporter]
 	if now.Sub(at) >= silenceAge || ok && !at.After(known.at) || !ok && s.count >= maxSilences {
@@ -98,8 +98,8 @@
 	s.reports[replica][reporter] = known
 }
 
-// silent reports whether enough daemons found a replica silent after it last answered
-// this one.
+// isSilent reports whether enough daemons found a replica silent after it last responded to this
+// daemon.
 func (s *silences) silent(replica LoadKey, answered, now time.Time) bool {
 	n := 0
 	for _, r := range s.reports[replica] {
@@ -110,7 +110,7 @@
 	return n >= silentReporters
 }
 
-// forget drops the reports that have expired.
+// forget removes expired reports.
 func (s *silences) forget(now time.Time) {
 	for replica, of := range s.reports {
 		for reporter, r := range of {
@@ -125,15 +125,15 @@
 	}
 }
 
-// ReportSilence takes in that a replica was silent for blameTimeout.
+// ReportSilence records that a replica was silent for blameTimeout.
 func (h *Health) ReportSilence(r *Replica, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.silences.add(r.LoadKey(), h.Reporter, now, now)
 }
 
-// ObserveSilences takes in the reports of a peer. It returns the replicas that are
-// silent from now on and were not before.
+// ObserveSilences applies the reports of a peer. It returns the replicas that are silent from now
+// on and were not before.
 func (h *Health) ObserveSilences(reports []SilenceReport, now time.Time) []LoadKey {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -148,7 +148,7 @@
 	return found
 }
 
-// TakeSilences returns up to n reports that are to be passed on, the newest first.
+// TakeSilences returns up to n reports to send to other daemons, the newest first.
 func (h *Health) TakeSilences(n int, now time.Time) []SilenceReport {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -166,5 +166,5 @@
 	return h.silences.silent(key, answered, now)
 }
 
-// reasonSilentToOthers is the reason that operators see.
+// reasonSilentToOthers is shown to operators. Tools match the text.
 const reasonSilentToOthers = "several daemons find it silent"
--- a/coordination/routing/silence_test.go
+++ b/coordination/routing/silence_test.go
@@ -48,17 +48,17 @@
 		Expect(chosen()).To(Equal(home.ID))
 		f.placer.Health.Forget("z0", later)
 		report(home, 3, 3*time.Second)
-		Expect(chosen()).To(Equal(home.ID), "old reports are no news")
+		Expect(chosen()).To(Equal(home.ID), "expired reports are ignored")
 	})
 
-	It("are not believed silent by a daemon that they answered since", func() {
+	It("are not silent to a daemon that they answered since", func() {
 		home := f.choose(chat("s")).Replica
 		report(home, 5, time.Second)
 		f.placer.Health.Report(&home, routing.ResultGood, epoch)
 		Expect(f.choose(chat("s")).Replica.ID).To(Equal(home.ID))
 	})
 
-	It("are used where most of a service is said to be silent", func() {
+	It("are used if most of a service is reported silent", func() {
 		home := f.choose(chat("s")).Replica
 		for _, r := range f.pool.Ready {
 			report(r, 3, 0)
@@ -66,7 +66,7 @@
 		Expect(f.choose(chat("s")).Replica.ID).To(Equal(home.ID))
 	})
 
-	It("are reported by a daemon that meets long silence or no connection, and by no other result", func() {
+	It("are reported after long silence or a failed connection, and after no other result", func() {
 		h := f.placer.Health
 		h.Reporter = 7
 		r := f.pool.Ready
@@ -88,8 +88,8 @@
 	})
 })
 
-// TestReportsOfSilenceMergeAlike holds that what two daemons believe depends on the
-// reports that they received and on nothing else: not on order, repeats or ways.
+// TestReportsOfSilenceMergeAlike checks that the state of a daemon depends only on the set of
+// reports received, not on their order or number of copies.
 func TestReportsOfSilenceMergeAlike(t *testing.T) {
 	RegisterTestingT(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -121,9 +121,9 @@
 	})
 }
 
-// TestAFleetLearnsOfASilentReplicaSoon plays daemons in virtual time, of which three met
-// silence: each passes new reports on to five others each 200 ms, of which one in ten
-// is lost. Nine in ten must know within 1.6 s in a fleet of 930.
+// TestAFleetLearnsOfASilentReplicaSoon simulates daemons in virtual time, three of which met
+// silence. Each forwards new reports to five others every 200 ms, and one message in ten is lost.
+// Nine daemons in ten must know within 1.6 s in a fleet of 930.
 func TestAFleetLearnsOfASilentReplicaSoon(t *testing.T) {
 	RegisterTestingT(t)
 	for _, daemons := range []int{62, 300, 930} {
--- a/coordination/routing/usable.go
+++ b/coordination/routing/usable.go
@@ -1,6 +1,6 @@
-// This file marks which candidates of a choice may be chosen, in the order in which the rules yield:
-// what replicas say of themselves holds always (barred.go), that they have ended (ended.go) while
-// others are left, that they fail (eject.go) while half of them are.
+// This file marks which candidates may be chosen. The rules in order of precedence: ineligible
+// replicas (barred.go) are always skipped, terminated ones (ended.go) while others are left,
+// failing ones (eject.go) while at least half of the others are left.
 
 package routing
 
@@ -11,7 +11,7 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// markUsable marks the replicas that may be chosen, none of those that are left out.
+// markUsable marks the replicas that may be chosen, none of which is in c.skip.
 func (c *candidates) markUsable(p *Placer, pool *Pool, tried Tried, now time.Time) {
 	c.usableCount = p.Health.markUsable(c.usable, c.leftOut, pool, now)
 	c.excludeTried(tried)
@@ -20,14 +20,14 @@
 	}
 }
 
-// ignoreEjections marks ejected replicas too: each is better than none.
+// ignoreEjections marks ejected replicas too, because any replica is better than none.
 func (c *candidates) ignoreEjections(p *Placer, pool *Pool, tried Tried, now time.Time) {
 	p.Health.markDespiteEjections(c.usable, c.leftOut, pool, now)
 	c.count()
 	c.excludeTried(tried)
 }
 
-// excludeTried takes out the replicas that the request was sent to before.
+// excludeTried unmarks the replicas that the request was already sent to.
 func (c *candidates) excludeTried(tried Tried) {
 	if len(tried.Replicas) == 0 {
 		return
@@ -35,7 +35,8 @@
 	c.exclude(func(r *Replica) bool { return slices.Contains(tried.Replicas, r.ID) })
 }
 
-// leftOut returns which replicas are left out when those that have ended are too.
+// withTerminated returns the ineligible replicas together with the terminated ones; n is the size
+// of the pool.
 func leftOut(barred replicaSet, ended map[int]time.Time, n int) replicaSet {
 	out := slices.Clone(barred)
 	for i := range ended {
@@ -44,14 +45,14 @@
 	return out
 }
 
-// areTried applies rule 2 of ended.go.
+// mayTryTerminated applies rule 2 of ended.go.
 func (c *candidates) areTried(ended map[int]time.Time, s *Service) bool {
 	isBounded := s != nil && s.ColdPerSecond > 0
 	return len(ended) > 0 && (c.usableCount == 0 || isBounded && c.usableCount < len(ended))
 }
 
-// include adds the replicas that have ended, as cold ones. One that refused a connection a moment
-// ago is not among them while others may be chosen.
+// includeTerminated marks the terminated replicas, as cold ones. One that refused a connection a
+// moment ago is left out while others may be chosen.
 func (c *candidates) include(p *Placer, pool *Pool, barred replicaSet, ended map[int]time.Time, now time.Time) {
 	reachable := make([]bool, len(c.ready))
 	p.Health.markDespiteEjections(reachable, barred, pool, now)
@@ -67,7 +68,7 @@
 	}
 }
 
-// excludeCold takes out the cold replicas, by the rules 1 and 4 of cold.go.
+// excludeCold unmarks cold replicas, by rules 1 and 4 of cold.go.
 func (c *candidates) excludeCold(rates *ColdRates, s *Service, now time.Time) {
 	if !now.Before(c.coldUntil) {
 		return
@@ -87,7 +88,7 @@
 	})
 }
 
-// count counts the replicas that may be chosen.
+// count sets usableCount to the number of replicas that may be chosen.
 func (c *candidates) count() {
 	c.usableCount = 0
 	for _, usable := range c.usable {
@@ -97,8 +98,7 @@
 	}
 }
 
-// exclude takes out the replicas that meet a condition and counts those that are
-// left.
+// exclude unmarks the replicas that meet a condition and updates usableCount.
 func (c *candidates) exclude(condition func(r *Replica) bool) {
 	for i := range c.ready {
 		if c.usable[i] && condition(&c.ready[i]) {
