--- a/coordination/membership/bench_test.go
+++ b/coordination/membership/bench_test.go
@@ -10,7 +10,7 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// benchDomains is how many failure domains the fleets of the benchmarks have.
+// benchDomains is the number of failure domains in the benchmarks.
 const benchDomains = 6
 
 func benchMember(i int) membership.Member {
@@ -28,8 +28,8 @@
 	return r
 }
 
-// BenchmarkReceive takes in a heartbeat that names 15 members, with what the control loop asks
-// of the roster for each.
+// BenchmarkReceive measures processing a heartbeat with 15 members, including the calls that the control loop
+// makes for each heartbeat.
 func BenchmarkReceive(b *testing.B) {
 	for _, daemons := range []int{100, 1000, 2000} {
 		b.Run(fmt.Sprint(daemons), func(b *testing.B) {
@@ -54,7 +54,7 @@
 	}
 }
 
-// BenchmarkSend draws the targets of a heartbeat and the members that it names.
+// BenchmarkSend measures choosing the targets of a heartbeat and the members that it names.
 func BenchmarkSend(b *testing.B) {
 	for _, daemons := range []int{100, 1000, 2000} {
 		b.Run(fmt.Sprint(daemons), func(b *testing.B) {
@@ -73,7 +73,7 @@
 	}
 }
 
-// BenchmarkSendAfterLoss does the same where half of the fleet has been lost.
+// BenchmarkSendAfterLoss measures choosing the targets of a heartbeat after half of the fleet was lost.
 func BenchmarkSendAfterLoss(b *testing.B) {
 	for _, daemons := range []int{100, 1000, 2000} {
 		b.Run(fmt.Sprint(daemons), func(b *testing.B) {
--- a/coordination/membership/eras.go
+++ b/coordination/membership/eras.go
@@ -1,16 +1,17 @@
-// This file decides in which era an answer of the store of documents counts, for a daemon that reads
-// it.
+// This file decides to which era a response of the store of documents belongs, for a daemon that reads
+// the store.
 //
-// Inputs: the era that the answer names, 0 for none, its revision, where the daemon stood when the
-// call was sent, and the time. The rule:
+// Inputs: the era that the response names, 0 for none, its revision, the daemon's position when it sent the
+// request, and the time. The rules:
 //
-//  1. An answer that is not older than that counts in the era that it names. A higher era means that
-//     the store came back from a copy of itself.
-//  2. An older one is not believed: it may come from a copy that is about to go, or its era was lost
-//     on the way. The daemon goes on as if the store were away.
-//  3. If all answers are older for believeOlderAfter, the store stays like that, and they count in the
-//     era after the one that is known. Else an era that was misread once, or a store that begins to
-//     count anew, would keep all daemons from reading it until the last of them has started again.
+//  1. A response that is not older than the daemon's position belongs to the era that it names. A higher era
+//     means that the store was restored from a backup.
+//  2. An older response is rejected: it may come from a copy that is about to be replaced, or its era was lost
+//     in transit. The daemon continues as if the store were unreachable.
+//  3. If all responses are older for acceptOlderAfter, this is taken to be the lasting state of the store,
+//     and its responses belong to the era after the known one. Otherwise an era that was misread once, or a store
+//     that restarts its era count, would keep all daemons from reading the store until every daemon has
+//     restarted.
 
 package membership
 
@@ -20,18 +21,18 @@
 	"hingewinch.org/hingewinch/state/feed"
 )
 
-// believeOlderAfter is longer than a store that restarts is likely to answer from an old copy.
-const believeOlderAfter = 10 * time.Second
+// acceptOlderAfter is longer than a restarting store is likely to respond from an old copy.
+const acceptOlderAfter = 10 * time.Second
 
-// Eras places the answers of the store. Its owner guards it.
+// Eras determines the positions of responses of the store. It is not safe for concurrent use.
 type Eras struct {
-	shift      feed.Era  // what is added to the eras that the store names
-	olderSince time.Time // zero: the last answer was not older
+	offset     feed.Era  // added to the eras that the store names
+	olderSince time.Time // when the current series of older responses began; zero: the last response was not older
 }
 
-// Place returns the position of an answer, and whether it is believed.
+// Place returns the position of a response. It returns false if the response is rejected.
 func (e *Eras) Place(at, known feed.Position, now time.Time) (feed.Position, bool) {
-	at.Era += e.shift
+	at.Era += e.offset
 	if !at.Before(known) {
 		e.olderSince = time.Time{}
 		return at, true
@@ -39,10 +40,10 @@
 	if e.olderSince.IsZero() {
 		e.olderSince = now
 	}
-	if now.Sub(e.olderSince) < believeOlderAfter {
+	if now.Sub(e.olderSince) < acceptOlderAfter {
 		return at, false
 	}
-	e.shift += known.Era + 1 - at.Era
+	e.offset += known.Era + 1 - at.Era
 	e.olderSince = time.Time{}
 	return feed.Position{Era: known.Era + 1, Revision: at.Revision}, true
 }
--- a/coordination/membership/example_test.go
+++ b/coordination/membership/example_test.go
@@ -8,7 +8,7 @@
 	"hingewinch.org/hingewinch/coordination/membership"
 )
 
-// Example begins at a seed and finds a member.
+// Example discovers a member through a seed.
 func Example() {
 	now := time.Now()
 	rng := rand.New(rand.NewPCG(1, 1))
--- a/coordination/membership/export_test.go
+++ b/coordination/membership/export_test.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// LastSeen returns when a member was last heard of; zero if it never was.
+// LastSeen returns the time at which a member sent its newest known heartbeat, or zero if it is unknown.
 func (r *Roster) LastSeen(a Address) time.Time {
 	if e := r.members[a]; e != nil {
-		return e.seen
+		return e.lastSeen
 	}
 	return time.Time{}
 }
--- a/coordination/membership/fleet_bench_test.go
+++ b/coordination/membership/fleet_bench_test.go
@@ -9,16 +9,16 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// BenchmarkFleet plays a fleet that starts at once, in virtual time, and reports what daemons know
-// after 10 and 40 s: the share of the members of the own domain and of others, the size of the
-// fleet beside the true one, how many read the store, and how old the newest is that is known of
-// another domain, in ms: the 99th in a hundred and the oldest.
+// BenchmarkFleet simulates in virtual time a fleet whose daemons start at once, and reports what they know
+// after 10 and 40 s: the known share of the members of the own domain (near) and of other domains (far), the
+// known size of the fleet relative to the true size, the number of daemons that read the store, and the age of
+// the newest heartbeat from another domain in ms (99th percentile and maximum).
 func BenchmarkFleet(b *testing.B) {
 	for _, daemons := range []int{300, 986} {
 		b.Run(fmt.Sprint(daemons), func(b *testing.B) {
 			for range b.N {
 				n := newNetwork()
-				n.every, n.domains = 2*beat, benchDomains
+				n.interval, n.domains = 2*heartbeatInterval, benchDomains
 				for i := range daemons {
 					n.start(i, 1, 0, 1, 2)
 				}
--- a/coordination/membership/member.go
+++ b/coordination/membership/member.go
@@ -1,4 +1,4 @@
-// This file defines a member, and when a message about one replaces what is known.
+// This file defines members and decides when a message about a member replaces the known entry.
 
 package membership
 
@@ -9,57 +9,57 @@
 )
 
 type (
-	// Address is where a daemon takes heartbeats, as IP:PORT.
+	// Address is the address at which a daemon receives heartbeats, as IP:PORT.
 	Address string
-	// Incarnation distinguishes the starts of a daemon at one address; a later one
-	// is higher unless the clock was set back between them.
+	// Incarnation distinguishes the starts of a daemon at an address. A later one
+	// is higher unless the clock was set back in between.
 	Incarnation uint64
 )
 
-// Member is what heartbeats say of one daemon.
+// Member is the state of a daemon as heartbeats describe it.
 type Member struct {
 	Address          Address
 	Domain           state.FailureDomain
 	Incarnation      Incarnation
-	Heartbeats       uint64 // sent in this incarnation; orders messages about it
-	Leaving          bool   // it is in a planned stop
-	StoreUnreachable bool   // it can't read the store of documents
-	// Age is how long ago the daemon itself said this, as far as whoever passes it on
-	// knows. It is 0 in a daemon's own heartbeat.
+	Heartbeats       uint64 // number of heartbeats sent in this incarnation; orders messages about the daemon
+	Leaving          bool   // the daemon is in a graceful shutdown
+	StoreUnreachable bool   // the daemon can't read the store of documents
+	// Age is the time since the daemon itself sent this state, as far as the forwarding
+	// daemon knows. It is 0 in a daemon's own heartbeat.
 	Age time.Duration
 }
 
-// lowerIncarnationAfter is how long the heartbeats of a lower incarnation must go on before it
-// replaces a higher one: longer than a late datagram travels.
+// lowerIncarnationAfter is how long the heartbeats of a lower incarnation must continue before it
+// replaces a higher one. It is longer than the delay of a late datagram.
 const lowerIncarnationAfter = time.Second
 
 // entry is a known member.
 type entry struct {
 	Member
-	// seen is when the daemon sent the newest of its heartbeats that is known here,
-	// directly or over others.
-	seen time.Time
-	// lower is a member of a lower incarnation that was received, and lowerSince when
-	// it was received first. ended is an incarnation that is over although it is
-	// higher than the present one.
+	// lastSeen is when the daemon sent the newest heartbeat that is known here, received
+	// directly or through other daemons.
+	lastSeen time.Time
+	// lower is the member in a received message with a lower incarnation, and lowerSince
+	// when that incarnation was first received. replaced is the higher incarnation that the
+	// current lower one replaced.
 	lower      Member
 	lowerSince time.Time
-	ended      Incarnation
-	// eraAt is when its newest heartbeat came, if that named an era of the store, and eralessAt if it
-	// named none; the other is zero.
-	eraAt, eralessAt time.Time
+	replaced   Incarnation
+	// withEraAt is when the member's newest heartbeat was received if it named an era of the store, and
+	// withoutEraAt if it named none. The other one is zero.
+	withEraAt, withoutEraAt time.Time
 }
 
-// supersedes reports whether m is newer than what is known of the daemon. A lower
-// incarnation is newer if its heartbeats went on for lowerIncarnationAfter while
-// the higher one was silent: then the clock that numbers incarnations was set
-// back between the two. A single message of it is a late one of an incarnation
-// that has ended.
+// supersedes reports whether m is newer than the entry. A lower incarnation is newer
+// if its heartbeats continue for lowerIncarnationAfter while the higher incarnation is
+// silent: this happens if the clock from which incarnations are derived was set back
+// before a restart. A single message with a lower incarnation is a late datagram from
+// an earlier run.
 func (e *entry) supersedes(m Member, now time.Time) bool {
 	switch {
 	case m.Incarnation == e.Incarnation:
 		return m.Heartbeats > e.Heartbeats
-	case m.Incarnation == e.ended:
+	case m.Incarnation == e.replaced:
 		return false
 	case m.Incarnation > e.Incarnation:
 		return true
@@ -67,18 +67,18 @@
 		e.lower, e.lowerSince = m, now
 		return false
 	}
-	goesOn := m.Heartbeats > e.lower.Heartbeats && now.Sub(e.lowerSince) >= lowerIncarnationAfter
-	return goesOn && now.Sub(e.seen) > liveness
+	continues := m.Heartbeats > e.lower.Heartbeats && now.Sub(e.lowerSince) >= lowerIncarnationAfter
+	return continues && now.Sub(e.lastSeen) > livenessTimeout
 }
 
-// update replaces what is known.
+// update replaces the known state with m.
 func (e *entry) update(m Member, now time.Time) {
 	if m.Incarnation < e.Incarnation {
-		e.ended = e.Incarnation
+		e.replaced = e.Incarnation
 	}
 	sent := now.Add(-m.Age)
-	if m.Incarnation != e.Incarnation || sent.After(e.seen) {
-		e.seen = sent
+	if m.Incarnation != e.Incarnation || sent.After(e.lastSeen) {
+		e.lastSeen = sent
 	}
 	e.Member = m
 }
--- a/coordination/membership/roster.go
+++ b/coordination/membership/roster.go
@@ -1,4 +1,4 @@
-// This file keeps the set of known daemons and decides which of them count as live.
+// This file maintains the set of known daemons and decides which of them are live.
 
 package membership
 
@@ -13,47 +13,47 @@
 	"hingewinch.org/hingewinch/state/feed"
 )
 
-// FullMeshSize is the number of other members up to which a heartbeat goes to all of them. A fleet
-// above it is large: each daemon sends to a few and learns of most members over others.
+// FullMeshSize is the maximum number of other members for which heartbeats go to all of them. A larger
+// fleet is called large: each daemon sends to a few members and learns of most members through others.
 const FullMeshSize = 12
 
 const (
-	// liveness is how long a member counts as live after its last message: some
-	// twelve heartbeats. In a large fleet a message about one member is rarer:
-	// livenessNear holds in the own domain, livenessFar in others. They count from the
-	// time at which the member sent it, which is up to some 12 s ago among 85 daemons
-	// of one domain.
-	liveness     = 2500 * time.Millisecond
-	livenessNear = 15 * time.Second
-	livenessFar  = 60 * time.Second
-	// forgetAfter is how long a member that is not live is still tried, so that a long cut heals
-	// without the seeds.
+	// livenessTimeout is how long a member counts as live after its last message: about
+	// twelve heartbeats. In a large fleet messages about a member are less frequent, and
+	// livenessTimeoutNear applies to members of the own domain and livenessTimeoutFar to
+	// others. The time counts from when the member sent its heartbeat, which can be about
+	// 12 s ago in a domain with 85 daemons.
+	livenessTimeout     = 2500 * time.Millisecond
+	livenessTimeoutNear = 15 * time.Second
+	livenessTimeoutFar  = 60 * time.Second
+	// forgetAfter is how long a member that is not live still gets heartbeats, so that daemons find each
+	// other after a long network partition even without the seeds.
 	forgetAfter = 90 * time.Second
-	// sizeDecay is what is left, at each heartbeat, of a fleet size that others
-	// reported. A fleet that has shrunk is known to be smaller after a while; while
-	// some daemon knows the size itself, all stand close to it.
+	// sizeDecay is the factor by which a fleet size that was reported by others decays
+	// with each heartbeat, so that a fleet that has shrunk is eventually known to be
+	// smaller. As long as some daemon knows the size itself, all stay close to it.
 	sizeDecay = 0.99
 )
 
-// Roster is the set of known daemons. Its owner guards it.
+// Roster is the set of daemons that a daemon knows. It is not safe for concurrent use.
 type Roster struct {
 	self    Member
 	seeds   []Address
 	members map[Address]*entry
-	// ordered are the members sorted by address, kept so that no heartbeat sorts them.
+	// ordered holds the members sorted by address, to avoid sorting them for each heartbeat.
 	ordered []*entry
-	// domains is when any member of each domain last sent a heartbeat that is known here.
+	// domains is the time of the newest known heartbeat of any member of each domain.
 	domains map[state.FailureDomain]time.Time
-	largest int
-	// reportedSize is the size of the fleet as others reported it, decaying.
+	largest int // highest fleet size that was ever known or reported
+	// reportedSize is the fleet size that others reported, with decay.
 	reportedSize float64
-	// listenUntil is until when a daemon that has just started does not read the store.
+	// listenUntil is when a daemon that has just started begins to read the store.
 	listenUntil time.Time
-	// eraKnown says that this daemon knows the era of the store, which the build before does not.
+	// eraKnown says that this daemon knows the era of the store; the previous build does not.
 	eraKnown bool
 }
 
-// NewRoster returns the roster of a daemon. Seeds may name the daemon itself.
+// NewRoster returns the roster of a daemon. Seeds may include the daemon itself.
 func NewRoster(self Member, seeds []Address) *Roster {
 	return &Roster{
 		self: self, seeds: seeds, members: make(map[Address]*entry), domains: make(map[state.FailureDomain]time.Time), largest: 1,
@@ -63,18 +63,18 @@
 // Self returns the daemon's own member.
 func (r *Roster) Self() Member { return r.self }
 
-// NextHeartbeat returns the daemon's own member for its next heartbeat.
+// NextHeartbeat counts a heartbeat and returns the daemon's own member to send in it.
 func (r *Roster) NextHeartbeat() Member {
 	r.self.Heartbeats++
 	r.reportedSize *= sizeDecay
 	return r.self
 }
 
-// SetStoreUnreachable marks whether this daemon can read the store.
+// SetStoreUnreachable sets whether this daemon can't read the store.
 func (r *Roster) SetStoreUnreachable(unreachable bool) { r.self.StoreUnreachable = unreachable }
 
-// StoreIsRead reports whether any live daemon that is known reads the store, this one counted: what
-// it learns reaches the others.
+// StoreIsRead reports whether this daemon or any known live daemon can read the store. All daemons then learn
+// of changes from those that can.
 func (r *Roster) StoreIsRead(now time.Time) bool {
 	if !r.self.StoreUnreachable {
 		return true
@@ -82,33 +82,32 @@
 	return slices.ContainsFunc(r.ordered, func(e *entry) bool { return !e.StoreUnreachable && r.isLive(e, now) })
 }
 
-// SetEraKnown says that this daemon knows the era of the store.
+// SetEraKnown records that this daemon knows the era of the store.
 func (r *Roster) SetEraKnown() { r.eraKnown = true }
 
-// ObserveEra takes in the era that a member named in its own heartbeat, 0 for none.
+// ObserveEra records the era that a member named in its own heartbeat, 0 for none.
 func (r *Roster) ObserveEra(a Address, era feed.Era, now time.Time) {
 	e := r.members[a]
 	if e == nil {
 		return
 	}
-	e.eraAt, e.eralessAt = now, time.Time{}
+	e.withEraAt, e.withoutEraAt = now, time.Time{}
 	if era == 0 {
-		e.eraAt, e.eralessAt = time.Time{}, now
+		e.withEraAt, e.withoutEraAt = time.Time{}, now
 	}
 }
 
-// EraIsRead reports whether another daemon names the era of the store and can read it.
+// EraIsRead reports whether another daemon that names the era of the store can read the store.
 func (r *Roster) EraIsRead(now time.Time) bool {
 	return slices.ContainsFunc(r.ordered, func(e *entry) bool {
-		return now.Sub(e.eraAt) <= readerTimeout && !e.Leaving && !e.StoreUnreachable
+		return now.Sub(e.withEraAt) <= readerTimeout && !e.Leaving && !e.StoreUnreachable
 	})
 }
 
-// SetLeaving marks that the daemon stops.
+// SetLeaving records that this daemon is shutting down.
 func (r *Roster) SetLeaving() { r.self.Leaving = true }
 
-// Observe takes in the members that a heartbeat named. It returns those that were
-// not live before.
+// Observe merges the members that a heartbeat named. It returns those that became live.
 func (r *Roster) Observe(members []Member, now time.Time) []Member {
 	var joined []Member
 	for _, m := range members {
@@ -121,7 +120,7 @@
 		}
 		wasLive := r.isLive(e, now)
 		e.update(m, now)
-		r.noteDomain(e)
+		r.updateDomain(e)
 		if !wasLive && r.isLive(e, now) {
 			joined = append(joined, m)
 		}
@@ -132,64 +131,64 @@
 	return joined
 }
 
-// entry returns the entry of a member, which is new if it was not known.
+// entry returns the entry of a member, creating it if it is unknown.
 func (r *Roster) entry(a Address) *entry {
 	e := r.members[a]
 	if e == nil {
 		e = &entry{Member: Member{Address: a}}
 		r.members[a] = e
-		i, _ := slices.BinarySearchFunc(r.ordered, a, byAddress)
+		i, _ := slices.BinarySearchFunc(r.ordered, a, compareAddress)
 		r.ordered = slices.Insert(r.ordered, i, e)
 	}
 	return e
 }
 
-func byAddress(e *entry, a Address) int { return strings.Compare(string(e.Address), string(a)) }
+func compareAddress(e *entry, a Address) int { return strings.Compare(string(e.Address), string(a)) }
 
-// noteDomain takes in when a member was seen.
-func (r *Roster) noteDomain(e *entry) {
-	if e.seen.After(r.domains[e.Domain]) {
-		r.domains[e.Domain] = e.seen
+// updateDomain updates the time of the newest heartbeat of a member's domain.
+func (r *Roster) updateDomain(e *entry) {
+	if e.lastSeen.After(r.domains[e.Domain]) {
+		r.domains[e.Domain] = e.lastSeen
 	}
 }
 
-// IsNew reports whether a member is not live yet, or has started again since it was seen last.
+// IsNew reports whether a member is not live, or has restarted since it was last seen.
 func (r *Roster) IsNew(m Member, now time.Time) bool {
 	e := r.members[m.Address]
 	return e == nil || !r.isLive(e, now) || m.Incarnation > e.Incarnation
 }
 
-// Size returns the number of daemons, this one counted: those that it knows to
-// live, or more if others reported more. When a large fleet starts as a whole the
-// seeds know all daemons within a second, and the others learn the number from
-// them long before they know each member.
+// Size returns the number of daemons, including this one: the number of known live
+// daemons, or the reported number if that is higher. When a large fleet starts, the
+// seeds know all daemons within a second, and the others learn the size from them long
+// before they know each member.
 func (r *Roster) Size(now time.Time) int {
 	return max(1+r.countLive(now), int(math.Round(r.reportedSize)))
 }
 
-// ObserveSize takes in the number of daemons that another one reported.
+// ObserveSize records the number of daemons that another daemon reported.
 func (r *Roster) ObserveSize(n int) {
 	r.reportedSize = max(r.reportedSize, float64(n))
 	r.largest = max(r.largest, n)
 }
 
-// Largest returns the greatest number of daemons that were ever known or reported,
-// this one counted.
+// Largest returns the highest number of daemons that was ever known or reported,
+// including this one.
 func (r *Roster) Largest() int { return r.largest }
 
-// Live returns the live members, this daemon not counted, sorted by address.
+// Live returns the live members except this daemon, sorted by address.
 func (r *Roster) Live(now time.Time) []Member { return membersOf(r.live(now), now) }
 
-// Domains returns when any member of each domain last sent a heartbeat that is known
-// here, directly or over others.
+// Domains returns the time of the newest known heartbeat of any member of each domain,
+// received directly or through other daemons.
 func (r *Roster) Domains() map[state.FailureDomain]time.Time { return maps.Clone(r.domains) }
 
-// Forget drops the members that have not been seen for long, and returns how
-// many are left.
+// Forget removes members that have not been seen for forgetAfter and returns the number
+// of remaining members.
 func (r *Roster) Forget(now time.Time) int {
 	before := len(r.ordered)
 	r.ordered = slices.DeleteFunc(r.ordered, func(e *entry) bool {
-		isOld := now.Sub(e.seen) > forgetAfter
+		isOld := now.Sub(e.lastSeen) > forgetAfter
 		if isOld {
 			delete(r.members, e.Address)
 		}
@@ -198,25 +197,25 @@
 	if len(r.ordered) < before {
 		clear(r.domains)
 		for _, e := range r.ordered {
-			r.noteDomain(e)
+			r.updateDomain(e)
 		}
 	}
 	return len(r.ordered)
 }
 
-// large reports whether the fleet is too large for a heartbeat to go to all.
-func (r *Roster) large() bool { return len(r.members) > FullMeshSize }
+// isLarge reports whether the fleet is too large to send heartbeats to all members.
+func (r *Roster) isLarge() bool { return len(r.members) > FullMeshSize }
 
-// isLive reports whether a member was seen lately.
+// isLive reports whether a member was seen recently enough to count as live.
 func (r *Roster) isLive(e *entry, now time.Time) bool {
-	limit := liveness
-	if r.large() {
-		limit = livenessFar
+	limit := livenessTimeout
+	if r.isLarge() {
+		limit = livenessTimeoutFar
 		if e.Domain == r.self.Domain {
-			limit = livenessNear
+			limit = livenessTimeoutNear
 		}
 	}
-	return now.Sub(e.seen) <= limit
+	return now.Sub(e.lastSeen) <= limit
 }
 
 // live returns the live members, sorted by address.
@@ -230,7 +229,7 @@
 	return out
 }
 
-// countLive returns how many members are live.
+// countLive returns the number of live members.
 func (r *Roster) countLive(now time.Time) int {
 	n := 0
 	for _, e := range r.ordered {
@@ -241,12 +240,12 @@
 	return n
 }
 
-// membersOf returns members as they are passed on, with the age of what is known.
+// membersOf returns the members of entries in the form in which they are sent, with their current age.
 func membersOf(list []*entry, now time.Time) []Member {
 	out := make([]Member, len(list))
 	for i, e := range list {
 		out[i] = e.Member
-		out[i].Age = max(0, now.Sub(e.seen))
+		out[i].Age = max(0, now.Sub(e.lastSeen))
 	}
 	return out
 }
--- a/coordination/membership/roster_test.go
+++ b/coordination/membership/roster_test.go
@@ -18,23 +18,23 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-const beat = 200 * time.Millisecond
+const heartbeatInterval = 200 * time.Millisecond
 
-// network plays daemons that beat in virtual time.
+// network simulates daemons that exchange heartbeats in virtual time.
 type network struct {
-	rng     *rand.Rand
-	now     time.Time
-	rosters map[membership.Address]*membership.Roster
-	blocked func(from, to membership.Address) bool
-	sent    int
-	every   time.Duration // between two beats of a daemon
-	domains int
+	rng      *rand.Rand
+	now      time.Time
+	rosters  map[membership.Address]*membership.Roster
+	blocked  func(from, to membership.Address) bool
+	sent     int
+	interval time.Duration // interval between two heartbeats of a daemon
+	domains  int
 }
 
 func newNetwork() *network {
 	return &network{
 		rng: rand.New(rand.NewPCG(1, 1)), now: epoch, rosters: make(map[membership.Address]*membership.Roster),
-		blocked: func(_, _ membership.Address) bool { return false }, every: beat, domains: 4,
+		blocked: func(_, _ membership.Address) bool { return false }, interval: heartbeatInterval, domains: 4,
 	}
 }
 
@@ -42,32 +42,32 @@
 	return membership.Address(fmt.Sprintf("10.0.%d.%03d:1", i/1000, i%1000))
 }
 
-func (n *network) start(i int, life membership.Incarnation, seeds ...int) {
+func (n *network) start(i int, incarnation membership.Incarnation, seeds ...int) {
 	var s []membership.Address
 	for _, seed := range seeds {
 		s = append(s, address(seed))
 	}
-	n.rosters[address(i)] = membership.NewRoster(membership.Member{Address: address(i), Domain: state.FailureDomain(fmt.Sprint(i % n.domains)), Incarnation: life}, s)
+	n.rosters[address(i)] = membership.NewRoster(membership.Member{Address: address(i), Domain: state.FailureDomain(fmt.Sprint(i % n.domains)), Incarnation: incarnation}, s)
 }
 
 func (n *network) run(d time.Duration) {
-	for end := n.now.Add(d); n.now.Before(end); n.now = n.now.Add(n.every) {
+	for end := n.now.Add(d); n.now.Before(end); n.now = n.now.Add(n.interval) {
 		for _, from := range slices.Sorted(maps.Keys(n.rosters)) {
 			r := n.rosters[from]
 			members := append([]membership.Member{r.NextHeartbeat()}, r.Sample(n.now, n.rng)...)
 			for _, to := range r.Targets(n.now, n.rng) {
 				n.sent++
 				if peer := n.rosters[to]; peer != nil && !n.blocked(from, to) {
-					n.tell(peer, r, members)
+					n.deliver(peer, r, members)
 				}
 			}
 		}
 	}
 }
 
-// tell delivers a beat. A daemon that hears of its sender for the first time tells
-// it of others, in a large fleet.
-func (n *network) tell(peer, sender *membership.Roster, members []membership.Member) {
+// deliver delivers a heartbeat. In a large fleet, the recipient sends a bootstrap to a
+// sender that it did not know as live.
+func (n *network) deliver(peer, sender *membership.Roster, members []membership.Member) {
 	peer.ObserveSize(sender.Size(n.now))
 	for _, m := range peer.Observe(members, n.now) {
 		self, to := peer.Self().Address, members[0].Address
@@ -93,7 +93,7 @@
 		}
 	})
 
-	It("takes a daemon back that was restarted after its clock had been set back", func() {
+	It("accepts a daemon that restarts after its clock was set back", func() {
 		for i := range 20 {
 			n.start(i, 2000, 0)
 		}
@@ -105,7 +105,7 @@
 		}
 	})
 
-	It("finds all daemons though only one seed of three lives", func() {
+	It("finds all daemons if only one of three seeds is live", func() {
 		for i := 2; i < 8; i++ {
 			n.start(i, 1, 0, 1, 2)
 		}
@@ -115,7 +115,7 @@
 		}
 	})
 
-	It("goes on alone where no seed answers", func() {
+	It("runs alone while no seed responds", func() {
 		n.start(5, 1, 0, 1)
 		n.run(10 * time.Second)
 		Expect(n.live(5)).To(BeZero())
@@ -124,7 +124,7 @@
 		Expect(n.live(5)).To(Equal(1))
 	})
 
-	DescribeTable("says whether a daemon that has just started reads the store", func(self int, after time.Duration, callerWaits bool, want bool, seeds ...int) {
+	DescribeTable("decides whether a daemon that has just started reads the store", func(self int, after time.Duration, callerWaits bool, want bool, seeds ...int) {
 		n.start(self, 1, seeds...)
 		r := n.rosters[address(self)]
 		r.ListenFirst(epoch)
@@ -134,13 +134,13 @@
 		Expect(r.PlanReads(epoch.Add(after), false).Reads).To(Equal(want))
 	},
 		Entry("it listens first", 5, 900*time.Millisecond, false, false, 0, 1),
-		Entry("it reads where nobody was heard", 5, time.Second, false, true, 0, 1),
-		Entry("it reads at once for a caller", 5, time.Duration(0), true, true, 0, 1),
-		Entry("a seed reads at once, or nobody would", 1, time.Duration(0), false, true, 0, 1),
-		Entry("without seeds there is nobody to listen to", 5, time.Duration(0), false, true),
+		Entry("it reads if no heartbeat was received", 5, time.Second, false, true, 0, 1),
+		Entry("it reads at once if a caller waits", 5, time.Duration(0), true, true, 0, 1),
+		Entry("a seed reads at once, or no daemon would", 1, time.Duration(0), false, true, 0, 1),
+		Entry("it reads at once without seeds to listen to", 5, time.Duration(0), false, true),
 	)
 
-	It("drops a daemon that falls silent, and takes its next incarnation", func() {
+	It("drops a daemon that falls silent, and accepts its next incarnation", func() {
 		for i := range 4 {
 			n.start(i, 1, 0)
 		}
@@ -153,7 +153,7 @@
 		Expect(n.live(1)).To(Equal(3))
 	})
 
-	It("does not take an old incarnation's heartbeat after a new one", func() {
+	It("ignores a late heartbeat of an old incarnation", func() {
 		r := membership.NewRoster(membership.Member{Address: "a:1"}, nil)
 		r.Observe([]membership.Member{{Address: "b:1", Incarnation: 2, Heartbeats: 1}}, epoch)
 		late := epoch.Add(5 * time.Second)
@@ -161,7 +161,7 @@
 		Expect(r.Live(late)).To(BeEmpty())
 	})
 
-	It("heals after a cut", func() {
+	It("recovers from a network partition", func() {
 		for i := range 8 {
 			n.start(i, 1, 0)
 		}
@@ -171,20 +171,20 @@
 		n.run(5 * time.Second)
 		Expect(n.live(0)).To(Equal(3))
 		Expect(n.live(6)).To(Equal(3))
-		Expect(n.rosters[address(0)].Largest()).To(Equal(8), "shares of budgets must not grow in a cut")
+		Expect(n.rosters[address(0)].Largest()).To(Equal(8), "each daemon's share of the budgets must not grow in a partition")
 		n.blocked = func(_, _ membership.Address) bool { return false }
 		n.run(2 * time.Second)
 		Expect(n.live(0)).To(Equal(7))
 	})
 
-	It("never takes a domain of a large fleet as cut off while it can be reached", func() {
+	It("never considers a reachable domain of a large fleet cut off", func() {
 		const daemons = 80
 		for i := range daemons {
 			n.start(i, 1, 0, 1, 2)
 		}
 		n.run(3 * time.Second)
 		for range 20 {
-			n.run(beat)
+			n.run(heartbeatInterval)
 			for a, r := range n.rosters {
 				for domain, at := range r.Domains() {
 					Expect(n.now.Sub(at)).To(BeNumerically("<", 1200*time.Millisecond), "%s of domain %s", a, domain)
@@ -193,8 +193,8 @@
 		}
 	})
 
-	DescribeTable("finds that a domain of a large fleet is cut off within two seconds", func(daemons int) {
-		n.every = 2 * beat
+	DescribeTable("detects within two seconds that a domain of a large fleet is cut off", func(daemons int) {
+		n.interval = 2 * heartbeatInterval
 		for i := range daemons {
 			n.start(i, 1, 0, 1, 2)
 		}
@@ -215,15 +215,15 @@
 		}
 	}, Entry("62 daemons", 62), Entry("87 daemons", 87))
 
-	DescribeTable("keeps what is known of the likely readers fresh in a large fleet, at its slower heartbeats", func(daemons, domains int) {
-		n.every, n.domains = 2*beat, domains
+	DescribeTable("keeps the likely readers up to date in a large fleet, despite less frequent heartbeats", func(daemons, domains int) {
+		n.interval, n.domains = 2*heartbeatInterval, domains
 		for i := range daemons {
 			n.start(i, 1, 0, 1, 2)
 		}
 		n.run(12 * time.Second)
 		worst, worstFar := time.Duration(0), time.Duration(0)
 		for range 10 {
-			n.run(n.every)
+			n.run(n.interval)
 			for a, r := range n.rosters {
 				for z := range domains {
 					if first := address(z); first != a {
@@ -252,9 +252,9 @@
 		Entry("62 daemons", 62, 4), Entry("80 daemons", 80, 4), Entry("300 daemons", 300, 4), Entry("510 daemons in 6 domains", 510, 6),
 	)
 
-	It("knows the size of a large fleet soon after all have started, and when it has shrunk", func() {
+	It("knows the size of a large fleet soon after it has started, and after it has shrunk", func() {
 		const daemons, left = 300, 20
-		n.every = 2 * beat
+		n.interval = 2 * heartbeatInterval
 		for i := range daemons {
 			n.start(i, 1, 0, 1, 2)
 		}
@@ -272,7 +272,7 @@
 		}
 	})
 
-	It("bounds the messages of a large fleet", func() {
+	It("limits the number of messages in a large fleet", func() {
 		const daemons = 120
 		for i := range daemons {
 			n.start(i, 1, 0, 1, 2)
@@ -289,7 +289,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := newNetwork()
 		count := rapid.IntRange(2, 10).Draw(t, "daemons")
-		loss := rapid.IntRange(0, 30).Draw(t, "lost in 100")
+		loss := rapid.IntRange(0, 30).Draw(t, "loss percent")
 		for i := range count {
 			n.start(i, 1, rapid.IntRange(0, count-1).Draw(t, "seed"), 0)
 		}
@@ -297,7 +297,7 @@
 		n.run(6 * time.Second)
 		for i := range count {
 			if n.live(i) != count-1 {
-				t.Fatalf("daemon %d sees %d of %d others", i, n.live(i), count-1)
+				t.Fatalf("daemon %d sees %d live members, want %d", i, n.live(i), count-1)
 			}
 		}
 	})
--- a/coordination/membership/targets.go
+++ b/coordination/membership/targets.go
@@ -1,24 +1,24 @@
-// This file decides where a heartbeat goes and which members it names.
+// This file chooses the recipients of a heartbeat and the members that it names.
 //
-// Inputs: the live members with their failure domains, and how large the fleet is.
+// Inputs: the live members with their failure domains, and the size of the fleet.
 // The rule for a fleet of up to [FullMeshSize] other members:
 //
-//  1. A heartbeat goes to all live members, and names up to sampleSize of them.
+//  1. A heartbeat goes to all live members and names up to sampleSize of them.
 //
-// In a large fleet a daemon's cost must not grow with the number of daemons:
+// In a large fleet, the cost of a daemon must not grow with the number of daemons:
 //
-//  2. A heartbeat goes to fanOut members, farFanOut of them in other domains, whose
-//     links cost more.
-//  3. It names the likely readers of the store, on which others' choice of readers
-//     depends; the members of the own domain that were seen last, which is what
-//     spreads the latest of them; of each other domain the one that was seen last,
-//     by which a cut is found out; and some others by chance.
-//  4. A daemon that has just been found is sent more members at once, or it would
+//  2. A heartbeat goes to fanOut members, farFanOut of them in other domains, where
+//     traffic is more expensive.
+//  3. It names the likely readers of the store, because the choice of readers depends on
+//     them; the most recently seen members of the own domain, which spreads the newest
+//     information about them; the most recently seen member of each other domain, by
+//     which a network partition is detected; and some random members.
+//  4. A newly discovered daemon is sent more members at once, because it would otherwise
 //     learn of them slowly.
 //
-// In both, one seed or known member that is not live is tried each time, so that a
-// cut that has healed is noticed. In a fleet of 62 a daemon sends 7.7 KB/s by these
-// rules, and 26.5 by those of a small fleet.
+// In both cases, each heartbeat also goes to one seed or known member that is not live,
+// to detect the end of a partition. In a fleet of 62, a daemon sends 7.7 KB/s by these
+// rules, and 26.5 KB/s by those of a small fleet.
 
 package membership
 
@@ -30,23 +30,25 @@
 )
 
 const (
-	// fanOut is how many members a heartbeat of a large fleet goes to, and farFanOut
-	// how many of them are in other domains.
+	// fanOut is the number of members to which a heartbeat of a large fleet goes, and
+	// farFanOut the number of them in other domains.
 	fanOut    = 5
 	farFanOut = 1
-	// sampleSize is how many members a heartbeat of a small fleet names: all of them.
+	// sampleSize is the number of members that a heartbeat of a small fleet names: all of them.
 	sampleSize = FullMeshSize
-	// sampleNewest, sampleNear and sampleFar are how many a heartbeat of a large
-	// fleet names besides the likely readers.
+	// sampleNewest is the number of most recently seen members of the own domain that a
+	// heartbeat of a large fleet names. sampleNear and sampleFar are the numbers of random
+	// members of the own domain and of other domains.
 	sampleNewest = 2
 	sampleNear   = 2
 	sampleFar    = 1
-	// bootstrapNear and bootstrapFar are how many members a daemon that has just been found is sent.
+	// bootstrapNear and bootstrapFar are the numbers of members of its own domain and of other domains that
+	// a newly discovered daemon is sent.
 	bootstrapNear = 8
 	bootstrapFar  = 8
 )
 
-// Targets returns where the next heartbeat goes.
+// Targets returns the recipients of the next heartbeat.
 func (r *Roster) Targets(now time.Time, rng *rand.Rand) []Address {
 	live := r.live(now)
 	if len(live) > FullMeshSize {
@@ -62,7 +64,7 @@
 	return out
 }
 
-// Neighbour returns a live member of the own failure domain, by chance.
+// Neighbour returns a random live member of this daemon's failure domain, or false if there is none.
 func (r *Roster) Neighbour(now time.Time, rng *rand.Rand) (Address, bool) {
 	near, _ := r.splitByDomain(r.live(now))
 	if len(near) == 0 {
@@ -71,16 +73,16 @@
 	return near[rng.IntN(len(near))].Address, true
 }
 
-// chooseTargets draws the targets of a large fleet: mostly members of the own
+// chooseTargets chooses random recipients in a large fleet: mostly members of the own
 // domain, and some of others.
 func (r *Roster) chooseTargets(live []*entry, rng *rand.Rand) []*entry {
 	near, far := r.splitByDomain(live)
-	far = draw(far, max(farFanOut, fanOut-len(near)), rng)
-	near = draw(near, fanOut-len(far), rng)
+	far = pickRandom(far, max(farFanOut, fanOut-len(near)), rng)
+	near = pickRandom(near, fanOut-len(far), rng)
 	return append(near, far...)
 }
 
-// notLive returns the seeds and known members that are not live, seeds that are not known first.
+// notLive returns the unknown seeds, followed by the known members that are not live.
 func (r *Roster) notLive(now time.Time) []Address {
 	var out []Address
 	for _, s := range r.seeds {
@@ -96,28 +98,28 @@
 	return out
 }
 
-// Sample returns the members that a heartbeat names, besides its sender.
+// Sample returns the members that a heartbeat names in addition to its sender.
 func (r *Roster) Sample(now time.Time, rng *rand.Rand) []Member {
 	live := r.live(now)
-	if !r.large() {
+	if !r.isLarge() {
 		shuffle(live, rng)
 		return membersOf(live[:min(len(live), sampleSize)], now)
 	}
-	readers, rest := likelyReaders(live)
+	readers, rest := splitLikelyReaders(live)
 	near, far := r.splitByDomain(rest)
-	newest := takeNewest(near, sampleNewest)
-	newestFar, drawnFar := takeNewestOfDomains(far, rng)
+	newest := pickNewest(near, sampleNewest)
+	newestFar, restFar := splitNewestByDomain(far, rng)
 	out := append(readers, newest...)
-	out = append(out, draw(near[len(newest):], sampleNear, rng)...)
+	out = append(out, pickRandom(near[len(newest):], sampleNear, rng)...)
 	out = append(out, newestFar...)
-	out = append(out, draw(drawnFar, sampleFar, rng)...)
+	out = append(out, pickRandom(restFar, sampleFar, rng)...)
 	return membersOf(out, now)
 }
 
-// Bootstrap returns the members that a daemon is sent that has just been found: the
-// likely readers, some of its own domain and some others.
+// Bootstrap returns the members that a newly discovered daemon is sent: the likely readers,
+// some random members of its domain and some of other domains.
 func (r *Roster) Bootstrap(to Member, now time.Time, rng *rand.Rand) []Member {
-	out, rest := likelyReaders(r.live(now))
+	out, rest := splitLikelyReaders(r.live(now))
 	shuffle(rest, rng)
 	near, far := bootstrapNear, bootstrapFar
 	for _, e := range rest {
@@ -133,9 +135,9 @@
 	return membersOf(out, now)
 }
 
-// takeNewestOfDomains takes the member of each domain that was seen last out of a list; of those
-// that were seen at the same time, one by chance.
-func takeNewestOfDomains(list []*entry, rng *rand.Rand) (newest, rest []*entry) {
+// splitNewestByDomain splits a list into the most recently seen member of each domain and the rest. Ties are
+// broken at random.
+func splitNewestByDomain(list []*entry, rng *rand.Rand) (newest, rest []*entry) {
 	if len(list) == 0 {
 		return nil, nil
 	}
@@ -143,7 +145,7 @@
 	first := rng.IntN(len(list))
 	for i := range list {
 		e := list[(first+i)%len(list)]
-		if n := best[e.Domain]; n == nil || e.seen.After(n.seen) {
+		if n := best[e.Domain]; n == nil || e.lastSeen.After(n.lastSeen) {
 			best[e.Domain] = e
 		}
 	}
@@ -157,9 +159,10 @@
 	return newest, rest
 }
 
-// likelyReaders takes the first member of each domain that is neither leaving nor
-// without the store out of a list sorted by address: readers.go chooses those.
-func likelyReaders(live []*entry) (readers, rest []*entry) {
+// splitLikelyReaders splits a list sorted by address into the likely readers of the store and
+// the rest. A likely reader is the first member of a domain that is not leaving and can
+// read the store, as in readers.go.
+func splitLikelyReaders(live []*entry) (readers, rest []*entry) {
 	seen := make(map[state.FailureDomain]bool)
 	for _, e := range live {
 		if seen[e.Domain] || e.Leaving || e.StoreUnreachable {
@@ -172,7 +175,7 @@
 	return readers, rest
 }
 
-// splitByDomain parts the members of the own domain from the others.
+// splitByDomain splits a list into members of this daemon's domain and of other domains.
 func (r *Roster) splitByDomain(list []*entry) (near, far []*entry) {
 	for _, e := range list {
 		if e.Domain == r.self.Domain {
@@ -184,13 +187,13 @@
 	return near, far
 }
 
-// takeNewest moves the n members that were seen last to the front of a list, and returns them.
-func takeNewest(list []*entry, n int) []*entry {
+// pickNewest moves the n most recently seen members to the front of a list and returns them.
+func pickNewest(list []*entry, n int) []*entry {
 	n = min(n, len(list))
 	for i := range n {
 		best := i
 		for k := i + 1; k < len(list); k++ {
-			if list[k].seen.After(list[best].seen) {
+			if list[k].lastSeen.After(list[best].lastSeen) {
 				best = k
 			}
 		}
@@ -199,9 +202,9 @@
 	return list[:n]
 }
 
-// draw moves n members by chance to the front of a list, and returns them: a few are taken of
-// many, which are not worth shuffling.
-func draw(list []*entry, n int, rng *rand.Rand) []*entry {
+// pickRandom moves n random members to the front of a list and returns them. It is cheaper than shuffling a
+// long list.
+func pickRandom(list []*entry, n int, rng *rand.Rand) []*entry {
 	n = min(n, len(list))
 	for i := range n {
 		k := i + rng.IntN(len(list)-i)
@@ -210,4 +213,4 @@
 	return list[:n]
 }
 
-func shuffle(list []*entry, rng *rand.Rand) { draw(list, len(list), rng) }
+func shuffle(list []*entry, rng *rand.Rand) { pickRandom(list, len(list), rng) }
--- a/state/feed/era_test.go
+++ b/state/feed/era_test.go
@@ -338,12 +338,12 @@
 	n.f.ApplyParts(items, at.Revision, digest, parts)
 }
 
-// TestAllAgreeWithTheStoreAfterItCameBack runs random sequences of writes, backups and restores of the store,
+// TestDaemonsAgreeWithRestoredStore runs random sequences of writes, backups and restores of the store,
 // and of daemons that list, watch, restart and fetch from each other. No process may go back to an older
 // configuration, or from the final document of a start to another of that start. Once the writers have
 // written lost documents again and the time limits for pre-restore documents have passed, all daemons must
 // hold the same documents as the store.
-func TestAllAgreeWithTheStoreAfterItCameBack(t *testing.T) {
+func TestDaemonsAgreeWithRestoredStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		nodes := []*node{newNode(), newNode(), newNode()}
--- a/state/feed/feed.go
+++ b/state/feed/feed.go
@@ -198,7 +198,7 @@
 }
 
 // Advance records that the feed is complete up to a revision, because a list, a watch or a
-// peer's answer was.
+// peer's response was.
 func (f *Feed) Advance(to Revision) { f.revision = max(f.revision, to) }
 
 // Since returns the items that changed after a revision of the current era, or all items if complete is true.
--- a/state/feed/feed_test.go
+++ b/state/feed/feed_test.go
@@ -133,10 +133,10 @@
 // one failure a daemon still sent requests to it 4.9 s after the removal, and three of seven daemons kept
 // the entry for good although their revision was past the removal. A newly started daemon had listed the store
 // after the removal and so had never held the entry. Asked for the changes since an earlier revision, it
-// answered without the removal as if its answer were complete. A list whose later pages are newer than its
+// responded without the removal as if its response were complete. A list whose later pages are newer than its
 // first has the same problem.
 var _ = Describe("A feed that was filled by a list", func() {
-	It("answers with everything if the list skipped changes", func() {
+	It("responds with everything if the list skipped changes", func() {
 		old, started := feed.New(nil), feed.New(nil)
 		old.ApplyList([]feed.Item{item("a", 5), item("b", 19)}, 19)
 		started.ApplyList([]feed.Item{item("b", 19), item("c", 20)}, 21) // a was removed at 21
@@ -146,7 +146,7 @@
 		Expect(values(old)).To(Equal([]string{"b19", "c20"}))
 	})
 
-	It("answers with the changes after the revision of its last list", func() {
+	It("responds with the changes after the revision of its last list", func() {
 		f := feed.New(nil)
 		f.ApplyList([]feed.Item{item("a", 5), item("b", 9)}, 10)
 		f.Apply([]feed.Item{item("b", 11), {Key: "a", Revision: 12, Gone: true}})
@@ -163,7 +163,7 @@
 	// Guards against a horizon that is not passed on. A daemon received the changes from a peer that had listed
 	// the store, and advanced to the revision of the list without the removals that the list had skipped. A
 	// third daemon, at a revision in the skipped range, asked it for changes and kept a removed document.
-	It("answers with everything for revisions that a peer's list skipped", func() {
+	It("responds with everything for revisions that a peer's list skipped", func() {
 		listed, behind, between := feed.New(nil), feed.New(nil), feed.New(nil)
 		behind.ApplyList([]feed.Item{item("b", 1)}, 1)
 		listed.ApplyList([]feed.Item{item("b", 1)}, 1)
@@ -194,10 +194,10 @@
 	})
 })
 
-// TestNoDaemonHoldsWhatWasRemoved runs daemons that restart, list a store that changes between
+// TestNoDaemonHoldsRemovedDocuments runs daemons that restart, list a store that changes between
 // pages, watch it, and ask each other for the changes since their revision. No daemon may hold a
 // document that is older than the store's at the daemon's revision.
-func TestNoDaemonHoldsWhatWasRemoved(t *testing.T) {
+func TestNoDaemonHoldsRemovedDocuments(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c", "d", "e", "f"}
 		store := make(map[string]feed.Item)
@@ -240,7 +240,7 @@
 				d.Apply(history[at:rapid.IntRange(at, len(history)).Draw(t, "watched")])
 			}
 		}
-		// compare synchronizes by parts. Both feeds may change between the two answers of the peer,
+		// compare synchronizes by parts. Both feeds may change between the two responses of the peer,
 		// and the daemon's while the second is in transit.
 		compare := func(d, from *feed.Feed) {
 			digest := from.Digest(true)
--- a/state/feed/parts.go
+++ b/state/feed/parts.go
@@ -105,7 +105,7 @@
 	return items, false
 }
 
-// ApplyParts merges the answer of another feed that is at a revision: all documents in the parts in which
+// ApplyParts merges the response of another feed that is at a revision: all documents in the parts in which
 // this feed differed from the digest d of the other, and all changes since the digest. It returns the
 // changes. If another part of this feed has changed in the meantime, the feed's revision stays, so that the
 // other feed is asked again, and a feed of an earlier era does not enter the era of the digest.
