--- a/daemon/routes/catalog.go
+++ b/daemon/routes/catalog.go
@@ -23,7 +23,7 @@
 	ParseConfig(it feed.Item) (*routing.Table, error)
 	// ParseReplica reads the document of a replica. The error says why it names none.
 	ParseReplica(it feed.Item) (routing.Replica, error)
-	feed.Order
+	feed.Versioner
 	// ReplicaID returns which replica a document is about; false if it is about
 	// something else.
 	ReplicaID(key string) (routing.ReplicaID, bool)
@@ -272,7 +272,7 @@
 func (c *catalog) answer(q *documentsRequest) documentsAnswer {
 	at := c.feed.Position()
 	if q.knowsEras && at.Era < q.after.Era {
-		return documentsAnswer{documents: gossip.Documents{Items: c.feed.Lasting(), Era: at.Era, Revision: at.Revision}}
+		return documentsAnswer{documents: gossip.Documents{Items: c.feed.Retained(), Era: at.Era, Revision: at.Revision}}
 	}
 	after := q.after.Revision
 	if q.knowsEras && q.after.Era != at.Era {
--- a/daemon/routes/control_test.go
+++ b/daemon/routes/control_test.go
@@ -294,9 +294,9 @@
 	return state.FailureDomain(domain), ok
 }
 
-func (fewDocuments) Age(feed.Item) feed.Age { return feed.Age{} }
+func (fewDocuments) Version(feed.Item) feed.Version { return feed.Version{} }
 
-func (fewDocuments) Lasts(key string) bool { return key == "config" }
+func (fewDocuments) IsRetained(key string) bool { return key == "config" }
 
 func (fewDocuments) ReplicaID(key string) (routing.ReplicaID, bool) {
 	return routing.ReplicaID(key), strings.HasPrefix(key, "replica-")
--- a/daemon/routes/restored_test.go
+++ b/daemon/routes/restored_test.go
@@ -34,12 +34,12 @@
 	}), nil
 }
 
-func (writtenDocuments) Age(it feed.Item) feed.Age {
+func (writtenDocuments) Version(it feed.Item) feed.Version {
 	if it.Key != "config" {
-		return feed.Age{Known: true, Final: strings.HasPrefix(string(it.Value), "draining")}
+		return feed.Version{Known: true, Final: strings.HasPrefix(string(it.Value), "draining")}
 	}
 	v, err := strconv.ParseUint(string(it.Value), 10, 64)
-	return feed.Age{Known: err == nil, Write: v}
+	return feed.Version{Known: err == nil, Sequence: v}
 }
 
 // config and replica are documents as the store holds them.
--- a/daemon/routes/sync.go
+++ b/daemon/routes/sync.go
@@ -234,7 +234,7 @@
 	own := f.Position()
 	switch {
 	case at.Era < own.Era:
-		c.apply(f.ApplyFormer(d.Items), source, now)
+		c.apply(f.ApplyRetained(d.Items), source, now)
 	case d.Whole:
 		c.takeList(d.Items, at, source, now)
 	case s.asked.parts != nil && s.asked.digest.Era == at.Era:
--- a/state/feed/era.go
+++ b/state/feed/era.go
@@ -4,10 +4,9 @@
 // to 0, before all revisions of the new era. Documents that are read in the new era replace them, with two
 // exceptions, because the backup copy that the store was restored from lacks the most recent writes:
 //
-//  1. A pre-restore document stays if it is newer according to the ages that documents report of themselves
-//     (Order): the copy has an older version. The store's document is kept beside it as overruled, and
-//     replaces it if no newer one arrives within a time limit (Yield). A retained document is never
-//     replaced by an older one.
+//  1. A pre-restore document stays if its content has a newer version (Versioner): the copy is out of date.
+//     The store's document is kept beside it as overruled, and replaces it if no newer one arrives within a
+//     time limit (Yield). A retained document is never replaced by an older one.
 //  2. A pre-restore document that the store lacks stays for a limited time, because its writer writes it again
 //     if it is still alive (DropMissing).
 //
@@ -22,36 +21,36 @@
 	"strings"
 )
 
-// Age is the age of a document as reported by its own content. Documents of the same key are ordered by
-// Start, then by Write.
-type Age struct {
-	Known bool   // false: the content does not tell
-	Start uint64 // number of the writer's incarnation; higher is later
-	Write uint64 // number of the write within the incarnation; 0: unknown
+// Version is the version of a document according to its own content. Documents of the same key are ordered by
+// Incarnation, then by Sequence.
+type Version struct {
+	Known       bool   // false: the content does not say
+	Incarnation uint64 // of the writer; higher is later
+	Sequence    uint64 // number of the write within the incarnation; 0: unknown
 	// Final says that the writer writes no further version in this incarnation.
 	Final bool
 }
 
-// Order reads from documents how they are ordered when revisions can't tell.
-type Order interface {
-	// Age returns the age that the content of a document reports. The value of a removal is the last
+// Versioner reads the versions of documents, which order them across eras, where revisions can't.
+type Versioner interface {
+	// Version returns the version of a document according to its content. The value of a removal is the last
 	// content before it.
-	Age(it Item) Age
-	// Lasts reports whether documents of a key are retained: they stay until a newer one arrives, even if
+	Version(it Item) Version
+	// IsRetained reports whether documents of a key are retained: they stay until a newer one arrives, even if
 	// the store has lost them.
-	Lasts(key string) bool
+	IsRetained(key string) bool
 }
 
-// noOrder is the Order of a feed that can't read its documents.
-type noOrder struct{}
+// noVersions is the Versioner of a feed that can't read its documents.
+type noVersions struct{}
 
-var _ Order = noOrder{}
+var _ Versioner = noVersions{}
 
-// Age returns an unknown age.
-func (noOrder) Age(Item) Age { return Age{} }
+// Version returns an unknown version.
+func (noVersions) Version(Item) Version { return Version{} }
 
-// Lasts returns false.
-func (noOrder) Lasts(string) bool { return false }
+// IsRetained returns false.
+func (noVersions) IsRetained(string) bool { return false }
 
 // Enter begins a new era. All documents that are held become pre-restore documents.
 func (f *Feed) Enter(era Era) { f.enter(era, 0, func(string) bool { return false }) }
@@ -126,47 +125,46 @@
 	return a.Gone != b.Gone || !a.Gone && !bytes.Equal(a.Value, b.Value)
 }
 
-// preRestoreIsNewer reports whether a pre-restore document is newer than one of the current era, according to
-// the ages that both report.
+// preRestoreIsNewer reports whether a pre-restore document has a newer version than one of the current era.
 func (f *Feed) preRestoreIsNewer(old, current Item) bool {
 	if !old.Gone && !contentDiffers(old, current) {
-		return false // fast path: nearly all documents are unchanged, and parsing their ages is expensive
+		return false // fast path: nearly all documents are unchanged, and parsing their versions is expensive
 	}
-	a, b := f.order.Age(old), f.order.Age(current)
+	a, b := f.versions.Version(old), f.versions.Version(current)
 	switch {
 	case current.Gone && current.Revision > 0 || !b.Known:
 		return false
 	case current.Gone:
-		return a.Known && (a.Start > b.Start || a.Start == b.Start && a.Write > b.Write)
+		return a.Known && (a.Incarnation > b.Incarnation || a.Incarnation == b.Incarnation && a.Sequence > b.Sequence)
 	case !a.Known:
 		return old.Gone // the removal is known, and nothing shows that the current document is newer
-	case a.Start != b.Start:
-		return a.Start > b.Start
+	case a.Incarnation != b.Incarnation:
+		return a.Incarnation > b.Incarnation
 	case old.Gone:
-		return b.Write <= a.Write
-	case a.Write != b.Write && a.Write > 0 && b.Write > 0:
-		return a.Write > b.Write
+		return b.Sequence <= a.Sequence
+	case a.Sequence != b.Sequence && a.Sequence > 0 && b.Sequence > 0:
+		return a.Sequence > b.Sequence
 	}
 	return a.Final && !b.Final
 }
 
-// Lasting returns the retained documents.
-func (f *Feed) Lasting() []Item {
+// Retained returns the retained documents.
+func (f *Feed) Retained() []Item {
 	var out []Item
 	for _, it := range f.items {
-		if !it.Gone && f.order.Lasts(it.Key) {
+		if !it.Gone && f.versions.IsRetained(it.Key) {
 			out = append(out, it)
 		}
 	}
 	return out
 }
 
-// ApplyFormer merges documents of an earlier era that are retained and newer by the ages that they report.
-// It returns the changes.
-func (f *Feed) ApplyFormer(items []Item) []Item {
+// ApplyRetained merges documents of an earlier era that are retained and have newer versions. It returns the
+// changes.
+func (f *Feed) ApplyRetained(items []Item) []Item {
 	var retained []Item
 	for _, it := range items {
-		if !it.Gone && f.order.Lasts(it.Key) {
+		if !it.Gone && f.versions.IsRetained(it.Key) {
 			it.Revision = 0
 			retained = append(retained, it)
 		}
@@ -184,7 +182,7 @@
 	var gone []Item
 	for key, it := range f.items {
 		_, inStore := f.overruled[key]
-		if it.Revision == 0 && !it.Gone && !inStore && !f.order.Lasts(key) {
+		if it.Revision == 0 && !it.Gone && !inStore && !f.versions.IsRetained(key) {
 			gone = append(gone, Item{Key: key, Revision: f.revision, Gone: true})
 		}
 	}
@@ -197,7 +195,7 @@
 	var changed []Item
 	for key, it := range f.overruled {
 		held := f.items[key]
-		if !held.Gone && held.Revision == 0 && f.order.Lasts(key) {
+		if !held.Gone && held.Revision == 0 && f.versions.IsRetained(key) {
 			continue
 		}
 		changed = append(changed, it)
--- a/state/feed/era_bench_test.go
+++ b/state/feed/era_bench_test.go
@@ -17,7 +17,7 @@
 		for i := range n {
 			items = append(items, doc(fmt.Sprintf("replica-%05d", i), "1.1 "+strings.Repeat("x", entryBytes), feed.Revision(i+1)))
 		}
-		f := feed.New(numberedOrder{})
+		f := feed.New(numberedVersions{})
 		f.Enter(1)
 		f.ApplyList(items, feed.Revision(n))
 		b.Run(fmt.Sprintf("enter/%d", n), func(b *testing.B) {
--- a/state/feed/era_test.go
+++ b/state/feed/era_test.go
@@ -15,21 +15,21 @@
 	"hingewinch.org/hingewinch/state/feed"
 )
 
-// numberedOrder is an Order for documents whose text is START.WRITE, followed by an f in the final document of
-// a start. Documents of the key "config" are retained.
-type numberedOrder struct{}
+// numberedVersions is a Versioner for documents whose text is INCARNATION.SEQUENCE, followed by an f in the final
+// document of an incarnation. Documents of the key "config" are retained.
+type numberedVersions struct{}
 
-func (numberedOrder) Age(it feed.Item) feed.Age {
-	var a feed.Age
+func (numberedVersions) Version(it feed.Item) feed.Version {
+	var a feed.Version
 	text, final := strings.CutSuffix(string(it.Value), "f")
-	if _, err := fmt.Sscanf(text, "%d.%d", &a.Start, &a.Write); err != nil {
-		return feed.Age{}
+	if _, err := fmt.Sscanf(text, "%d.%d", &a.Incarnation, &a.Sequence); err != nil {
+		return feed.Version{}
 	}
 	a.Known, a.Final = true, final
 	return a
 }
 
-func (numberedOrder) Lasts(key string) bool { return key == "config" }
+func (numberedVersions) IsRetained(key string) bool { return key == "config" }
 
 func doc(key, text string, at feed.Revision) feed.Item {
 	return feed.Item{Key: key, Value: []byte(text), Revision: at}
@@ -43,7 +43,7 @@
 
 // newListedFeed returns a feed in era 1 at revision 29 that has applied a list.
 func newListedFeed(items ...feed.Item) *feed.Feed {
-	f := feed.New(numberedOrder{})
+	f := feed.New(numberedVersions{})
 	f.Enter(1)
 	f.ApplyList(items, 29)
 	return f
@@ -53,13 +53,13 @@
 	It("applies writes at revisions that were already used in the previous era", func() {
 		f := newListedFeed(doc("a", "1.1", 20), doc("b", "1.2", 29))
 		f.Enter(2)
-		Expect(f.ApplyList([]feed.Item{doc("a", "1.1", 20), doc("b", "1.1", 3)}, 26)).To(BeEmpty(), "the held b reports a newer age")
+		Expect(f.ApplyList([]feed.Item{doc("a", "1.1", 20), doc("b", "1.1", 3)}, 26)).To(BeEmpty(), "the held b has a newer version")
 		Expect(f.Apply([]feed.Item{doc("a", "1.2", 27), doc("b", "1.3", 28)})).To(HaveLen(2))
 		Expect(contents(f)).To(Equal("a=1.2 b=1.3"))
 		Expect(f.Position()).To(Equal(feed.Position{Era: 2, Revision: 28}))
 	})
 
-	DescribeTable("compares a pre-restore document with the copy's by the ages that they report",
+	DescribeTable("compares the versions of a pre-restore document and the copy's document",
 		func(before, copied, want string) {
 			f := newListedFeed(doc("a", before, 29))
 			f.Enter(2)
@@ -72,11 +72,11 @@
 		Entry("an earlier start is replaced", "1.9", "2.1", "2.1"),
 		Entry("the final document of a start stays if writes are not numbered", "1.0f", "1.0", "1.0f"),
 		Entry("the final document of a start is replaced by a later start", "1.0f", "2.0", "2.0"),
-		Entry("the store's is used if neither reports an age", "x", "y", "y"),
-		Entry("the store's is used if only the pre-restore document reports an age", "1.1", "y", "y"),
+		Entry("the store's is used if neither has a version", "x", "y", "y"),
+		Entry("the store's is used if only the pre-restore document has a version", "1.1", "y", "y"),
 	)
 
-	DescribeTable("compares a pre-restore removal with the copy's document",
+	DescribeTable("compares the versions of a pre-restore removal and the copy's document",
 		func(last, copied, want string) {
 			f := newListedFeed(doc("a", last, 28), doc("b", "1.1", 1))
 			f.Apply([]feed.Item{{Key: "a", Revision: 29, Gone: true}})
@@ -88,8 +88,8 @@
 		Entry("an earlier write stays removed", "1.5", "1.4", ""),
 		Entry("a later write restores the document", "1.5", "1.6", "a=1.6"),
 		Entry("a later start restores the document", "1.5", "2.1", "a=2.1"),
-		Entry("the store's is used if neither reports an age", "x", "y", "a=y"),
-		Entry("it stays removed if only the copy's reports an age", "x", "1.5", ""),
+		Entry("the store's is used if neither has a version", "x", "y", "a=y"),
+		Entry("it stays removed if only the copy's has a version", "x", "1.5", ""),
 	)
 
 	It("keeps documents that the copy lacks until their writers had time to write them again", func() {
@@ -118,7 +118,7 @@
 		from := newListedFeed(doc("a", "1.9f", 29), doc("b", "1.1", 28), doc("config", "0.9", 27))
 		from.Apply([]feed.Item{{Key: "b", Revision: 30, Gone: true}})
 		copied := []feed.Item{doc("a", "1.5", 20), doc("b", "1.1", 21), doc("config", "0.5", 19)}
-		started := feed.New(numberedOrder{})
+		started := feed.New(numberedVersions{})
 		for _, f := range []*feed.Feed{from, started} {
 			f.Enter(2)
 			f.ApplyList(copied, 26)
@@ -137,7 +137,7 @@
 		for i := range 10000 {
 			all = append(all, doc(fmt.Sprintf("k%05d", i), "1.1", feed.Revision(i+1)))
 		}
-		from, to := feed.New(numberedOrder{}), feed.New(numberedOrder{})
+		from, to := feed.New(numberedVersions{}), feed.New(numberedVersions{})
 		for _, f := range []*feed.Feed{from, to} {
 			f.Enter(1)
 			f.ApplyList(all, 10000)
@@ -279,7 +279,7 @@
 	watch feed.Position
 }
 
-func newNode() *node { return &node{f: feed.New(numberedOrder{})} }
+func newNode() *node { return &node{f: feed.New(numberedVersions{})} }
 
 // listStore reads a complete list from the store.
 func (n *node) listStore(w *world) {
@@ -312,7 +312,7 @@
 func (n *node) syncFrom(from *node) {
 	own, at := n.f.Position(), from.f.Position()
 	if at.Era < own.Era {
-		n.f.ApplyFormer(from.f.Lasting())
+		n.f.ApplyRetained(from.f.Retained())
 		return
 	}
 	after := n.f.AskAfter()
@@ -347,9 +347,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		nodes := []*node{newNode(), newNode(), newNode()}
-		seen := make([]map[string]feed.Age, len(nodes))
+		seen := make([]map[string]feed.Version, len(nodes))
 		for i := range seen {
-			seen[i] = make(map[string]feed.Age)
+			seen[i] = make(map[string]feed.Version)
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			i := rapid.IntRange(0, 2).Draw(t, "daemon")
@@ -365,7 +365,7 @@
 					w.rewrite()
 				}
 			case 5:
-				nodes[i], seen[i] = newNode(), make(map[string]feed.Age)
+				nodes[i], seen[i] = newNode(), make(map[string]feed.Version)
 			case 6:
 				n.listStore(w)
 			case 7:
@@ -377,12 +377,12 @@
 			}
 			for i, n := range nodes {
 				n.f.Each(func(it feed.Item) {
-					was, is := seen[i][it.Key], numberedOrder{}.Age(it)
-					if it.Key == "config" && is.Write < was.Write {
-						t.Fatalf("daemon %d went back from configuration %d to %d", i, was.Write, is.Write)
+					was, is := seen[i][it.Key], numberedVersions{}.Version(it)
+					if it.Key == "config" && is.Sequence < was.Sequence {
+						t.Fatalf("daemon %d went back from configuration %d to %d", i, was.Sequence, is.Sequence)
 					}
-					if it.Key != "config" && is.Start == was.Start && was.Final && !is.Final {
-						t.Fatalf("daemon %d went back from %s's final document of start %d", i, it.Key, is.Start)
+					if it.Key != "config" && is.Incarnation == was.Incarnation && was.Final && !is.Final {
+						t.Fatalf("daemon %d went back from %s's final document of start %d", i, it.Key, is.Incarnation)
 					}
 					seen[i][it.Key] = is
 				})
--- a/state/feed/feed.go
+++ b/state/feed/feed.go
@@ -11,7 +11,7 @@
 //
 // # Usage
 //
-//	f := feed.New(order)
+//	f := feed.New(versions)
 //	f.Enter(era)                          // before the first list of another era
 //	changed := f.Apply(items)             // from a watch
 //	changed = f.ApplyList(items, at)      // a complete list: missing documents are removed
@@ -54,7 +54,7 @@
 
 // Feed is a set of documents. It is not safe for concurrent use.
 type Feed struct {
-	order         Order
+	versions      Versioner
 	era           Era
 	items         map[string]Item // by key; includes removals that are remembered
 	overruled     map[string]Item // by key, documents of the store that are older than the held pre-restore document
@@ -69,12 +69,12 @@
 	tombstones []string // keys of removals, oldest first
 }
 
-// New returns an empty feed. With a nil order no document reports its age and none is retained.
-func New(o Order) *Feed {
-	if o == nil {
-		o = noOrder{}
+// New returns an empty feed. With a nil Versioner no document has a version and none is retained.
+func New(v Versioner) *Feed {
+	if v == nil {
+		v = noVersions{}
 	}
-	return &Feed{order: o, items: make(map[string]Item), overruled: make(map[string]Item)}
+	return &Feed{versions: v, items: make(map[string]Item), overruled: make(map[string]Item)}
 }
 
 // Revision returns the revision up to which the feed is complete.
