--- a/coordination/membership/eras_test.go
+++ b/coordination/membership/eras_test.go
@@ -88,7 +88,7 @@
 		var rejectedSince time.Time
 		for range rapid.IntRange(1, 100).Draw(t, "responses") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
-			response := position(feed.Era(rapid.Uint64Range(0, uint64(feed.MostEra)).Draw(t, "era")%8), feed.Revision(rapid.IntRange(0, 50).Draw(t, "revision")))
+			response := position(feed.Era(rapid.Uint64Range(0, uint64(feed.MaxEra)).Draw(t, "era")%8), feed.Revision(rapid.IntRange(0, 50).Draw(t, "revision")))
 			at, ok := e.Place(response, known, now)
 			switch {
 			case ok && at.Before(known):
--- a/protocol/gossip/digest.go
+++ b/protocol/gossip/digest.go
@@ -29,13 +29,13 @@
 		return feed.Digest{}, err
 	}
 	if !isNumberOfParts(len(m.Sums)) {
-		return feed.Digest{}, eris.Errorf("a digest of %d parts; want a power of two from %d to %d", len(m.Sums), feed.LeastParts, feed.MostParts)
+		return feed.Digest{}, eris.Errorf("a digest of %d parts; want a power of two from %d to %d", len(m.Sums), feed.MinParts, feed.MaxParts)
 	}
 	return feed.Digest{Era: m.Position.Era, Revision: m.Position.Revision, Sums: m.Sums}, nil
 }
 
 func isNumberOfParts(n int) bool {
-	return n >= feed.LeastParts && n <= feed.MostParts && bits.OnesCount(uint(n)) == 1
+	return n >= feed.MinParts && n <= feed.MaxParts && bits.OnesCount(uint(n)) == 1
 }
 
 // EncodeParts encodes which parts are asked for, as a bit for each.
@@ -53,7 +53,7 @@
 func DecodeParts(bitmap []byte) (feed.Parts, error) {
 	n := 8 * len(bitmap)
 	if !isNumberOfParts(n) {
-		return nil, eris.Errorf("%d parts are asked for; want a power of two from %d to %d", n, feed.LeastParts, feed.MostParts)
+		return nil, eris.Errorf("%d parts are asked for; want a power of two from %d to %d", n, feed.MinParts, feed.MaxParts)
 	}
 	parts := make(feed.Parts, n)
 	for i := range parts {
--- a/protocol/gossip/position.go
+++ b/protocol/gossip/position.go
@@ -41,7 +41,7 @@
 	if cbor.Unmarshal(payload, &tag) != nil {
 		return nil // no tag
 	}
-	if era := feed.Era(tag.Number - eraTag); tag.Number > eraTag && era <= feed.MostEra {
+	if era := feed.Era(tag.Number - eraTag); tag.Number > eraTag && era <= feed.MaxEra {
 		p.Era = era
 	}
 	return nil
--- a/protocol/gossip/position_test.go
+++ b/protocol/gossip/position_test.go
@@ -13,7 +13,7 @@
 // no eras: it finds the revision.
 func TestPositionsComeThrough(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		want := positionMessage{Era: feed.Era(rapid.Uint64Range(0, uint64(feed.MostEra)).Draw(t, "era")), Revision: feed.Revision(rapid.Uint64().Draw(t, "revision"))}
+		want := positionMessage{Era: feed.Era(rapid.Uint64Range(0, uint64(feed.MaxEra)).Draw(t, "era")), Revision: feed.Revision(rapid.Uint64().Draw(t, "revision"))}
 		payload, err := cbor.Marshal(want)
 		if err != nil {
 			t.Fatal(err)
@@ -88,7 +88,7 @@
 
 // TestOtherTagsAreNoEras reads revisions with tags of other uses.
 func TestOtherTagsAreNoEras(t *testing.T) {
-	for _, tag := range []uint64{100, eraTag, eraTag - 1, eraTag + uint64(feed.MostEra) + 1, 1<<64 - 1} {
+	for _, tag := range []uint64{100, eraTag, eraTag - 1, eraTag + uint64(feed.MaxEra) + 1, 1<<64 - 1} {
 		payload, err := cbor.Marshal(cbor.Tag{Number: tag, Content: uint64(5)})
 		if err != nil {
 			t.Fatal(err)
@@ -102,7 +102,7 @@
 
 // FuzzPosition reads any bytes as a position: an error or a value that is encoded as it was meant.
 func FuzzPosition(f *testing.F) {
-	for _, p := range []positionMessage{{}, {Revision: 9}, {Era: 7, Revision: 9}, {Era: feed.MostEra, Revision: 1 << 63}} {
+	for _, p := range []positionMessage{{}, {Revision: 9}, {Era: 7, Revision: 9}, {Era: feed.MaxEra, Revision: 1 << 63}} {
 		payload, err := cbor.Marshal(p)
 		if err != nil {
 			f.Fatal(err)
@@ -114,7 +114,7 @@
 		if cbor.Unmarshal(payload, &p) != nil {
 			return
 		}
-		if p.Era > feed.MostEra {
+		if p.Era > feed.MaxEra {
 			t.Fatalf("era %d", p.Era)
 		}
 		text, err := cbor.Marshal(p)
--- a/state/feed/parts.go
+++ b/state/feed/parts.go
@@ -31,15 +31,15 @@
 	// documentsPerPart is the approximate number of documents in a part. With larger parts, more unchanged
 	// documents are sent along with a changed one; with smaller parts, a digest has more checksums.
 	documentsPerPart = 16
-	// LeastParts and MostParts bound the number of parts.
-	LeastParts = 8
-	MostParts  = 1 << 14
+	// MinParts and MostParts bound the number of parts.
+	MinParts = 8
+	MaxParts = 1 << 14
 )
 
 // Digest returns the digest of the feed: by revision for a feed in the same era, otherwise by content.
 func (f *Feed) Digest(byRevision bool) Digest {
-	n := LeastParts
-	for n < MostParts && n*documentsPerPart < len(f.items) {
+	n := MinParts
+	for n < MaxParts && n*documentsPerPart < len(f.items) {
 		n *= 2
 	}
 	return Digest{Era: f.era, Revision: f.revision, Sums: f.checksums(n, byRevision)}
--- a/state/feed/position.go
+++ b/state/feed/position.go
@@ -11,9 +11,9 @@
 	Revision uint64
 )
 
-// MostEra is the highest era. A store that is restored every second would take tens of thousands of years
+// MaxEra is the highest era. A store that is restored every second would take tens of thousands of years
 // to reach it.
-const MostEra Era = 1 << 40
+const MaxEra Era = 1 << 40
 
 // Position is a point in the sequence of the store's changes, ordered by era and then by revision.
 type Position struct {
