--- a/daemon/routes/era.go
+++ b/daemon/routes/era.go
@@ -35,7 +35,7 @@
 		return
 	}
 	if at.Era > from.Era {
-		f.Enter(at.Era)
+		f.EnterEra(at.Era)
 	}
 	changed := f.ApplyList(items, at.Revision)
 	c.apply(changed, source, now)
@@ -74,7 +74,7 @@
 		}
 	}
 	if age >= standingTime {
-		if yielded := f.Yield(); len(yielded) > 0 {
+		if yielded := f.AcceptOverruled(); len(yielded) > 0 {
 			c.log.Former(len(yielded), "the store stays with older documents than were known; they are in force")
 			c.apply(yielded, sourceStore, now)
 		}
--- a/daemon/routes/sync.go
+++ b/daemon/routes/sync.go
@@ -187,7 +187,7 @@
 		return
 	}
 	own := f.Position()
-	q := documentsRequest{after: feed.Position{Era: own.Era, Revision: f.AskAfter()}, takesDigest: f.Revision() > 0, version: peer.version}
+	q := documentsRequest{after: feed.Position{Era: own.Era, Revision: f.SyncAfter()}, takesDigest: f.Revision() > 0, version: peer.version}
 	if !own.Before(peer.Position) {
 		q.after, q.takesDigest = own, false // for the configuration alone
 	}
--- a/state/feed/era.go
+++ b/state/feed/era.go
@@ -6,7 +6,7 @@
 //
 //  1. A pre-restore document stays if its content has a newer version (Versioner): the copy is out of date.
 //     The store's document is kept beside it as overruled, and replaces it if no newer one arrives within a
-//     time limit (Yield). A retained document is never replaced by an older one.
+//     time limit (AcceptOverruled). A retained document is never replaced by an older one.
 //  2. A pre-restore document that the store lacks stays for a limited time, because its writer writes it again
 //     if it is still alive (DropMissing).
 //
@@ -52,12 +52,12 @@
 // IsRetained returns false.
 func (noVersions) IsRetained(string) bool { return false }
 
-// Enter begins a new era. All documents that are held become pre-restore documents.
-func (f *Feed) Enter(era Era) { f.enter(era, 0, func(string) bool { return false }) }
+// EnterEra begins a new era. All documents that are held become pre-restore documents.
+func (f *Feed) EnterEra(era Era) { f.enterEra(era, 0, func(string) bool { return false }) }
 
-// enter begins a new era. Documents for which isCurrent returns true are known to be the same in the new era
+// enterEra begins a new era. Documents for which isCurrent returns true are known to be the same in the new era
 // up to a revision, and do not become pre-restore documents.
-func (f *Feed) enter(era Era, at Revision, isCurrent func(key string) bool) {
+func (f *Feed) enterEra(era Era, at Revision, isCurrent func(key string) bool) {
 	f.era = era
 	f.revision, f.newest, f.horizon, f.hasPreRestore = 0, 0, 0, true
 	for key, it := range f.items {
@@ -189,9 +189,9 @@
 	return f.putSorted(gone)
 }
 
-// Yield replaces pre-restore documents by the store's documents that they overrule, except retained ones. It
-// returns the changes.
-func (f *Feed) Yield() []Item {
+// AcceptOverruled replaces pre-restore documents by the store's documents that they overrule, except retained
+// ones. It returns the changes.
+func (f *Feed) AcceptOverruled() []Item {
 	var changed []Item
 	for key, it := range f.overruled {
 		held := f.items[key]
--- a/state/feed/era_bench_test.go
+++ b/state/feed/era_bench_test.go
@@ -18,11 +18,11 @@
 			items = append(items, doc(fmt.Sprintf("replica-%05d", i), "1.1 "+strings.Repeat("x", entryBytes), feed.Revision(i+1)))
 		}
 		f := feed.New(numberedVersions{})
-		f.Enter(1)
+		f.EnterEra(1)
 		f.ApplyList(items, feed.Revision(n))
 		b.Run(fmt.Sprintf("enter/%d", n), func(b *testing.B) {
 			for i := range b.N {
-				f.Enter(feed.Era(i + 2))
+				f.EnterEra(feed.Era(i + 2))
 				if changed := f.ApplyList(items, feed.Revision(n)); len(changed) > 0 {
 					b.Fatal(len(changed), "documents changed")
 				}
--- a/state/feed/era_test.go
+++ b/state/feed/era_test.go
@@ -44,7 +44,7 @@
 // newListedFeed returns a feed in era 1 at revision 29 that has applied a list.
 func newListedFeed(items ...feed.Item) *feed.Feed {
 	f := feed.New(numberedVersions{})
-	f.Enter(1)
+	f.EnterEra(1)
 	f.ApplyList(items, 29)
 	return f
 }
@@ -52,7 +52,7 @@
 var _ = Describe("A feed that enters another era", func() {
 	It("applies writes at revisions that were already used in the previous era", func() {
 		f := newListedFeed(doc("a", "1.1", 20), doc("b", "1.2", 29))
-		f.Enter(2)
+		f.EnterEra(2)
 		Expect(f.ApplyList([]feed.Item{doc("a", "1.1", 20), doc("b", "1.1", 3)}, 26)).To(BeEmpty(), "the held b has a newer version")
 		Expect(f.Apply([]feed.Item{doc("a", "1.2", 27), doc("b", "1.3", 28)})).To(HaveLen(2))
 		Expect(contents(f)).To(Equal("a=1.2 b=1.3"))
@@ -62,7 +62,7 @@
 	DescribeTable("compares the versions of a pre-restore document and the copy's document",
 		func(before, copied, want string) {
 			f := newListedFeed(doc("a", before, 29))
-			f.Enter(2)
+			f.EnterEra(2)
 			f.ApplyList([]feed.Item{doc("a", copied, 20)}, 26)
 			Expect(contents(f)).To(Equal("a=" + want))
 		},
@@ -80,7 +80,7 @@
 		func(last, copied, want string) {
 			f := newListedFeed(doc("a", last, 28), doc("b", "1.1", 1))
 			f.Apply([]feed.Item{{Key: "a", Revision: 29, Gone: true}})
-			f.Enter(2)
+			f.EnterEra(2)
 			f.ApplyList([]feed.Item{doc("a", copied, 20), doc("b", "1.1", 1)}, 26)
 			Expect(contents(f)).To(Equal(strings.TrimSpace(want + " b=1.1")))
 		},
@@ -94,7 +94,7 @@
 
 	It("keeps documents that the copy lacks until their writers had time to write them again", func() {
 		f := newListedFeed(doc("a", "1.1", 28), doc("b", "1.1", 29), doc("config", "0.7", 27))
-		f.Enter(2)
+		f.EnterEra(2)
 		f.ApplyList(nil, 20)
 		Expect(contents(f)).To(Equal("a=1.1 b=1.1 config=0.7"))
 		Expect(f.Apply([]feed.Item{doc("a", "1.1", 21)})).To(BeEmpty(), "a is unchanged")
@@ -105,12 +105,12 @@
 		Expect(f.Apply([]feed.Item{doc("b", "1.1", 22)})).To(HaveLen(1), "b is written again late")
 	})
 
-	It("accepts the store's older documents on Yield, except for retained ones", func() {
+	It("accepts overruled documents of the store, except for retained keys", func() {
 		f := newListedFeed(doc("a", "1.9", 29), doc("config", "0.9", 28))
-		f.Enter(2)
+		f.EnterEra(2)
 		f.ApplyList([]feed.Item{doc("a", "1.5", 20), doc("config", "0.5", 19)}, 26)
 		Expect(f.DropMissing()).To(BeEmpty())
-		Expect(f.Yield()).To(HaveLen(1))
+		Expect(f.AcceptOverruled()).To(HaveLen(1))
 		Expect(contents(f)).To(Equal("a=1.5 config=0.9"))
 	})
 
@@ -120,7 +120,7 @@
 		copied := []feed.Item{doc("a", "1.5", 20), doc("b", "1.1", 21), doc("config", "0.5", 19)}
 		started := feed.New(numberedVersions{})
 		for _, f := range []*feed.Feed{from, started} {
-			f.Enter(2)
+			f.EnterEra(2)
 			f.ApplyList(copied, 26)
 		}
 		Expect(contents(started)).To(Equal("a=1.5 b=1.1 config=0.5"))
@@ -128,7 +128,7 @@
 		Expect(complete).To(BeFalse())
 		Expect(started.ApplyChanges(items, from.Revision())).To(HaveLen(3))
 		Expect(contents(started)).To(Equal("a=1.9f config=0.9"))
-		Expect(started.Yield()).To(HaveLen(2))
+		Expect(started.AcceptOverruled()).To(HaveLen(2))
 		Expect(contents(started)).To(Equal("a=1.5 b=1.1 config=0.9"))
 	})
 
@@ -139,10 +139,10 @@
 		}
 		from, to := feed.New(numberedVersions{}), feed.New(numberedVersions{})
 		for _, f := range []*feed.Feed{from, to} {
-			f.Enter(1)
+			f.EnterEra(1)
 			f.ApplyList(all, 10000)
 		}
-		from.Enter(2)
+		from.EnterEra(2)
 		from.ApplyList(all, 10000)
 		from.Apply([]feed.Item{doc("k00007", "1.2", 10001)})
 		digest := from.Digest(false)
@@ -158,7 +158,7 @@
 
 	It("stays in its era if another part has changed in the meantime", func() {
 		from, to := newListedFeed(doc("a", "1.1", 5)), newListedFeed(doc("a", "1.1", 5))
-		from.Enter(2)
+		from.EnterEra(2)
 		from.ApplyList([]feed.Item{doc("a", "1.1", 5)}, 20)
 		digest := from.Digest(false)
 		parts := to.Differing(digest)
@@ -287,7 +287,7 @@
 		return
 	}
 	if n.f.Position().Era < w.era {
-		n.f.Enter(w.era)
+		n.f.EnterEra(w.era)
 	}
 	var items []feed.Item
 	for _, it := range w.held {
@@ -315,7 +315,7 @@
 		n.f.ApplyRetained(from.f.Retained())
 		return
 	}
-	after := n.f.AskAfter()
+	after := n.f.SyncAfter()
 	if own.Era != at.Era {
 		after = 0
 	}
@@ -330,7 +330,7 @@
 	if complete || own == (feed.Position{}) {
 		items, _ = from.f.Since(0)
 		if n.f.Position().Era < at.Era {
-			n.f.Enter(at.Era)
+			n.f.EnterEra(at.Era)
 		}
 		n.f.ApplyList(items, at.Revision)
 		return
@@ -397,7 +397,7 @@
 		}
 		for _, n := range nodes {
 			n.f.DropMissing()
-			n.f.Yield()
+			n.f.AcceptOverruled()
 		}
 		var want []string
 		for _, key := range []string{"a", "b", "c", "config"} {
--- a/state/feed/feed.go
+++ b/state/feed/feed.go
@@ -12,7 +12,7 @@
 // # Usage
 //
 //	f := feed.New(versions)
-//	f.Enter(era)                          // before the first list of another era
+//	f.EnterEra(era)                       // before the first list of another era
 //	changed := f.Apply(items)             // from a watch
 //	changed = f.ApplyList(items, at)      // a complete list: missing documents are removed
 //	items, complete := f.Since(revision)  // for a peer
@@ -101,10 +101,10 @@
 	return changed
 }
 
-// AskAfter returns the revision after which to request changes from a peer. A feed that holds documents
+// SyncAfter returns the revision after which to request changes from a peer. A feed that holds documents
 // newer than its revision, from the later pages of a list, must request everything: a peer that never held
 // those documents would not report their removal.
-func (f *Feed) AskAfter() Revision {
+func (f *Feed) SyncAfter() Revision {
 	if f.newest > f.revision {
 		return 0
 	}
--- a/state/feed/feed_test.go
+++ b/state/feed/feed_test.go
@@ -171,7 +171,7 @@
 		between.ApplyList([]feed.Item{item("a", 10), item("b", 9)}, 10)
 		listed.ApplyList([]feed.Item{item("b", 9)}, 11) // a was written at 10 and removed at 11
 		pull := func(to, from *feed.Feed) {
-			items, complete := from.Since(to.AskAfter())
+			items, complete := from.Since(to.SyncAfter())
 			if complete {
 				to.ApplyList(items, from.Revision())
 				return
@@ -187,10 +187,10 @@
 		f := feed.New(nil)
 		f.ApplyList([]feed.Item{item("a", 5), item("z", 22)}, 20) // a was removed at 21, after its page
 		Expect(f.Revision()).To(Equal(feed.Revision(20)))
-		Expect(f.AskAfter()).To(BeZero(), "a peer that never held z would not report its removal")
+		Expect(f.SyncAfter()).To(BeZero(), "a peer that never held z would not report its removal")
 		f.Apply([]feed.Item{{Key: "a", Revision: 21, Gone: true}, item("z", 22)})
 		Expect(f.Revision()).To(Equal(feed.Revision(22)), "an event without a change advances the revision as well")
-		Expect(f.AskAfter()).To(Equal(feed.Revision(22)))
+		Expect(f.SyncAfter()).To(Equal(feed.Revision(22)))
 	})
 })
 
@@ -281,7 +281,7 @@
 				if from.Revision() <= d.Revision() {
 					break
 				}
-				items, complete := from.Since(d.AskAfter())
+				items, complete := from.Since(d.SyncAfter())
 				if complete {
 					d.ApplyList(items, from.Revision())
 					break
--- a/state/feed/parts.go
+++ b/state/feed/parts.go
@@ -31,7 +31,7 @@
 	// documentsPerPart is the approximate number of documents in a part. With larger parts, more unchanged
 	// documents are sent along with a changed one; with smaller parts, a digest has more checksums.
 	documentsPerPart = 16
-	// MinParts and MostParts bound the number of parts.
+	// MinParts and MaxParts bound the number of parts.
 	MinParts = 8
 	MaxParts = 1 << 14
 )
@@ -118,7 +118,7 @@
 		if !isComplete {
 			return nil
 		}
-		f.enter(d.Era, d.Revision, func(key string) bool { return !parts[partOf(key, len(parts))] })
+		f.enterEra(d.Era, d.Revision, func(key string) bool { return !parts[partOf(key, len(parts))] })
 	}
 	changed := f.merge(items)
 	changed = append(changed, f.removeUnlisted(items, at, func(key string) bool { return parts[partOf(key, len(parts))] })...)
