--- a/coordination/routing/evacuate_test.go
+++ b/coordination/routing/evacuate_test.go
@@ -72,7 +72,7 @@
 	if it.Revision > d.last {
 		d.last, d.news = it.Revision, newsTimes
 	}
-	if it.Gone {
+	if it.Deleted {
 		d.evacuated.End("z0", epoch)
 		return
 	}
@@ -123,7 +123,7 @@
 func (w *evacuationWorld) play(changes int) (wrong int) {
 	var documents []feed.Item
 	for i := range changes {
-		documents = append(documents, feed.Item{Key: "z0", Revision: feed.Revision(i + 1), Gone: i%2 == 1})
+		documents = append(documents, feed.Item{Key: "z0", Revision: feed.Revision(i + 1), Deleted: i%2 == 1})
 		w.write(documents[i])
 		pause := time.Second
 		if i == changes-1 {
@@ -134,7 +134,7 @@
 		}
 	}
 	for _, d := range w.daemons {
-		if isEvacuated := len(d.evacuated.Domains()) > 0; isEvacuated == documents[changes-1].Gone {
+		if isEvacuated := len(d.evacuated.Domains()) > 0; isEvacuated == documents[changes-1].Deleted {
 			wrong++
 		}
 	}
--- a/daemon/routes/catalog.go
+++ b/daemon/routes/catalog.go
@@ -122,7 +122,7 @@
 		c.list(before.Service).Remove(before.ID)
 	}
 	delete(c.unusable, it.Key)
-	if it.Gone {
+	if it.Deleted {
 		if known && !before.Draining {
 			c.expired.Add(before, storeTrouble, now)
 		}
@@ -173,13 +173,13 @@
 		return
 	}
 	changed := false
-	if it.Gone {
+	if it.Deleted {
 		changed = c.evacuations.End(domain, now)
 	} else {
 		changed = c.evacuations.Begin(domain)
 	}
 	if changed {
-		c.log.Evacuation(domain, !it.Gone, it.Revision)
+		c.log.Evacuation(domain, !it.Deleted, it.Revision)
 	}
 }
 
--- a/daemon/routes/control_test.go
+++ b/daemon/routes/control_test.go
@@ -313,7 +313,7 @@
 		items = append(items, feed.Item{Key: fmt.Sprintf("replica-%d", i), Revision: feed.Revision(i + 1)})
 	}
 	c.apply(c.catalog.feed.ApplyList(items, 5000), "store", time.Unix(1_000_000, 0))
-	c.apply(c.catalog.feed.Apply([]feed.Item{{Key: "replica-1", Revision: 5001, Gone: true}}), "store", time.Unix(1_000_001, 0))
+	c.apply(c.catalog.feed.Apply([]feed.Item{{Key: "replica-1", Revision: 5001, Deleted: true}}), "store", time.Unix(1_000_001, 0))
 	l.Close()
 	if l.writer.droppedTotal() != 0 {
 		t.Errorf("%d lines were left out", l.writer.droppedTotal())
@@ -403,7 +403,7 @@
 	if len(pool().Ready) != 0 || len(pool().Evacuated) != 2 {
 		t.Fatalf("ready %d, evacuated %d, want none and 2", len(pool().Ready), len(pool().Evacuated))
 	}
-	apply(feed.Item{Key: "evacuate-z", Revision: 4, Gone: true})
+	apply(feed.Item{Key: "evacuate-z", Revision: 4, Deleted: true})
 	if len(pool().Ready) != 0 {
 		t.Fatal("an old document takes the domain back")
 	}
@@ -413,7 +413,7 @@
 	if a := c.replicaAnswers(now); len(a) != 2 || a[0].Why != whyEvacuated {
 		t.Errorf("operators see %+v", a)
 	}
-	apply(feed.Item{Key: "evacuate-z", Revision: 6, Gone: true})
+	apply(feed.Item{Key: "evacuate-z", Revision: 6, Deleted: true})
 	if len(pool().Ready) != 2 || !pool().Ready[0].IsCold(now.Add(testColdStart-1)) || pool().Ready[0].IsCold(now.Add(testColdStart)) {
 		t.Fatalf("taken back as %+v, want two that are cold for %v", pool().Ready, testColdStart)
 	}
--- a/daemon/routes/statements_test.go
+++ b/daemon/routes/statements_test.go
@@ -43,7 +43,7 @@
 	check("once it said so", 1)
 	entries(c, 3, now, map[string]string{"replica-1": "born=1"})
 	check("after its entry was written again", 1)
-	c.apply(c.catalog.feed.Apply([]feed.Item{{Key: "replica-1", Revision: 4, Gone: true}}), "store", now)
+	c.apply(c.catalog.feed.Apply([]feed.Item{{Key: "replica-1", Revision: 4, Deleted: true}}), "store", now)
 	check("without its entry", 1)
 	for range 3 * int(time.Second/heartbeatInterval) {
 		now = now.Add(heartbeatInterval)
--- a/daemon/routes/sync_test.go
+++ b/daemon/routes/sync_test.go
@@ -201,7 +201,7 @@
 	if first.everything == nil || first.everything != second.everything {
 		t.Fatal("two packings of the same documents")
 	}
-	p.peer.apply(c.feed.Apply([]feed.Item{{Key: "replica-00007", Revision: 60, Gone: true}}), sourceStore, p.now)
+	p.peer.apply(c.feed.Apply([]feed.Item{{Key: "replica-00007", Revision: 60, Deleted: true}}), sourceStore, p.now)
 	_, payload, err := func() (int, []byte, error) { a := c.answer(&documentsRequest{}); return a.encode() }()
 	if err != nil {
 		t.Fatal(err)
--- a/protocol/gossip/documents.go
+++ b/protocol/gossip/documents.go
@@ -79,7 +79,7 @@
 func encodeDocuments(d *Documents) ([]byte, error) {
 	m := documentsMessage{Position: positionMessage{Era: d.Era, Revision: d.Revision}, Whole: d.Whole}
 	m.Items = convert(d.Items, func(it feed.Item) itemMessage {
-		return itemMessage{Key: it.Key, Value: it.Value, Revision: it.Revision, Gone: it.Gone}
+		return itemMessage{Key: it.Key, Value: it.Value, Revision: it.Revision, Gone: it.Deleted}
 	})
 	return encode(&m)
 }
@@ -104,7 +104,7 @@
 		return Documents{}, err
 	}
 	items := convert(m.Items, func(it itemMessage) feed.Item {
-		return feed.Item{Key: it.Key, Value: it.Value, Revision: it.Revision, Gone: it.Gone}
+		return feed.Item{Key: it.Key, Value: it.Value, Revision: it.Revision, Deleted: it.Gone}
 	})
 	return Documents{Items: items, Era: m.Position.Era, Revision: m.Position.Revision, Whole: m.Whole}, nil
 }
--- a/protocol/gossip/gossip_test.go
+++ b/protocol/gossip/gossip_test.go
@@ -253,7 +253,7 @@
 	write("short heartbeat", payload, err)
 	documents := Documents{Revision: 9, Whole: true, Items: []feed.Item{
 		{Key: "servers/i-1", Value: []byte(`{"service":"s"}`), Revision: 8},
-		{Key: "servers/i-2", Revision: 9, Gone: true},
+		{Key: "servers/i-2", Revision: 9, Deleted: true},
 	}}
 	payload, err = encodeDocuments(&documents)
 	write("documents", payload, err)
--- a/state/feed/era.go
+++ b/state/feed/era.go
@@ -61,7 +61,7 @@
 	f.era = era
 	f.revision, f.newest, f.horizon, f.hasPreRestore = 0, 0, 0, true
 	for key, it := range f.items {
-		keep := it.Revision > 0 && !it.Gone && isCurrent(key)
+		keep := it.Revision > 0 && !it.Deleted && isCurrent(key)
 		it.Revision = 0
 		if keep {
 			it.Revision = at
@@ -106,7 +106,7 @@
 // mergeCurrent merges a document or removal of the current era unless the held pre-restore document is newer.
 func (f *Feed) mergeCurrent(old, current Item) bool {
 	overruled, ok := f.overruled[current.Key]
-	wasRemoved := !ok && !current.Gone && current.Revision <= f.revision
+	wasRemoved := !ok && !current.Deleted && current.Revision <= f.revision
 	if wasRemoved || ok && overruled.Revision >= current.Revision {
 		return false
 	}
@@ -122,25 +122,25 @@
 // contentDiffers reports whether two items of a key have different content, or one of them is a removal.
 // Revisions are ignored.
 func contentDiffers(a, b Item) bool {
-	return a.Gone != b.Gone || !a.Gone && !bytes.Equal(a.Value, b.Value)
+	return a.Deleted != b.Deleted || !a.Deleted && !bytes.Equal(a.Value, b.Value)
 }
 
 // preRestoreIsNewer reports whether a pre-restore document has a newer version than one of the current era.
 func (f *Feed) preRestoreIsNewer(old, current Item) bool {
-	if !old.Gone && !contentDiffers(old, current) {
+	if !old.Deleted && !contentDiffers(old, current) {
 		return false // fast path: nearly all documents are unchanged, and parsing their versions is expensive
 	}
 	a, b := f.versions.Version(old), f.versions.Version(current)
 	switch {
-	case current.Gone && current.Revision > 0 || !b.Known:
+	case current.Deleted && current.Revision > 0 || !b.Known:
 		return false
-	case current.Gone:
+	case current.Deleted:
 		return a.Known && (a.Incarnation > b.Incarnation || a.Incarnation == b.Incarnation && a.Sequence > b.Sequence)
 	case !a.Known:
-		return old.Gone // the removal is known, and nothing shows that the current document is newer
+		return old.Deleted // the removal is known, and nothing shows that the current document is newer
 	case a.Incarnation != b.Incarnation:
 		return a.Incarnation > b.Incarnation
-	case old.Gone:
+	case old.Deleted:
 		return b.Sequence <= a.Sequence
 	case a.Sequence != b.Sequence && a.Sequence > 0 && b.Sequence > 0:
 		return a.Sequence > b.Sequence
@@ -152,7 +152,7 @@
 func (f *Feed) Retained() []Item {
 	var out []Item
 	for _, it := range f.items {
-		if !it.Gone && f.versions.IsRetained(it.Key) {
+		if !it.Deleted && f.versions.IsRetained(it.Key) {
 			out = append(out, it)
 		}
 	}
@@ -164,7 +164,7 @@
 func (f *Feed) ApplyRetained(items []Item) []Item {
 	var retained []Item
 	for _, it := range items {
-		if !it.Gone && f.versions.IsRetained(it.Key) {
+		if !it.Deleted && f.versions.IsRetained(it.Key) {
 			it.Revision = 0
 			retained = append(retained, it)
 		}
@@ -182,8 +182,8 @@
 	var gone []Item
 	for key, it := range f.items {
 		_, inStore := f.overruled[key]
-		if it.Revision == 0 && !it.Gone && !inStore && !f.versions.IsRetained(key) {
-			gone = append(gone, Item{Key: key, Revision: f.revision, Gone: true})
+		if it.Revision == 0 && !it.Deleted && !inStore && !f.versions.IsRetained(key) {
+			gone = append(gone, Item{Key: key, Revision: f.revision, Deleted: true})
 		}
 	}
 	return f.putSorted(gone)
@@ -195,7 +195,7 @@
 	var changed []Item
 	for key, it := range f.overruled {
 		held := f.items[key]
-		if !held.Gone && held.Revision == 0 && f.versions.IsRetained(key) {
+		if !held.Deleted && held.Revision == 0 && f.versions.IsRetained(key) {
 			continue
 		}
 		changed = append(changed, it)
@@ -220,7 +220,7 @@
 	if overruled, ok := f.overruled[held.Key]; ok {
 		return overruled.Revision, true
 	}
-	return held.Revision, !held.Gone && held.Revision > 0
+	return held.Revision, !held.Deleted && held.Revision > 0
 }
 
 // mustSendPreRestore reports whether an item is from before the restore and must be sent to peers: it is a
@@ -230,13 +230,13 @@
 		return false
 	}
 	_, overrules := f.overruled[it.Key]
-	return overrules || !it.Gone
+	return overrules || !it.Deleted
 }
 
 // itemForPeer returns an item in the form that is sent to peers. A removal of the current era is sent
 // without its last content, which matters only for pre-restore removals.
 func itemForPeer(it Item) Item {
-	if it.Gone && it.Revision > 0 {
+	if it.Deleted && it.Revision > 0 {
 		it.Value = nil
 	}
 	return it
--- a/state/feed/era_test.go
+++ b/state/feed/era_test.go
@@ -79,7 +79,7 @@
 	DescribeTable("compares the versions of a pre-restore removal and the copy's document",
 		func(last, copied, want string) {
 			f := newListedFeed(doc("a", last, 28), doc("b", "1.1", 1))
-			f.Apply([]feed.Item{{Key: "a", Revision: 29, Gone: true}})
+			f.Apply([]feed.Item{{Key: "a", Revision: 29, Deleted: true}})
 			f.EnterEra(2)
 			f.ApplyList([]feed.Item{doc("a", copied, 20), doc("b", "1.1", 1)}, 26)
 			Expect(contents(f)).To(Equal(strings.TrimSpace(want + " b=1.1")))
@@ -116,7 +116,7 @@
 
 	It("sends a peer that has read the copy what the copy lacks", func() {
 		from := newListedFeed(doc("a", "1.9f", 29), doc("b", "1.1", 28), doc("config", "0.9", 27))
-		from.Apply([]feed.Item{{Key: "b", Revision: 30, Gone: true}})
+		from.Apply([]feed.Item{{Key: "b", Revision: 30, Deleted: true}})
 		copied := []feed.Item{doc("a", "1.5", 20), doc("b", "1.1", 21), doc("config", "0.5", 19)}
 		started := feed.New(numberedVersions{})
 		for _, f := range []*feed.Feed{from, started} {
@@ -208,7 +208,7 @@
 func (w *world) write(it feed.Item) {
 	it.Revision = w.revision() + 1
 	w.history = append(w.history, it)
-	if it.Gone {
+	if it.Deleted {
 		delete(w.held, it.Key)
 		return
 	}
@@ -244,7 +244,7 @@
 		return
 	}
 	if _, ok := w.held[key]; ok {
-		w.write(feed.Item{Key: key, Gone: true})
+		w.write(feed.Item{Key: key, Deleted: true})
 	}
 }
 
--- a/state/feed/example_test.go
+++ b/state/feed/example_test.go
@@ -10,8 +10,8 @@
 func Example() {
 	f := feed.New(nil)
 	f.ApplyList([]feed.Item{{Key: "a", Revision: 3}, {Key: "b", Revision: 4}}, 4)
-	f.Apply([]feed.Item{{Key: "a", Revision: 5, Gone: true}})
+	f.Apply([]feed.Item{{Key: "a", Revision: 5, Deleted: true}})
 	items, complete := f.Since(4)
-	fmt.Println(f.Revision(), len(items), items[0].Key, items[0].Gone, complete)
+	fmt.Println(f.Revision(), len(items), items[0].Key, items[0].Deleted, complete)
 	// Output: 5 1 a true false
 }
--- a/state/feed/export_test.go
+++ b/state/feed/export_test.go
@@ -6,7 +6,7 @@
 func (f *Feed) Each(visit func(Item)) {
 	var keys []string
 	for key, it := range f.items {
-		if !it.Gone {
+		if !it.Deleted {
 			keys = append(keys, key)
 		}
 	}
--- a/state/feed/feed.go
+++ b/state/feed/feed.go
@@ -30,7 +30,7 @@
 	Key      string
 	Value    []byte
 	Revision Revision // 0: a pre-restore document, from an era before the feed's
-	Gone     bool     // the document was removed
+	Deleted  bool
 }
 
 // Page is a part of a list, in the order of the keys. The pages of a list are not read
@@ -138,13 +138,13 @@
 // put stores an item. A removal keeps the last content of its document. If there are too many tombstones,
 // the oldest is dropped.
 func (f *Feed) put(it Item) {
-	if it.Gone && len(it.Value) == 0 {
+	if it.Deleted && len(it.Value) == 0 {
 		it.Value = f.items[it.Key].Value
 	}
 	f.items[it.Key] = it
 	f.newest = max(f.newest, it.Revision)
 	f.hasPreRestore = f.hasPreRestore || it.Revision == 0
-	if !it.Gone {
+	if !it.Deleted {
 		return
 	}
 	f.tombstones = append(f.tombstones, it.Key)
@@ -153,7 +153,7 @@
 	}
 	oldest := f.tombstones[0]
 	f.tombstones = f.tombstones[1:]
-	if held, ok := f.items[oldest]; ok && held.Gone {
+	if held, ok := f.items[oldest]; ok && held.Deleted {
 		f.horizon = max(f.horizon, held.Revision)
 		delete(f.items, oldest)
 	}
@@ -173,7 +173,7 @@
 func (f *Feed) removeUnlisted(items []Item, at Revision, inRange func(key string) bool) []Item {
 	listed := make(map[string]struct{}, len(items))
 	for _, it := range items {
-		if !it.Gone && it.Revision > 0 { // a removal may be older than the held item; a pre-restore document is not in the store
+		if !it.Deleted && it.Revision > 0 { // a removal may be older than the held item; a pre-restore document is not in the store
 			listed[it.Key] = struct{}{}
 		}
 	}
@@ -182,7 +182,7 @@
 		_, ok := listed[key]
 		revision, isCurrent := f.currentRevision(held)
 		if !ok && isCurrent && revision <= at && inRange(key) {
-			gone = append(gone, Item{Key: key, Revision: max(at, revision+1), Gone: true})
+			gone = append(gone, Item{Key: key, Revision: max(at, revision+1), Deleted: true})
 		}
 	}
 	return f.putSorted(gone)
@@ -226,5 +226,5 @@
 // Get returns the document of a key. It returns false if there is none or it was removed.
 func (f *Feed) Get(key string) (Item, bool) {
 	it, ok := f.items[key]
-	return it, ok && !it.Gone
+	return it, ok && !it.Deleted
 }
--- a/state/feed/feed_test.go
+++ b/state/feed/feed_test.go
@@ -26,7 +26,7 @@
 		f := feed.New(nil)
 		Expect(f.Apply([]feed.Item{item("a", 5)})).To(HaveLen(1))
 		Expect(f.Apply([]feed.Item{item("a", 4), item("a", 5)})).To(BeEmpty())
-		Expect(f.Apply([]feed.Item{{Key: "a", Revision: 3, Gone: true}})).To(BeEmpty())
+		Expect(f.Apply([]feed.Item{{Key: "a", Revision: 3, Deleted: true}})).To(BeEmpty())
 		Expect(values(f)).To(Equal([]string{"a5"}))
 	})
 
@@ -35,7 +35,7 @@
 		f.Apply([]feed.Item{item("p/a", 5), item("p/b", 9)})
 		changed := f.ApplyList(nil, 7)
 		Expect(changed).To(HaveLen(1))
-		Expect(changed[0].Gone).To(BeTrue())
+		Expect(changed[0].Deleted).To(BeTrue())
 		Expect(values(f)).To(Equal([]string{"p/b9"}))
 		Expect(f.Apply([]feed.Item{item("p/a", 6)})).To(BeEmpty(), "an old event must not restore it")
 		Expect(f.Apply([]feed.Item{item("p/a", 8)})).To(HaveLen(1))
@@ -44,7 +44,7 @@
 	It("returns everything for revisions before dropped tombstones", func() {
 		f := feed.New(nil)
 		for i := range 5000 {
-			f.Apply([]feed.Item{{Key: fmt.Sprint(i), Revision: feed.Revision(i + 1), Gone: true}})
+			f.Apply([]feed.Item{{Key: fmt.Sprint(i), Revision: feed.Revision(i + 1), Deleted: true}})
 		}
 		f.Apply([]feed.Item{item("a", 6000)})
 		_, complete := f.Since(10)
@@ -72,7 +72,7 @@
 				revision++
 				key := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "key")
 				it := item(key, revision)
-				it.Gone = rapid.Bool().Draw(t, "gone")
+				it.Deleted = rapid.Bool().Draw(t, "gone")
 				store[key] = it
 				history = append(history, it)
 			case 2:
@@ -112,7 +112,7 @@
 func liveItems(store map[string]feed.Item) []feed.Item {
 	var out []feed.Item
 	for _, it := range store {
-		if !it.Gone {
+		if !it.Deleted {
 			out = append(out, it)
 		}
 	}
@@ -122,7 +122,7 @@
 func withoutRemovals(items []feed.Item) []feed.Item {
 	var out []feed.Item
 	for _, it := range items {
-		if !it.Gone {
+		if !it.Deleted {
 			out = append(out, it)
 		}
 	}
@@ -149,7 +149,7 @@
 	It("responds with the changes after the revision of its last list", func() {
 		f := feed.New(nil)
 		f.ApplyList([]feed.Item{item("a", 5), item("b", 9)}, 10)
-		f.Apply([]feed.Item{item("b", 11), {Key: "a", Revision: 12, Gone: true}})
+		f.Apply([]feed.Item{item("b", 11), {Key: "a", Revision: 12, Deleted: true}})
 		f.ApplyList([]feed.Item{item("b", 11), item("c", 14)}, 15)
 		f.Apply([]feed.Item{item("d", 16)})
 		for after, want := range map[feed.Revision]bool{9: true, 10: true, 11: true, 12: true, 14: true, 15: false, 16: false} {
@@ -157,7 +157,7 @@
 			Expect(complete).To(Equal(want), "after %d", after)
 		}
 		items, _ := f.Since(10)
-		Expect(items).To(ContainElement(feed.Item{Key: "a", Revision: 12, Gone: true}))
+		Expect(items).To(ContainElement(feed.Item{Key: "a", Revision: 12, Deleted: true}))
 	})
 
 	// Guards against a horizon that is not passed on. A daemon received the changes from a peer that had listed
@@ -188,7 +188,7 @@
 		f.ApplyList([]feed.Item{item("a", 5), item("z", 22)}, 20) // a was removed at 21, after its page
 		Expect(f.Revision()).To(Equal(feed.Revision(20)))
 		Expect(f.SyncAfter()).To(BeZero(), "a peer that never held z would not report its removal")
-		f.Apply([]feed.Item{{Key: "a", Revision: 21, Gone: true}, item("z", 22)})
+		f.Apply([]feed.Item{{Key: "a", Revision: 21, Deleted: true}, item("z", 22)})
 		Expect(f.Revision()).To(Equal(feed.Revision(22)), "an event without a change advances the revision as well")
 		Expect(f.SyncAfter()).To(Equal(feed.Revision(22)))
 	})
@@ -204,7 +204,7 @@
 		var history []feed.Item
 		write := func() {
 			it := item(rapid.SampledFrom(names).Draw(t, "key"), feed.Revision(len(history)+1))
-			it.Gone = rapid.Bool().Draw(t, "gone")
+			it.Deleted = rapid.Bool().Draw(t, "gone")
 			store[it.Key] = it
 			history = append(history, it)
 		}
@@ -213,7 +213,7 @@
 			var items []feed.Item
 			page := func(keys []string) {
 				for _, key := range keys {
-					if it, ok := store[key]; ok && !it.Gone {
+					if it, ok := store[key]; ok && !it.Deleted {
 						items = append(items, it)
 					}
 				}
--- a/state/feed/parts.go
+++ b/state/feed/parts.go
@@ -50,7 +50,7 @@
 	sums := make([]uint64, n)
 	var buf []byte
 	for _, it := range f.items {
-		if _, overrules := f.overruled[it.Key]; !it.Gone || overrules {
+		if _, overrules := f.overruled[it.Key]; !it.Deleted || overrules {
 			buf = appendChecksummed(buf[:0], it, byRevision)
 			sums[partOf(it.Key, n)] ^= xxhash.Sum64(buf)
 		}
@@ -98,7 +98,7 @@
 		return items, complete
 	}
 	for _, it := range f.items {
-		if !it.Gone && it.Revision > 0 && it.Revision <= after && parts[partOf(it.Key, len(parts))] {
+		if !it.Deleted && it.Revision > 0 && it.Revision <= after && parts[partOf(it.Key, len(parts))] {
 			items = append(items, it)
 		}
 	}
