--- a/coordination/membership/eras.go
+++ b/coordination/membership/eras.go
@@ -24,14 +24,14 @@
 // acceptOlderAfter is longer than a restarting store is likely to respond from an old copy.
 const acceptOlderAfter = 10 * time.Second
 
-// Eras determines the positions of responses of the store. It is not safe for concurrent use.
-type Eras struct {
+// EraTracker determines the positions of responses of the store. It is not safe for concurrent use.
+type EraTracker struct {
 	offset     feed.Era  // added to the eras that the store names
 	olderSince time.Time // when the current series of older responses began; zero: the last response was not older
 }
 
-// Place returns the position of a response. It returns false if the response is rejected.
-func (e *Eras) Place(at, known feed.Position, now time.Time) (feed.Position, bool) {
+// Resolve returns the position of a response. It returns false if the response is rejected.
+func (e *EraTracker) Resolve(at, known feed.Position, now time.Time) (feed.Position, bool) {
 	at.Era += e.offset
 	if !at.Before(known) {
 		e.olderSince = time.Time{}
--- a/coordination/membership/eras_test.go
+++ b/coordination/membership/eras_test.go
@@ -32,8 +32,8 @@
 		{"no era, one is known", position(0, 50), position(3, 9), false},
 		{"no era, none is known", position(0, 50), position(0, 49), true},
 	} {
-		var e membership.Eras
-		if got, ok := e.Place(c.at, c.known, begun); ok != c.want || got != c.at {
+		var e membership.EraTracker
+		if got, ok := e.Resolve(c.at, c.known, begun); ok != c.want || got != c.at {
 			t.Errorf("%s: %v, %t", c.name, got, ok)
 		}
 	}
@@ -43,20 +43,20 @@
 // an era was misread once or the store has restarted its era count.
 func TestRestartedEraCountIsAccepted(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	var e membership.Eras
+	var e membership.EraTracker
 	known := position(700, 9)
 	for range 99 {
-		if at, ok := e.Place(position(8, 20), known, now); ok {
+		if at, ok := e.Resolve(position(8, 20), known, now); ok {
 			t.Fatalf("%v is accepted at once", at)
 		}
 		now = now.Add(100 * time.Millisecond)
 	}
 	now = now.Add(time.Second)
-	at, ok := e.Place(position(8, 20), known, now)
+	at, ok := e.Resolve(position(8, 20), known, now)
 	if !ok || at != position(701, 20) {
 		t.Fatalf("%v, %t; want era 701", at, ok)
 	}
-	if at, ok = e.Place(position(9, 5), at, now); !ok || at != position(702, 5) {
+	if at, ok = e.Resolve(position(9, 5), at, now); !ok || at != position(702, 5) {
 		t.Errorf("the next era of the store: %v, %t; want era 702", at, ok)
 	}
 }
@@ -65,14 +65,14 @@
 // are accepted.
 func TestIsolatedOlderResponsesAreRejected(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	var e membership.Eras
+	var e membership.EraTracker
 	known := position(3, 9)
 	for range 20 {
-		if _, ok := e.Place(position(2, 9), known, now); ok {
+		if _, ok := e.Resolve(position(2, 9), known, now); ok {
 			t.Fatal("an old response is accepted")
 		}
 		now = now.Add(6 * time.Second)
-		if _, ok := e.Place(position(3, 9), known, now); !ok {
+		if _, ok := e.Resolve(position(3, 9), known, now); !ok {
 			t.Fatal("a response at the known position is rejected")
 		}
 	}
@@ -83,13 +83,13 @@
 func TestReadersNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_000_000, 0)
-		var e membership.Eras
+		var e membership.EraTracker
 		var known feed.Position
 		var rejectedSince time.Time
 		for range rapid.IntRange(1, 100).Draw(t, "responses") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
 			response := position(feed.Era(rapid.Uint64Range(0, uint64(feed.MaxEra)).Draw(t, "era")%8), feed.Revision(rapid.IntRange(0, 50).Draw(t, "revision")))
-			at, ok := e.Place(response, known, now)
+			at, ok := e.Resolve(response, known, now)
 			switch {
 			case ok && at.Before(known):
 				t.Fatalf("went back from %v to %v", known, at)
@@ -127,7 +127,7 @@
 		if got := r.PlanReads(now, false).Reads; got != step.reads {
 			t.Errorf("era known %t, peer in era %d: reads %t, want %t", step.known, step.era, got, step.reads)
 		}
-		if got := r.EraIsRead(now); got != (step.era > 0) {
+		if got := r.HasEraReader(now); got != (step.era > 0) {
 			t.Errorf("peer in era %d: the era is read %t", step.era, got)
 		}
 	}
--- a/coordination/membership/readers.go
+++ b/coordination/membership/readers.go
@@ -60,8 +60,8 @@
 	Gap   time.Duration // pause after a watch that returned changes
 }
 
-// ListenFirst starts the listening period of a daemon that has just started, if rule 5 requires one.
-func (r *Roster) ListenFirst(now time.Time) {
+// StartListening starts the listening period of a daemon that has just started, if rule 5 requires one.
+func (r *Roster) StartListening(now time.Time) {
 	others := slices.ContainsFunc(r.seeds, func(s Address) bool { return s != r.self.Address })
 	if others && !slices.Contains(r.seeds, r.self.Address) {
 		r.listenUntil = now.Add(listenPeriod)
--- a/coordination/membership/roster.go
+++ b/coordination/membership/roster.go
@@ -43,8 +43,8 @@
 	// ordered holds the members sorted by address, to avoid sorting them for each heartbeat.
 	ordered []*entry
 	// domains is the time of the newest known heartbeat of any member of each domain.
-	domains map[state.FailureDomain]time.Time
-	largest int // highest fleet size that was ever known or reported
+	domains  map[state.FailureDomain]time.Time
+	peakSize int // highest fleet size that was ever known or reported
 	// reportedSize is the fleet size that others reported, with decay.
 	reportedSize float64
 	// listenUntil is when a daemon that has just started begins to read the store.
@@ -56,7 +56,7 @@
 // NewRoster returns the roster of a daemon. Seeds may include the daemon itself.
 func NewRoster(self Member, seeds []Address) *Roster {
 	return &Roster{
-		self: self, seeds: seeds, members: make(map[Address]*entry), domains: make(map[state.FailureDomain]time.Time), largest: 1,
+		self: self, seeds: seeds, members: make(map[Address]*entry), domains: make(map[state.FailureDomain]time.Time), peakSize: 1,
 	}
 }
 
@@ -73,9 +73,9 @@
 // SetStoreUnreachable sets whether this daemon can't read the store.
 func (r *Roster) SetStoreUnreachable(unreachable bool) { r.self.StoreUnreachable = unreachable }
 
-// StoreIsRead reports whether this daemon or any known live daemon can read the store. All daemons then learn
+// HasStoreReader reports whether this daemon or any known live daemon can read the store. All daemons then learn
 // of changes from those that can.
-func (r *Roster) StoreIsRead(now time.Time) bool {
+func (r *Roster) HasStoreReader(now time.Time) bool {
 	if !r.self.StoreUnreachable {
 		return true
 	}
@@ -97,8 +97,8 @@
 	}
 }
 
-// EraIsRead reports whether another daemon that names the era of the store can read the store.
-func (r *Roster) EraIsRead(now time.Time) bool {
+// HasEraReader reports whether another daemon that names the era of the store can read the store.
+func (r *Roster) HasEraReader(now time.Time) bool {
 	return slices.ContainsFunc(r.ordered, func(e *entry) bool {
 		return now.Sub(e.withEraAt) <= readerTimeout && !e.Leaving && !e.StoreUnreachable
 	})
@@ -126,7 +126,7 @@
 		}
 	}
 	if len(joined) > 0 {
-		r.largest = max(r.largest, 1+r.countLive(now))
+		r.peakSize = max(r.peakSize, 1+r.countLive(now))
 	}
 	return joined
 }
@@ -169,12 +169,12 @@
 // ObserveSize records the number of daemons that another daemon reported.
 func (r *Roster) ObserveSize(n int) {
 	r.reportedSize = max(r.reportedSize, float64(n))
-	r.largest = max(r.largest, n)
+	r.peakSize = max(r.peakSize, n)
 }
 
-// Largest returns the highest number of daemons that was ever known or reported,
+// PeakSize returns the highest number of daemons that was ever known or reported,
 // including this one.
-func (r *Roster) Largest() int { return r.largest }
+func (r *Roster) PeakSize() int { return r.peakSize }
 
 // Live returns the live members except this daemon, sorted by address.
 func (r *Roster) Live(now time.Time) []Member { return membersOf(r.live(now), now) }
--- a/coordination/membership/roster_store_test.go
+++ b/coordination/membership/roster_store_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestStoreIsRead checks whether a daemon knows of a live daemon that can read the store.
-func TestStoreIsRead(t *testing.T) {
+// TestHasStoreReader checks whether a daemon knows of a live daemon that can read the store.
+func TestHasStoreReader(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	for _, c := range []struct {
 		name             string
@@ -27,7 +27,7 @@
 			peer := Member{Address: Address("10.0.0." + string(rune('2'+i)) + ":1"), Domain: "z", Incarnation: 1, Heartbeats: 1, StoreUnreachable: unreachable}
 			r.Observe([]Member{peer}, now)
 		}
-		if got := r.StoreIsRead(now.Add(c.later)); got != c.want {
+		if got := r.HasStoreReader(now.Add(c.later)); got != c.want {
 			t.Errorf("%s: %t, want %t", c.name, got, c.want)
 		}
 	}
--- a/coordination/membership/roster_test.go
+++ b/coordination/membership/roster_test.go
@@ -127,7 +127,7 @@
 	DescribeTable("decides whether a daemon that has just started reads the store", func(self int, after time.Duration, callerWaits bool, want bool, seeds ...int) {
 		n.start(self, 1, seeds...)
 		r := n.rosters[address(self)]
-		r.ListenFirst(epoch)
+		r.StartListening(epoch)
 		if callerWaits {
 			r.StopListening()
 		}
@@ -171,7 +171,7 @@
 		n.run(5 * time.Second)
 		Expect(n.live(0)).To(Equal(3))
 		Expect(n.live(6)).To(Equal(3))
-		Expect(n.rosters[address(0)].Largest()).To(Equal(8), "each daemon's share of the budgets must not grow in a partition")
+		Expect(n.rosters[address(0)].PeakSize()).To(Equal(8), "each daemon's share of the budgets must not grow in a partition")
 		n.blocked = func(_, _ membership.Address) bool { return false }
 		n.run(2 * time.Second)
 		Expect(n.live(0)).To(Equal(7))
@@ -260,7 +260,7 @@
 		}
 		n.run(5 * time.Second)
 		for a, r := range n.rosters {
-			Expect(r.Largest()).To(BeNumerically(">=", daemons*17/20), "%s", a)
+			Expect(r.PeakSize()).To(BeNumerically(">=", daemons*17/20), "%s", a)
 			Expect(r.Size(n.now)).To(BeNumerically("<=", daemons), "%s", a)
 		}
 		for i := left; i < daemons; i++ {
--- a/coordination/membership/targets.go
+++ b/coordination/membership/targets.go
@@ -64,8 +64,8 @@
 	return out
 }
 
-// Neighbour returns a random live member of this daemon's failure domain, or false if there is none.
-func (r *Roster) Neighbour(now time.Time, rng *rand.Rand) (Address, bool) {
+// RandomLocalMember returns a random live member of this daemon's failure domain, or false if there is none.
+func (r *Roster) RandomLocalMember(now time.Time, rng *rand.Rand) (Address, bool) {
 	near, _ := r.splitByDomain(r.live(now))
 	if len(near) == 0 {
 		return "", false
--- a/daemon/routes/control.go
+++ b/daemon/routes/control.go
@@ -116,7 +116,7 @@
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	c.startedAt = clock.Now()
-	c.roster.ListenFirst(c.startedAt)
+	c.roster.StartListening(c.startedAt)
 	c.planReads(clock.Now())
 	c.sendHeartbeat(clock.Now())
 	for {
@@ -231,7 +231,7 @@
 	c.loans.forget(now)
 	c.syncIfBehind(ctx, now)
 	if now.Sub(c.startedAt) >= routing.FleetKnownAfter {
-		c.cold.SetDaemons(c.roster.Largest())
+		c.cold.SetDaemons(c.roster.PeakSize())
 	}
 	expired := c.catalog.expired.Expire(now)
 	if n := c.roster.Size(now); c.sizeChanged(n) || expired || c.viewIsOld {
@@ -239,7 +239,7 @@
 		c.publish(now)
 	}
 	c.roster.Forget(now)
-	if !c.roster.StoreIsRead(now) {
+	if !c.roster.HasStoreReader(now) {
 		c.storeUnreadAt = now
 	}
 	c.health.SetEntriesStale(now.Sub(c.storeUnreadAt) < entriesReturn)
--- a/daemon/routes/control_test.go
+++ b/daemon/routes/control_test.go
@@ -64,7 +64,7 @@
 	c := newTestControl(l, nil)
 	c.roster = membership.NewRoster(membership.Member{Address: "10.0.0.1:1"}, []membership.Address{"10.0.0.2:1"})
 	begun := time.Unix(1_000_000, 0)
-	c.roster.ListenFirst(begun)
+	c.roster.StartListening(begun)
 	c.planReads(begun)
 	listening := c.readPlan.Load()
 	if listening.Reads {
--- a/daemon/routes/era.go
+++ b/daemon/routes/era.go
@@ -86,7 +86,7 @@
 // better: this daemon does not reach the store, nor does one that names an era, and has not seen the
 // store come back.
 func (c *control) placeEra(named feed.Era, now time.Time) feed.Era {
-	if named == 0 && c.storeLost && !c.era.restored && !c.roster.EraIsRead(now) {
+	if named == 0 && c.storeLost && !c.era.restored && !c.roster.HasEraReader(now) {
 		return c.catalog.feed.Position().Era
 	}
 	return named
--- a/daemon/routes/heartbeat.go
+++ b/daemon/routes/heartbeat.go
@@ -148,7 +148,7 @@
 	if h.Sender.StoreUnreachable {
 		c.storeTroubleAt = now
 	}
-	c.budgets.SetDaemons(c.roster.Largest())
+	c.budgets.SetDaemons(c.roster.PeakSize())
 	c.observeDomains()
 	if !h.Partial {
 		c.observeRequests(h, now)
--- a/daemon/routes/loans.go
+++ b/daemon/routes/loans.go
@@ -26,7 +26,7 @@
 
 // askForLoan asks a daemon of the own failure domain.
 func (c *control) askForLoan(w *loanWanted, now time.Time) {
-	lender, ok := c.roster.Neighbour(now, c.heartbeats.rng)
+	lender, ok := c.roster.RandomLocalMember(now, c.heartbeats.rng)
 	if !ok {
 		w.reply <- 0
 		return
--- a/daemon/routes/store.go
+++ b/daemon/routes/store.go
@@ -69,7 +69,7 @@
 	store       Store
 	control     *control
 	historyGone error // of the store: it must be listed again
-	eras        membership.Eras
+	eras        membership.EraTracker
 	countCall   func() // is called for each call to the store
 	countOlder  func() // is called for each answer that is older than what was known
 	after       feed.Position
@@ -191,7 +191,7 @@
 
 // place returns the position of an answer. The error says that it is older than what was known.
 func (r *reader) place(at, known feed.Position) (feed.Position, error) {
-	placed, ok := r.eras.Place(at, known, clock.Now())
+	placed, ok := r.eras.Resolve(at, known, clock.Now())
 	if !ok {
 		r.countOlder()
 		return placed, &OlderAnswerError{At: at, Known: known}
