--- a/coordination/fleet/arrange_bench_test.go
+++ b/coordination/fleet/arrange_bench_test.go
@@ -44,14 +44,14 @@
 		}
 		members = append(members, m)
 	}
-	var history []state.DatedList
+	var history []state.AppliedList
 	for i := range 8 {
 		taken := epoch.Add(-time.Duration(i) * time.Minute)
-		history = append(history, state.DatedList{List: state.NewMemberList(1, nil, members), Taken: taken})
+		history = append(history, state.AppliedList{List: state.NewMemberList(1, nil, members), AppliedAt: taken})
 	}
 	key := fleet.LedgerKey{Workspace: "w", Service: "gate", Key: "own"}
 	keeper, _ := fleet.OwnerOf(history[0].List, key)
-	view := state.OwnerEpoch{Confirmed: epoch, Ticked: epoch, History: history}
+	view := state.OwnershipState{Confirmed: epoch, LastTick: epoch, History: history}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
--- a/coordination/fleet/documents.go
+++ b/coordination/fleet/documents.go
@@ -158,7 +158,7 @@
 	f.record(coordination.EventListTaken, l.Head.String(), "member list %v follows %v", l.Head, f.listHead())
 	f.list = l
 	f.suspectList = nil
-	f.history = append([]state.DatedList{{List: l, Taken: now}}, f.history...)
+	f.history = append([]state.AppliedList{{List: l, AppliedAt: now}}, f.history...)
 	f.pruneHistory(now)
 	f.dropReports()
 	f.dirty = true
@@ -171,7 +171,7 @@
 func (f *Fleet) pruneHistory(now time.Time) {
 	grace := RulesOf(f.config).GracePeriod()
 	for i := range f.history {
-		if now.Sub(f.history[i].Taken) > grace {
+		if now.Sub(f.history[i].AppliedAt) > grace {
 			f.history = f.history[:i+1]
 			return
 		}
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -65,7 +65,7 @@
 	settled          bool
 	peersMet         map[state.DaemonID]bool
 	list             *state.MemberList
-	history          []state.DatedList
+	history          []state.AppliedList
 	confirmed        time.Time
 	paused           time.Time // when a pause was last noticed
 	windowSince      time.Time
@@ -170,7 +170,7 @@
 	case f.dirty:
 		f.current = f.snapshot()
 	case f.epochDirty && f.current != nil:
-		f.current = f.current.WithEpoch(f.epoch())
+		f.current = f.current.WithOwnership(f.epoch())
 	default:
 		return
 	}
@@ -180,11 +180,11 @@
 
 func (f *Fleet) snapshot() *state.Snapshot {
 	in := state.Inputs{
-		Members: f.list,
-		Status:  f.statuses(),
-		Domain:  f.self.Domain,
-		Hash:    coordination.Hash,
-		Epoch:   f.epoch(),
+		Members:   f.list,
+		Status:    f.statuses(),
+		Domain:    f.self.Domain,
+		Hash:      coordination.Hash,
+		Ownership: f.epoch(),
 	}
 	if f.settled {
 		in.Config = f.config
@@ -193,13 +193,13 @@
 }
 
 // epoch shares the history with the snapshot: taking a list makes a new slice.
-func (f *Fleet) epoch() state.OwnerEpoch {
-	return state.OwnerEpoch{
-		Confirmed:   f.confirmed,
-		Ticked:      f.ticked,
-		Paused:      f.paused,
-		WindowSince: f.windowSince,
-		History:     f.history,
+func (f *Fleet) epoch() state.OwnershipState {
+	return state.OwnershipState{
+		Confirmed:     f.confirmed,
+		LastTick:      f.ticked,
+		LastPause:     f.paused,
+		WindowGrownAt: f.windowSince,
+		History:       f.history,
 	}
 }
 
--- a/coordination/fleet/fleet_test.go
+++ b/coordination/fleet/fleet_test.go
@@ -141,15 +141,15 @@
 		m.cut = func(a, b *meshNode) bool { return a == n || b == n }
 		m.wake(n)
 		m.run(time.Second)
-		Expect(n.snapshot.Epoch.Confirmed.IsZero()).To(BeTrue())
+		Expect(n.snapshot.Ownership.Confirmed.IsZero()).To(BeTrue())
 		m.away = func(*meshNode) bool { return false }
 		m.run(3 * time.Second)
-		Expect(n.snapshot.Epoch.Confirmed.IsZero()).To(BeFalse())
+		Expect(n.snapshot.Ownership.Confirmed.IsZero()).To(BeFalse())
 	})
 	It("confirms the list of every daemon although few read the platform", func() {
 		m := settledMesh(88, 11, 0)
 		m.run(30 * time.Second)
-		fresh := func(n *meshNode) bool { return m.now.Sub(n.snapshot.Epoch.Confirmed) < state.DefaultLease }
+		fresh := func(n *meshNode) bool { return m.now.Sub(n.snapshot.Ownership.Confirmed) < state.DefaultLease }
 		Expect(m.share(fresh)).To(Equal(1.0))
 		before := m.reads
 		m.run(10 * time.Second)
@@ -160,7 +160,7 @@
 		n := m.nodes[2]
 		m.away = func(o *meshNode) bool { return o == n }
 		m.run(time.Minute)
-		Expect(m.now.Sub(n.snapshot.Epoch.Confirmed)).To(BeNumerically("<", 10*time.Second))
+		Expect(m.now.Sub(n.snapshot.Ownership.Confirmed)).To(BeNumerically("<", 10*time.Second))
 	})
 	It("watches each engine by one daemon of its failure domain", func() {
 		m := settledMesh(12, 3, 9)
--- a/coordination/fleet/once_world_test.go
+++ b/coordination/fleet/once_world_test.go
@@ -46,7 +46,7 @@
 	rate    float64 // of its clock against true time
 	frozen  bool
 	cut     bool // learns no lists
-	epoch   state.OwnerEpoch
+	epoch   state.OwnershipState
 	ledger  *fleet.Ledger
 	issuer  *fleet.TicketIssuer
 	life    state.Incarnation
@@ -141,17 +141,17 @@
 	}
 	now := ow.clock(d)
 	if d.cut {
-		d.epoch.Ticked = now
+		d.epoch.LastTick = now
 		return
 	}
-	if len(d.epoch.History) > 0 && now.Sub(d.epoch.Ticked) > 3*time.Second {
-		d.epoch.Paused = now
+	if len(d.epoch.History) > 0 && now.Sub(d.epoch.LastTick) > 3*time.Second {
+		d.epoch.LastPause = now
 	}
-	d.epoch.Ticked = now
+	d.epoch.LastTick = now
 	d.epoch.Confirmed = now
 	l := ow.list()
 	if len(d.epoch.History) == 0 || l.Head.Compare(d.epoch.History[0].List.Head) > 0 {
-		d.epoch.History = append([]state.DatedList{{List: l, Taken: now}}, d.epoch.History...)
+		d.epoch.History = append([]state.AppliedList{{List: l, AppliedAt: now}}, d.epoch.History...)
 	}
 }
 
--- a/coordination/fleet/owner.go
+++ b/coordination/fleet/owner.go
@@ -72,7 +72,7 @@
 // MayRunKey decides whether self may act on a key now. It must be asked again
 // right before the first byte is written. A nil outcome means yes. No refusal
 // says not-run: another owner may have run the key.
-func MayRunKey(now time.Time, self state.DaemonID, epoch state.OwnerEpoch, k LedgerKey, r OwnerRules) coordination.Outcome {
+func MayRunKey(now time.Time, self state.DaemonID, epoch state.OwnershipState, k LedgerKey, r OwnerRules) coordination.Outcome {
 	if epoch.Confirmed.IsZero() || now.Sub(epoch.Confirmed) > r.Lease || maybePaused(now, epoch) {
 		return coordination.MayHaveRun{Reason: coordination.ReasonOwnerListStale, RetryAfter: time.Second}
 	}
@@ -80,7 +80,7 @@
 	if !first {
 		return coordination.MayHaveRun{Reason: coordination.ReasonOwnerUnreachable, RetryAfter: time.Second}
 	}
-	for _, t := range []time.Time{epoch.WindowSince, epoch.Paused} {
+	for _, t := range []time.Time{epoch.WindowGrownAt, epoch.LastPause} {
 		// Keys of the time before were remembered for a shorter window, or
 		// requests of the time before may still wait in sockets.
 		if t.After(since) {
@@ -95,14 +95,14 @@
 
 // maybePaused reports whether the process may have been paused since its control
 // loop last ran.
-func maybePaused(now time.Time, epoch state.OwnerEpoch) bool {
-	return now.Sub(epoch.Ticked) > pauseLimit
+func maybePaused(now time.Time, epoch state.OwnershipState) bool {
+	return now.Sub(epoch.LastTick) > pauseLimit
 }
 
 // MayForward decides whether a daemon may take in a request with a caller's own key
 // and send it to the owner. A nil outcome means yes.
-func MayForward(now time.Time, epoch state.OwnerEpoch) coordination.Outcome {
-	if maybePaused(now, epoch) || (!epoch.Paused.IsZero() && now.Sub(epoch.Paused) < afterPause) {
+func MayForward(now time.Time, epoch state.OwnershipState) coordination.Outcome {
+	if maybePaused(now, epoch) || (!epoch.LastPause.IsZero() && now.Sub(epoch.LastPause) < afterPause) {
 		return coordination.MayHaveRun{Reason: coordination.ReasonOwnerListStale, RetryAfter: afterPause}
 	}
 	return nil
@@ -111,7 +111,7 @@
 // rankedFirstSince walks the history from the newest list back to the first in
 // which self did not rank first, and returns when the one after it was taken.
 // The history begins with the process, so that a daemon refuses after a restart.
-func rankedFirstSince(self state.DaemonID, history []state.DatedList, k LedgerKey) (time.Time, bool) {
+func rankedFirstSince(self state.DaemonID, history []state.AppliedList, k LedgerKey) (time.Time, bool) {
 	var since time.Time
 	first := false
 	for _, d := range history {
@@ -119,7 +119,7 @@
 		if !ok || m.ID != string(self) {
 			break
 		}
-		since, first = d.Taken, true
+		since, first = d.AppliedAt, true
 	}
 	return since, first
 }
--- a/state/snapshot.go
+++ b/state/snapshot.go
@@ -31,35 +31,35 @@
 	Load      Load
 }
 
-// OwnerEpoch is the information by which a daemon decides whether it may act as
+// OwnershipState is the information by which a daemon decides whether it may act as
 // the owner of an idempotency key.
-type OwnerEpoch struct {
+type OwnershipState struct {
 	// Confirmed is when the platform last confirmed the member list, by this
 	// daemon's clock and with the time in transit subtracted.
 	Confirmed time.Time
-	// Ticked is when the control loop last ran. If that is long ago, the process
+	// LastTick is when the control loop last ran. If that is long ago, the process
 	// has been paused and its information is out of date.
-	Ticked time.Time
-	// Paused is when the control loop last detected that it had been paused.
-	Paused time.Time
-	// WindowSince is when the window of the configuration last grew.
-	WindowSince time.Time
+	LastTick time.Time
+	// LastPause is when the control loop last detected that it had been paused.
+	LastPause time.Time
+	// WindowGrownAt is when the window of the configuration last grew.
+	WindowGrownAt time.Time
 	// History holds the lists of the last window, newest first.
-	History []DatedList
+	History []AppliedList
 }
 
-// DatedList is a member list and the time at which this daemon started to use it.
-type DatedList struct {
-	List  *MemberList
-	Taken time.Time
+// AppliedList is a member list and the time at which this daemon started to use it.
+type AppliedList struct {
+	List      *MemberList
+	AppliedAt time.Time
 }
 
 // Snapshot is a consistent view of the configuration and the fleet. It is
 // immutable.
 type Snapshot struct {
-	Config  *Config // nil until a configuration is known
-	Members *MemberList
-	Epoch   OwnerEpoch
+	Config    *Config // nil until a configuration is known
+	Members   *MemberList
+	Ownership OwnershipState
 
 	models   map[ModelID]*Pool
 	services map[ServiceID]*Pool
@@ -69,12 +69,12 @@
 
 // Inputs are the inputs of [BuildSnapshot].
 type Inputs struct {
-	Config  *Config
-	Members *MemberList
-	Status  map[UpstreamID]Status
-	Domain  FailureDomain       // of the daemon itself
-	Hash    func(string) uint64 // computes [Candidate.Hash] from an id
-	Epoch   OwnerEpoch
+	Config    *Config
+	Members   *MemberList
+	Status    map[UpstreamID]Status
+	Domain    FailureDomain       // of the daemon itself
+	Hash      func(string) uint64 // computes [Candidate.Hash] from an id
+	Ownership OwnershipState
 }
 
 // BuildSnapshot builds a snapshot. Leaving upstreams are in no pool. Upstreams of
@@ -82,11 +82,11 @@
 func BuildSnapshot(in Inputs) *Snapshot {
 	cfg, members := in.Config, in.Members
 	s := &Snapshot{
-		Config:   cfg,
-		Members:  members,
-		Epoch:    in.Epoch,
-		models:   make(map[ModelID]*Pool),
-		services: make(map[ServiceID]*Pool),
+		Config:    cfg,
+		Members:   members,
+		Ownership: in.Ownership,
+		models:    make(map[ModelID]*Pool),
+		services:  make(map[ServiceID]*Pool),
 	}
 	if cfg == nil || members == nil {
 		return s
@@ -107,10 +107,10 @@
 	return s
 }
 
-// WithEpoch returns a copy of the snapshot with another epoch.
-func (s *Snapshot) WithEpoch(e OwnerEpoch) *Snapshot {
+// WithOwnership returns a copy of the snapshot with another ownership state.
+func (s *Snapshot) WithOwnership(o OwnershipState) *Snapshot {
 	next := *s
-	next.Epoch = e
+	next.Ownership = o
 	return &next
 }
 
--- a/transport/gateway/gateway_test.go
+++ b/transport/gateway/gateway_test.go
@@ -201,9 +201,9 @@
 	now := time.Now()
 	f.snapshot.Store(state.BuildSnapshot(state.Inputs{
 		Config: cfg, Members: list, Hash: coordination.Hash,
-		Epoch: state.OwnerEpoch{
-			Confirmed: now.Add(time.Minute), Ticked: now.Add(time.Minute),
-			History: []state.DatedList{{List: list, Taken: now.Add(-time.Hour)}},
+		Ownership: state.OwnershipState{
+			Confirmed: now.Add(time.Minute), LastTick: now.Add(time.Minute),
+			History: []state.AppliedList{{List: list, AppliedAt: now.Add(-time.Hour)}},
 		},
 	}))
 	return f
@@ -306,9 +306,9 @@
 	It("is refused when the list is stale", func() {
 		f := newOnceFleet(2)
 		s := f.snapshot.Load()
-		epoch := s.Epoch
+		epoch := s.Ownership
 		epoch.Confirmed = time.Now().Add(-time.Hour)
-		f.snapshot.Store(s.WithEpoch(epoch))
+		f.snapshot.Store(s.WithOwnership(epoch))
 		Expect(refusalOf(f.run(0, "own", "pass"))).To(BeAssignableToTypeOf(coordination.MayHaveRun{}))
 		ticket, _ := f.nodes[0].runner.Issue("w", "gate")
 		Expect(f.run(1, ticket, "pass")).To(BeAssignableToTypeOf(gateway.OnceAnswer{}))
--- a/transport/gateway/once.go
+++ b/transport/gateway/once.go
@@ -78,7 +78,7 @@
 // Run runs a request at the owner of its key, wherever that is.
 func (o *OnceRunner) Run(ctx context.Context, r *OnceRequest) OnceResult {
 	if !fleet.IsTicket(r.Key) {
-		if refusal := fleet.MayForward(o.Now(), o.Snapshot().Epoch); refusal != nil {
+		if refusal := fleet.MayForward(o.Now(), o.Snapshot().Ownership); refusal != nil {
 			return OnceRefusal{refusal}
 		}
 	}
@@ -195,7 +195,7 @@
 var errNoLongerOwner = errors.New("daemon no longer owns the key")
 
 func (o *OnceRunner) mayKeep(r *OnceRequest) coordination.Outcome {
-	return fleet.MayRunKey(o.Now(), o.Self, o.Snapshot().Epoch, r.ledgerKey(), o.rules())
+	return fleet.MayRunKey(o.Now(), o.Self, o.Snapshot().Ownership, r.ledgerKey(), o.rules())
 }
 
 func (o *OnceRunner) begin(r *OnceRequest, keep time.Duration) fleet.KeyDecision {
--- a/transport/gateway/operator.go
+++ b/transport/gateway/operator.go
@@ -102,8 +102,8 @@
 	if s.Members != nil {
 		a.List = s.Members.Head.String()
 	}
-	if !s.Epoch.Confirmed.IsZero() {
-		a.ListAgeMS = time.Since(s.Epoch.Confirmed).Milliseconds()
+	if !s.Ownership.Confirmed.IsZero() {
+		a.ListAgeMS = time.Since(s.Ownership.Confirmed).Milliseconds()
 	}
 	return a
 }
