--- a/coordination/membership/roster.go
+++ b/coordination/membership/roster.go
@@ -20,12 +20,12 @@
 const (
 	// livenessTimeout is how long a member counts as live after its last message: about
 	// twelve heartbeats. In a large fleet messages about a member are less frequent, and
-	// livenessTimeoutNear applies to members of the own domain and livenessTimeoutFar to
+	// livenessTimeoutLocal applies to members of the own domain and livenessTimeoutRemote to
 	// others. The time counts from when the member sent its heartbeat, which can be about
 	// 12 s ago in a domain with 85 daemons.
-	livenessTimeout     = 2500 * time.Millisecond
-	livenessTimeoutNear = 15 * time.Second
-	livenessTimeoutFar  = 60 * time.Second
+	livenessTimeout       = 2500 * time.Millisecond
+	livenessTimeoutLocal  = 15 * time.Second
+	livenessTimeoutRemote = 60 * time.Second
 	// forgetAfter is how long a member that is not live still gets heartbeats, so that daemons find each
 	// other after a long network partition even without the seeds.
 	forgetAfter = 90 * time.Second
@@ -210,9 +210,9 @@
 func (r *Roster) isLive(e *entry, now time.Time) bool {
 	limit := livenessTimeout
 	if r.isLarge() {
-		limit = livenessTimeoutFar
+		limit = livenessTimeoutRemote
 		if e.Domain == r.self.Domain {
-			limit = livenessTimeoutNear
+			limit = livenessTimeoutLocal
 		}
 	}
 	return now.Sub(e.lastSeen) <= limit
--- a/coordination/membership/targets.go
+++ b/coordination/membership/targets.go
@@ -7,7 +7,7 @@
 //
 // In a large fleet, the cost of a daemon must not grow with the number of daemons:
 //
-//  2. A heartbeat goes to fanOut members, farFanOut of them in other domains, where
+//  2. A heartbeat goes to fanOut members, remoteFanOut of them in other domains, where
 //     traffic is more expensive.
 //  3. It names the likely readers of the store, because the choice of readers depends on
 //     them; the most recently seen members of the own domain, which spreads the newest
@@ -31,21 +31,21 @@
 
 const (
 	// fanOut is the number of members to which a heartbeat of a large fleet goes, and
-	// farFanOut the number of them in other domains.
-	fanOut    = 5
-	farFanOut = 1
+	// remoteFanOut the number of them in other domains.
+	fanOut       = 5
+	remoteFanOut = 1
 	// sampleSize is the number of members that a heartbeat of a small fleet names: all of them.
 	sampleSize = FullMeshSize
 	// sampleNewest is the number of most recently seen members of the own domain that a
-	// heartbeat of a large fleet names. sampleNear and sampleFar are the numbers of random
+	// heartbeat of a large fleet names. sampleLocal and sampleRemote are the numbers of random
 	// members of the own domain and of other domains.
 	sampleNewest = 2
-	sampleNear   = 2
-	sampleFar    = 1
-	// bootstrapNear and bootstrapFar are the numbers of members of its own domain and of other domains that
+	sampleLocal  = 2
+	sampleRemote = 1
+	// bootstrapLocal and bootstrapRemote are the numbers of members of its own domain and of other domains that
 	// a newly discovered daemon is sent.
-	bootstrapNear = 8
-	bootstrapFar  = 8
+	bootstrapLocal  = 8
+	bootstrapRemote = 8
 )
 
 // Targets returns the recipients of the next heartbeat.
@@ -66,20 +66,20 @@
 
 // RandomLocalMember returns a random live member of this daemon's failure domain, or false if there is none.
 func (r *Roster) RandomLocalMember(now time.Time, rng *rand.Rand) (Address, bool) {
-	near, _ := r.splitByDomain(r.live(now))
-	if len(near) == 0 {
+	local, _ := r.splitByDomain(r.live(now))
+	if len(local) == 0 {
 		return "", false
 	}
-	return near[rng.IntN(len(near))].Address, true
+	return local[rng.IntN(len(local))].Address, true
 }
 
 // chooseTargets chooses random recipients in a large fleet: mostly members of the own
 // domain, and some of others.
 func (r *Roster) chooseTargets(live []*entry, rng *rand.Rand) []*entry {
-	near, far := r.splitByDomain(live)
-	far = pickRandom(far, max(farFanOut, fanOut-len(near)), rng)
-	near = pickRandom(near, fanOut-len(far), rng)
-	return append(near, far...)
+	local, remote := r.splitByDomain(live)
+	remote = pickRandom(remote, max(remoteFanOut, fanOut-len(local)), rng)
+	local = pickRandom(local, fanOut-len(remote), rng)
+	return append(local, remote...)
 }
 
 // notLive returns the unknown seeds, followed by the known members that are not live.
@@ -106,13 +106,13 @@
 		return membersOf(live[:min(len(live), sampleSize)], now)
 	}
 	readers, rest := splitLikelyReaders(live)
-	near, far := r.splitByDomain(rest)
-	newest := pickNewest(near, sampleNewest)
-	newestFar, restFar := splitNewestByDomain(far, rng)
+	local, remote := r.splitByDomain(rest)
+	newest := pickNewest(local, sampleNewest)
+	newestRemote, restRemote := splitNewestByDomain(remote, rng)
 	out := append(readers, newest...)
-	out = append(out, pickRandom(near[len(newest):], sampleNear, rng)...)
-	out = append(out, newestFar...)
-	out = append(out, pickRandom(restFar, sampleFar, rng)...)
+	out = append(out, pickRandom(local[len(newest):], sampleLocal, rng)...)
+	out = append(out, newestRemote...)
+	out = append(out, pickRandom(restRemote, sampleRemote, rng)...)
 	return membersOf(out, now)
 }
 
@@ -121,11 +121,11 @@
 func (r *Roster) Bootstrap(to Member, now time.Time, rng *rand.Rand) []Member {
 	out, rest := splitLikelyReaders(r.live(now))
 	shuffle(rest, rng)
-	near, far := bootstrapNear, bootstrapFar
+	local, remote := bootstrapLocal, bootstrapRemote
 	for _, e := range rest {
-		left := &far
+		left := &remote
 		if e.Domain == to.Domain {
-			left = &near
+			left = &local
 		}
 		if *left > 0 {
 			*left--
@@ -176,15 +176,15 @@
 }
 
 // splitByDomain splits a list into members of this daemon's domain and of other domains.
-func (r *Roster) splitByDomain(list []*entry) (near, far []*entry) {
+func (r *Roster) splitByDomain(list []*entry) (local, remote []*entry) {
 	for _, e := range list {
 		if e.Domain == r.self.Domain {
-			near = append(near, e)
+			local = append(local, e)
 			continue
 		}
-		far = append(far, e)
+		remote = append(remote, e)
 	}
-	return near, far
+	return local, remote
 }
 
 // pickNewest moves the n most recently seen members to the front of a list and returns them.
--- a/state/feed/era_test.go
+++ b/state/feed/era_test.go
@@ -68,10 +68,10 @@
 		},
 		Entry("a later write stays", "1.9", "1.5", "1.9"),
 		Entry("an earlier write is replaced", "1.5", "1.9", "1.9"),
-		Entry("a later start stays", "2.1", "1.9", "2.1"),
-		Entry("an earlier start is replaced", "1.9", "2.1", "2.1"),
-		Entry("the final document of a start stays if writes are not numbered", "1.0f", "1.0", "1.0f"),
-		Entry("the final document of a start is replaced by a later start", "1.0f", "2.0", "2.0"),
+		Entry("a later incarnation stays", "2.1", "1.9", "2.1"),
+		Entry("an earlier incarnation is replaced", "1.9", "2.1", "2.1"),
+		Entry("the final document of an incarnation stays if writes are not numbered", "1.0f", "1.0", "1.0f"),
+		Entry("the final document of an incarnation is replaced by a later one", "1.0f", "2.0", "2.0"),
 		Entry("the store's is used if neither has a version", "x", "y", "y"),
 		Entry("the store's is used if only the pre-restore document has a version", "1.1", "y", "y"),
 	)
@@ -87,7 +87,7 @@
 		Entry("the same write stays removed", "1.5", "1.5", ""),
 		Entry("an earlier write stays removed", "1.5", "1.4", ""),
 		Entry("a later write restores the document", "1.5", "1.6", "a=1.6"),
-		Entry("a later start restores the document", "1.5", "2.1", "a=2.1"),
+		Entry("a later incarnation restores the document", "1.5", "2.1", "a=2.1"),
 		Entry("the store's is used if neither has a version", "x", "y", "a=y"),
 		Entry("it stays removed if only the copy's has a version", "x", "1.5", ""),
 	)
@@ -187,12 +187,12 @@
 // writer is the state of the writer of a document. It determines the document, which the writer writes again
 // after a restore.
 type writer struct {
-	start, write   int
-	final, hasLeft bool
+	incarnation, sequence int
+	final, hasLeft        bool
 }
 
 func (w *writer) text() string {
-	text := fmt.Sprintf("%d.%d", w.start, w.write)
+	text := fmt.Sprintf("%d.%d", w.incarnation, w.sequence)
 	if w.final {
 		text += "f"
 	}
@@ -220,10 +220,10 @@
 	key := rapid.SampledFrom([]string{"a", "b", "c", "config"}).Draw(w.t, "key")
 	a := w.writers[key]
 	if a == nil {
-		a = &writer{start: 1}
+		a = &writer{incarnation: 1}
 		w.writers[key] = a
 	}
-	a.write++
+	a.sequence++
 	if key != "config" {
 		switch rapid.IntRange(0, 3).Draw(w.t, "act") {
 		case 0:
@@ -231,7 +231,7 @@
 		case 1:
 			a.hasLeft = true
 		case 2:
-			a.start, a.write, a.final, a.hasLeft = a.start+1, 1, false, false
+			a.incarnation, a.sequence, a.final, a.hasLeft = a.incarnation+1, 1, false, false
 		}
 	}
 	w.writeState(key, a)
@@ -340,7 +340,7 @@
 
 // TestDaemonsAgreeWithRestoredStore runs random sequences of writes, backups and restores of the store,
 // and of daemons that list, watch, restart and fetch from each other. No process may go back to an older
-// configuration, or from the final document of a start to another of that start. Once the writers have
+// configuration, or from the final document of an incarnation to another of that incarnation. Once the writers have
 // written lost documents again and the time limits for pre-restore documents have passed, all daemons must
 // hold the same documents as the store.
 func TestDaemonsAgreeWithRestoredStore(t *testing.T) {
@@ -382,7 +382,7 @@
 						t.Fatalf("daemon %d went back from configuration %d to %d", i, was.Sequence, is.Sequence)
 					}
 					if it.Key != "config" && is.Incarnation == was.Incarnation && was.Final && !is.Final {
-						t.Fatalf("daemon %d went back from %s's final document of start %d", i, it.Key, is.Incarnation)
+						t.Fatalf("daemon %d went back from %s's final document of incarnation %d", i, it.Key, is.Incarnation)
 					}
 					seen[i][it.Key] = is
 				})
