--- a/daemon/routes/catalog.go
+++ b/daemon/routes/catalog.go
@@ -24,7 +24,7 @@
 	ParseConfig(it feed.Item) (*routing.Table, error)
 	// ParseReplica parses a replica's entry. The error says why the entry is unusable.
 	ParseReplica(it feed.Item) (routing.Replica, error)
-	feed.Order
+	feed.Versioner
 	// ReplicaID returns the replica whose entry has the given key; false if the key
 	// belongs to another kind of document.
 	ReplicaID(key string) (routing.ReplicaID, bool)
@@ -124,7 +124,7 @@
 		c.list(before.Service).Remove(before.ID)
 	}
 	delete(c.unusable, it.Key)
-	if it.Gone {
+	if it.Deleted {
 		if known && !before.Draining {
 			c.expired.Add(before, storeTrouble, now)
 		}
@@ -176,13 +176,13 @@
 		return
 	}
 	changed := false
-	if it.Gone {
+	if it.Deleted {
 		changed = c.evacuations.End(domain, now)
 	} else {
 		changed = c.evacuations.Begin(domain)
 	}
 	if changed {
-		c.log.Evacuation(domain, !it.Gone, it.Revision)
+		c.log.Evacuation(domain, !it.Deleted, it.Revision)
 	}
 }
 
@@ -277,7 +277,7 @@
 func (c *catalog) answer(q *documentsRequest) documentsAnswer {
 	at := c.feed.Position()
 	if q.knowsEras && at.Era < q.after.Era {
-		return documentsAnswer{documents: gossip.Documents{Items: c.feed.Lasting(), Era: at.Era, Revision: at.Revision}}
+		return documentsAnswer{documents: gossip.Documents{Items: c.feed.Retained(), Era: at.Era, Revision: at.Revision}}
 	}
 	after := q.after.Revision
 	if q.knowsEras && q.after.Era != at.Era {
--- a/daemon/routes/control_test.go
+++ b/daemon/routes/control_test.go
@@ -64,7 +64,7 @@
 	c := newTestControl(l, nil)
 	c.roster = membership.NewRoster(membership.Member{Address: "10.0.0.1:1"}, []membership.Address{"10.0.0.2:1"})
 	begun := time.Unix(1_000_000, 0)
-	c.roster.ListenFirst(begun)
+	c.roster.StartListening(begun)
 	c.planReads(begun)
 	listening := c.readPlan.Load()
 	if listening.Reads {
@@ -298,9 +298,9 @@
 	return state.FailureDomain(domain), ok
 }
 
-func (fewDocuments) Age(feed.Item) feed.Age { return feed.Age{} }
+func (fewDocuments) Version(feed.Item) feed.Version { return feed.Version{} }
 
-func (fewDocuments) Lasts(key string) bool { return key == "config" }
+func (fewDocuments) IsRetained(key string) bool { return key == "config" }
 
 func (fewDocuments) ReplicaID(key string) (routing.ReplicaID, bool) {
 	return routing.ReplicaID(key), strings.HasPrefix(key, "replica-")
@@ -317,7 +317,7 @@
 		items = append(items, feed.Item{Key: fmt.Sprintf("replica-%d", i), Revision: feed.Revision(i + 1)})
 	}
 	c.apply(c.catalog.feed.ApplyList(items, 5000), "store", time.Unix(1_000_000, 0))
-	c.apply(c.catalog.feed.Apply([]feed.Item{{Key: "replica-1", Revision: 5001, Gone: true}}), "store", time.Unix(1_000_001, 0))
+	c.apply(c.catalog.feed.Apply([]feed.Item{{Key: "replica-1", Revision: 5001, Deleted: true}}), "store", time.Unix(1_000_001, 0))
 	l.Close()
 	if l.writer.droppedTotal() != 0 {
 		t.Errorf("%d lines were dropped", l.writer.droppedTotal())
@@ -407,7 +407,7 @@
 	if len(pool().Ready) != 0 || len(pool().Evacuated) != 2 {
 		t.Fatalf("ready %d, evacuated %d, want none and 2", len(pool().Ready), len(pool().Evacuated))
 	}
-	apply(feed.Item{Key: "evacuate-z", Revision: 4, Gone: true})
+	apply(feed.Item{Key: "evacuate-z", Revision: 4, Deleted: true})
 	if len(pool().Ready) != 0 {
 		t.Fatal("an old document ended the evacuation")
 	}
@@ -417,7 +417,7 @@
 	if a := c.replicaAnswers(now); len(a) != 2 || a[0].Why != whyEvacuated {
 		t.Errorf("operators see %+v", a)
 	}
-	apply(feed.Item{Key: "evacuate-z", Revision: 6, Gone: true})
+	apply(feed.Item{Key: "evacuate-z", Revision: 6, Deleted: true})
 	if len(pool().Ready) != 2 || !pool().Ready[0].IsCold(now.Add(testColdStart-1)) || pool().Ready[0].IsCold(now.Add(testColdStart)) {
 		t.Fatalf("after the evacuation %+v, want two replicas that are cold for %v", pool().Ready, testColdStart)
 	}
--- a/daemon/routes/era.go
+++ b/daemon/routes/era.go
@@ -35,7 +35,7 @@
 		return
 	}
 	if at.Era > from.Era {
-		f.Enter(at.Era)
+		f.EnterEra(at.Era)
 	}
 	changed := f.ApplyList(items, at.Revision)
 	c.apply(changed, source, now)
@@ -75,7 +75,7 @@
 		}
 	}
 	if age >= standingTime {
-		if yielded := f.Yield(); len(yielded) > 0 {
+		if yielded := f.AcceptOverruled(); len(yielded) > 0 {
 			c.log.Former(len(yielded), "the restored store still has older documents than were known; using them")
 			c.apply(yielded, sourceStore, now)
 		}
@@ -87,7 +87,7 @@
 // restore. Such revisions are interpreted in the current era only as a last resort: if this daemon can't
 // reach the store, no live peer that names an era can read it, and this process has seen no restore.
 func (c *control) placeEra(named feed.Era, now time.Time) feed.Era {
-	if named == 0 && c.storeLost && !c.era.restored && !c.roster.EraIsRead(now) {
+	if named == 0 && c.storeLost && !c.era.restored && !c.roster.HasEraReader(now) {
 		return c.catalog.feed.Position().Era
 	}
 	return named
--- a/daemon/routes/store.go
+++ b/daemon/routes/store.go
@@ -70,7 +70,7 @@
 	store       Store
 	control     *control
 	historyGone error // the store's error after which it must be listed again
-	eras        membership.Eras
+	eras        membership.EraTracker
 	countCall   func() // called for each call to the store
 	countOlder  func() // called for each response that is older than the known position
 	after       feed.Position
@@ -194,7 +194,7 @@
 
 // place returns the position of a response, or an error if it is older than the known position.
 func (r *reader) place(at, known feed.Position) (feed.Position, error) {
-	placed, ok := r.eras.Place(at, known, clock.Now())
+	placed, ok := r.eras.Resolve(at, known, clock.Now())
 	if !ok {
 		r.countOlder()
 		return placed, &OlderAnswerError{At: at, Known: known}
--- a/daemon/routes/sync.go
+++ b/daemon/routes/sync.go
@@ -190,7 +190,7 @@
 		return
 	}
 	own := f.Position()
-	q := documentsRequest{after: feed.Position{Era: own.Era, Revision: f.AskAfter()}, takesDigest: f.Revision() > 0, version: peer.version}
+	q := documentsRequest{after: feed.Position{Era: own.Era, Revision: f.SyncAfter()}, takesDigest: f.Revision() > 0, version: peer.version}
 	if !own.Before(peer.Position) {
 		q.after, q.takesDigest = own, false // only the configuration is newer
 	}
@@ -237,7 +237,7 @@
 	own := f.Position()
 	switch {
 	case at.Era < own.Era:
-		c.apply(f.ApplyFormer(d.Items), source, now)
+		c.apply(f.ApplyRetained(d.Items), source, now)
 	case d.Whole:
 		c.takeList(d.Items, at, source, now)
 	case s.asked.parts != nil && s.asked.digest.Era == at.Era:
--- a/state/feed/era.go
+++ b/state/feed/era.go
@@ -4,10 +4,9 @@
 // to 0, before all revisions of the new era. Documents that are read in the new era replace them, with two
 // exceptions, because the backup copy that the store was restored from lacks the most recent writes:
 //
-//  1. A pre-restore document stays if it is newer according to the ages that documents report of themselves
-//     (Order): the copy has an older version. The store's document is kept beside it as overruled, and
-//     replaces it if no newer one arrives within a time limit (Yield). A retained document is never
-//     replaced by an older one.
+//  1. A pre-restore document stays if its content has a newer version (Versioner): the copy is out of date.
+//     The store's document is kept beside it as overruled, and replaces it if no newer one arrives within a
+//     time limit (AcceptOverruled). A retained document is never replaced by an older one.
 //  2. A pre-restore document that the store lacks stays for a limited time, because its writer writes it again
 //     if it is still alive (DropMissing).
 //
@@ -22,47 +21,47 @@
 	"strings"
 )
 
-// Age is the age of a document as reported by its own content. Documents of the same key are ordered by
-// Start, then by Write.
-type Age struct {
-	Known bool   // false: the content does not tell
-	Start uint64 // number of the writer's incarnation; higher is later
-	Write uint64 // number of the write within the incarnation; 0: unknown
+// Version is the version of a document according to its own content. Documents of the same key are ordered by
+// Incarnation, then by Sequence.
+type Version struct {
+	Known       bool   // false: the content does not say
+	Incarnation uint64 // of the writer; higher is later
+	Sequence    uint64 // number of the write within the incarnation; 0: unknown
 	// Final says that the writer writes no further version in this incarnation.
 	Final bool
 }
 
-// Order reads from documents how they are ordered when revisions can't tell.
-type Order interface {
-	// Age returns the age that the content of a document reports. The value of a removal is the last
+// Versioner reads the versions of documents, which order them across eras, where revisions can't.
+type Versioner interface {
+	// Version returns the version of a document according to its content. The value of a removal is the last
 	// content before it.
-	Age(it Item) Age
-	// Lasts reports whether documents of a key are retained: they stay until a newer one arrives, even if
+	Version(it Item) Version
+	// IsRetained reports whether documents of a key are retained: they stay until a newer one arrives, even if
 	// the store has lost them.
-	Lasts(key string) bool
+	IsRetained(key string) bool
 }
 
-// noOrder is the Order of a feed that can't read its documents.
-type noOrder struct{}
+// noVersions is the Versioner of a feed that can't read its documents.
+type noVersions struct{}
 
-var _ Order = noOrder{}
+var _ Versioner = noVersions{}
 
-// Age returns an unknown age.
-func (noOrder) Age(Item) Age { return Age{} }
+// Version returns an unknown version.
+func (noVersions) Version(Item) Version { return Version{} }
 
-// Lasts returns false.
-func (noOrder) Lasts(string) bool { return false }
+// IsRetained returns false.
+func (noVersions) IsRetained(string) bool { return false }
 
-// Enter begins a new era. All documents that are held become pre-restore documents.
-func (f *Feed) Enter(era Era) { f.enter(era, 0, func(string) bool { return false }) }
+// EnterEra begins a new era. All documents that are held become pre-restore documents.
+func (f *Feed) EnterEra(era Era) { f.enterEra(era, 0, func(string) bool { return false }) }
 
-// enter begins a new era. Documents for which isCurrent returns true are known to be the same in the new era
+// enterEra begins a new era. Documents for which isCurrent returns true are known to be the same in the new era
 // up to a revision, and do not become pre-restore documents.
-func (f *Feed) enter(era Era, at Revision, isCurrent func(key string) bool) {
+func (f *Feed) enterEra(era Era, at Revision, isCurrent func(key string) bool) {
 	f.era = era
 	f.revision, f.newest, f.horizon, f.hasPreRestore = 0, 0, 0, true
 	for key, it := range f.items {
-		keep := it.Revision > 0 && !it.Gone && isCurrent(key)
+		keep := it.Revision > 0 && !it.Deleted && isCurrent(key)
 		it.Revision = 0
 		if keep {
 			it.Revision = at
@@ -107,7 +106,7 @@
 // mergeCurrent merges a document or removal of the current era unless the held pre-restore document is newer.
 func (f *Feed) mergeCurrent(old, current Item) bool {
 	overruled, ok := f.overruled[current.Key]
-	wasRemoved := !ok && !current.Gone && current.Revision <= f.revision
+	wasRemoved := !ok && !current.Deleted && current.Revision <= f.revision
 	if wasRemoved || ok && overruled.Revision >= current.Revision {
 		return false
 	}
@@ -123,50 +122,49 @@
 // contentDiffers reports whether two items of a key have different content, or one of them is a removal.
 // Revisions are ignored.
 func contentDiffers(a, b Item) bool {
-	return a.Gone != b.Gone || !a.Gone && !bytes.Equal(a.Value, b.Value)
+	return a.Deleted != b.Deleted || !a.Deleted && !bytes.Equal(a.Value, b.Value)
 }
 
-// preRestoreIsNewer reports whether a pre-restore document is newer than one of the current era, according to
-// the ages that both report.
+// preRestoreIsNewer reports whether a pre-restore document has a newer version than one of the current era.
 func (f *Feed) preRestoreIsNewer(old, current Item) bool {
-	if !old.Gone && !contentDiffers(old, current) {
-		return false // fast path: nearly all documents are unchanged, and parsing their ages is expensive
+	if !old.Deleted && !contentDiffers(old, current) {
+		return false // fast path: nearly all documents are unchanged, and parsing their versions is expensive
 	}
-	a, b := f.order.Age(old), f.order.Age(current)
+	a, b := f.versions.Version(old), f.versions.Version(current)
 	switch {
-	case current.Gone && current.Revision > 0 || !b.Known:
+	case current.Deleted && current.Revision > 0 || !b.Known:
 		return false
-	case current.Gone:
-		return a.Known && (a.Start > b.Start || a.Start == b.Start && a.Write > b.Write)
+	case current.Deleted:
+		return a.Known && (a.Incarnation > b.Incarnation || a.Incarnation == b.Incarnation && a.Sequence > b.Sequence)
 	case !a.Known:
-		return old.Gone // the removal is known, and nothing shows that the current document is newer
-	case a.Start != b.Start:
-		return a.Start > b.Start
-	case old.Gone:
-		return b.Write <= a.Write
-	case a.Write != b.Write && a.Write > 0 && b.Write > 0:
-		return a.Write > b.Write
+		return old.Deleted // the removal is known, and nothing shows that the current document is newer
+	case a.Incarnation != b.Incarnation:
+		return a.Incarnation > b.Incarnation
+	case old.Deleted:
+		return b.Sequence <= a.Sequence
+	case a.Sequence != b.Sequence && a.Sequence > 0 && b.Sequence > 0:
+		return a.Sequence > b.Sequence
 	}
 	return a.Final && !b.Final
 }
 
-// Lasting returns the retained documents.
-func (f *Feed) Lasting() []Item {
+// Retained returns the retained documents.
+func (f *Feed) Retained() []Item {
 	var out []Item
 	for _, it := range f.items {
-		if !it.Gone && f.order.Lasts(it.Key) {
+		if !it.Deleted && f.versions.IsRetained(it.Key) {
 			out = append(out, it)
 		}
 	}
 	return out
 }
 
-// ApplyFormer merges documents of an earlier era that are retained and newer by the ages that they report.
-// It returns the changes.
-func (f *Feed) ApplyFormer(items []Item) []Item {
+// ApplyRetained merges documents of an earlier era that are retained and have newer versions. It returns the
+// changes.
+func (f *Feed) ApplyRetained(items []Item) []Item {
 	var retained []Item
 	for _, it := range items {
-		if !it.Gone && f.order.Lasts(it.Key) {
+		if !it.Deleted && f.versions.IsRetained(it.Key) {
 			it.Revision = 0
 			retained = append(retained, it)
 		}
@@ -184,20 +182,20 @@
 	var gone []Item
 	for key, it := range f.items {
 		_, inStore := f.overruled[key]
-		if it.Revision == 0 && !it.Gone && !inStore && !f.order.Lasts(key) {
-			gone = append(gone, Item{Key: key, Revision: f.revision, Gone: true})
+		if it.Revision == 0 && !it.Deleted && !inStore && !f.versions.IsRetained(key) {
+			gone = append(gone, Item{Key: key, Revision: f.revision, Deleted: true})
 		}
 	}
 	return f.putSorted(gone)
 }
 
-// Yield replaces pre-restore documents by the store's documents that they overrule, except retained ones. It
-// returns the changes.
-func (f *Feed) Yield() []Item {
+// AcceptOverruled replaces pre-restore documents by the store's documents that they overrule, except retained
+// ones. It returns the changes.
+func (f *Feed) AcceptOverruled() []Item {
 	var changed []Item
 	for key, it := range f.overruled {
 		held := f.items[key]
-		if !held.Gone && held.Revision == 0 && f.order.Lasts(key) {
+		if !held.Deleted && held.Revision == 0 && f.versions.IsRetained(key) {
 			continue
 		}
 		changed = append(changed, it)
@@ -222,7 +220,7 @@
 	if overruled, ok := f.overruled[held.Key]; ok {
 		return overruled.Revision, true
 	}
-	return held.Revision, !held.Gone && held.Revision > 0
+	return held.Revision, !held.Deleted && held.Revision > 0
 }
 
 // mustSendPreRestore reports whether an item is from before the restore and must be sent to peers: it is a
@@ -232,13 +230,13 @@
 		return false
 	}
 	_, overrules := f.overruled[it.Key]
-	return overrules || !it.Gone
+	return overrules || !it.Deleted
 }
 
 // itemForPeer returns an item in the form that is sent to peers. A removal of the current era is sent
 // without its last content, which matters only for pre-restore removals.
 func itemForPeer(it Item) Item {
-	if it.Gone && it.Revision > 0 {
+	if it.Deleted && it.Revision > 0 {
 		it.Value = nil
 	}
 	return it
--- a/state/feed/era_test.go
+++ b/state/feed/era_test.go
@@ -15,21 +15,21 @@
 	"hingewinch.org/hingewinch/state/feed"
 )
 
-// numberedOrder is an Order for documents whose text is START.WRITE, followed by an f in the final document of
-// a start. Documents of the key "config" are retained.
-type numberedOrder struct{}
+// numberedVersions is a Versioner for documents whose text is INCARNATION.SEQUENCE, followed by an f in the final
+// document of an incarnation. Documents of the key "config" are retained.
+type numberedVersions struct{}
 
-func (numberedOrder) Age(it feed.Item) feed.Age {
-	var a feed.Age
+func (numberedVersions) Version(it feed.Item) feed.Version {
+	var a feed.Version
 	text, final := strings.CutSuffix(string(it.Value), "f")
-	if _, err := fmt.Sscanf(text, "%d.%d", &a.Start, &a.Write); err != nil {
-		return feed.Age{}
+	if _, err := fmt.Sscanf(text, "%d.%d", &a.Incarnation, &a.Sequence); err != nil {
+		return feed.Version{}
 	}
 	a.Known, a.Final = true, final
 	return a
 }
 
-func (numberedOrder) Lasts(key string) bool { return key == "config" }
+func (numberedVersions) IsRetained(key string) bool { return key == "config" }
 
 func doc(key, text string, at feed.Revision) feed.Item {
 	return feed.Item{Key: key, Value: []byte(text), Revision: at}
@@ -43,8 +43,8 @@
 
 // newListedFeed returns a feed in era 1 at revision 29 that has applied a list.
 func newListedFeed(items ...feed.Item) *feed.Feed {
-	f := feed.New(numberedOrder{})
-	f.Enter(1)
+	f := feed.New(numberedVersions{})
+	f.EnterEra(1)
 	f.ApplyList(items, 29)
 	return f
 }
@@ -52,49 +52,49 @@
 var _ = Describe("A feed that enters another era", func() {
 	It("applies writes at revisions that were already used in the previous era", func() {
 		f := newListedFeed(doc("a", "1.1", 20), doc("b", "1.2", 29))
-		f.Enter(2)
-		Expect(f.ApplyList([]feed.Item{doc("a", "1.1", 20), doc("b", "1.1", 3)}, 26)).To(BeEmpty(), "the held b reports a newer age")
+		f.EnterEra(2)
+		Expect(f.ApplyList([]feed.Item{doc("a", "1.1", 20), doc("b", "1.1", 3)}, 26)).To(BeEmpty(), "the held b has a newer version")
 		Expect(f.Apply([]feed.Item{doc("a", "1.2", 27), doc("b", "1.3", 28)})).To(HaveLen(2))
 		Expect(contents(f)).To(Equal("a=1.2 b=1.3"))
 		Expect(f.Position()).To(Equal(feed.Position{Era: 2, Revision: 28}))
 	})
 
-	DescribeTable("compares a pre-restore document with the copy's by the ages that they report",
+	DescribeTable("compares the versions of a pre-restore document and the copy's document",
 		func(before, copied, want string) {
 			f := newListedFeed(doc("a", before, 29))
-			f.Enter(2)
+			f.EnterEra(2)
 			f.ApplyList([]feed.Item{doc("a", copied, 20)}, 26)
 			Expect(contents(f)).To(Equal("a=" + want))
 		},
 		Entry("a later write stays", "1.9", "1.5", "1.9"),
 		Entry("an earlier write is replaced", "1.5", "1.9", "1.9"),
-		Entry("a later start stays", "2.1", "1.9", "2.1"),
-		Entry("an earlier start is replaced", "1.9", "2.1", "2.1"),
-		Entry("the final document of a start stays if writes are not numbered", "1.0f", "1.0", "1.0f"),
-		Entry("the final document of a start is replaced by a later start", "1.0f", "2.0", "2.0"),
-		Entry("the store's is used if neither reports an age", "x", "y", "y"),
-		Entry("the store's is used if only the pre-restore document reports an age", "1.1", "y", "y"),
+		Entry("a later incarnation stays", "2.1", "1.9", "2.1"),
+		Entry("an earlier incarnation is replaced", "1.9", "2.1", "2.1"),
+		Entry("the final document of an incarnation stays if writes are not numbered", "1.0f", "1.0", "1.0f"),
+		Entry("the final document of an incarnation is replaced by a later one", "1.0f", "2.0", "2.0"),
+		Entry("the store's is used if neither has a version", "x", "y", "y"),
+		Entry("the store's is used if only the pre-restore document has a version", "1.1", "y", "y"),
 	)
 
-	DescribeTable("compares a pre-restore removal with the copy's document",
+	DescribeTable("compares the versions of a pre-restore removal and the copy's document",
 		func(last, copied, want string) {
 			f := newListedFeed(doc("a", last, 28), doc("b", "1.1", 1))
-			f.Apply([]feed.Item{{Key: "a", Revision: 29, Gone: true}})
-			f.Enter(2)
+			f.Apply([]feed.Item{{Key: "a", Revision: 29, Deleted: true}})
+			f.EnterEra(2)
 			f.ApplyList([]feed.Item{doc("a", copied, 20), doc("b", "1.1", 1)}, 26)
 			Expect(contents(f)).To(Equal(strings.TrimSpace(want + " b=1.1")))
 		},
 		Entry("the same write stays removed", "1.5", "1.5", ""),
 		Entry("an earlier write stays removed", "1.5", "1.4", ""),
 		Entry("a later write restores the document", "1.5", "1.6", "a=1.6"),
-		Entry("a later start restores the document", "1.5", "2.1", "a=2.1"),
-		Entry("the store's is used if neither reports an age", "x", "y", "a=y"),
-		Entry("it stays removed if only the copy's reports an age", "x", "1.5", ""),
+		Entry("a later incarnation restores the document", "1.5", "2.1", "a=2.1"),
+		Entry("the store's is used if neither has a version", "x", "y", "a=y"),
+		Entry("it stays removed if only the copy's has a version", "x", "1.5", ""),
 	)
 
 	It("keeps documents that the copy lacks until their writers had time to write them again", func() {
 		f := newListedFeed(doc("a", "1.1", 28), doc("b", "1.1", 29), doc("config", "0.7", 27))
-		f.Enter(2)
+		f.EnterEra(2)
 		f.ApplyList(nil, 20)
 		Expect(contents(f)).To(Equal("a=1.1 b=1.1 config=0.7"))
 		Expect(f.Apply([]feed.Item{doc("a", "1.1", 21)})).To(BeEmpty(), "a is unchanged")
@@ -105,22 +105,22 @@
 		Expect(f.Apply([]feed.Item{doc("b", "1.1", 22)})).To(HaveLen(1), "b is written again late")
 	})
 
-	It("accepts the store's older documents on Yield, except for retained ones", func() {
+	It("accepts overruled documents of the store, except for retained keys", func() {
 		f := newListedFeed(doc("a", "1.9", 29), doc("config", "0.9", 28))
-		f.Enter(2)
+		f.EnterEra(2)
 		f.ApplyList([]feed.Item{doc("a", "1.5", 20), doc("config", "0.5", 19)}, 26)
 		Expect(f.DropMissing()).To(BeEmpty())
-		Expect(f.Yield()).To(HaveLen(1))
+		Expect(f.AcceptOverruled()).To(HaveLen(1))
 		Expect(contents(f)).To(Equal("a=1.5 config=0.9"))
 	})
 
 	It("sends a peer that has read the copy what the copy lacks", func() {
 		from := newListedFeed(doc("a", "1.9f", 29), doc("b", "1.1", 28), doc("config", "0.9", 27))
-		from.Apply([]feed.Item{{Key: "b", Revision: 30, Gone: true}})
+		from.Apply([]feed.Item{{Key: "b", Revision: 30, Deleted: true}})
 		copied := []feed.Item{doc("a", "1.5", 20), doc("b", "1.1", 21), doc("config", "0.5", 19)}
-		started := feed.New(numberedOrder{})
+		started := feed.New(numberedVersions{})
 		for _, f := range []*feed.Feed{from, started} {
-			f.Enter(2)
+			f.EnterEra(2)
 			f.ApplyList(copied, 26)
 		}
 		Expect(contents(started)).To(Equal("a=1.5 b=1.1 config=0.5"))
@@ -128,7 +128,7 @@
 		Expect(complete).To(BeFalse())
 		Expect(started.ApplyChanges(items, from.Revision())).To(HaveLen(3))
 		Expect(contents(started)).To(Equal("a=1.9f config=0.9"))
-		Expect(started.Yield()).To(HaveLen(2))
+		Expect(started.AcceptOverruled()).To(HaveLen(2))
 		Expect(contents(started)).To(Equal("a=1.5 b=1.1 config=0.9"))
 	})
 
@@ -137,12 +137,12 @@
 		for i := range 10000 {
 			all = append(all, doc(fmt.Sprintf("k%05d", i), "1.1", feed.Revision(i+1)))
 		}
-		from, to := feed.New(numberedOrder{}), feed.New(numberedOrder{})
+		from, to := feed.New(numberedVersions{}), feed.New(numberedVersions{})
 		for _, f := range []*feed.Feed{from, to} {
-			f.Enter(1)
+			f.EnterEra(1)
 			f.ApplyList(all, 10000)
 		}
-		from.Enter(2)
+		from.EnterEra(2)
 		from.ApplyList(all, 10000)
 		from.Apply([]feed.Item{doc("k00007", "1.2", 10001)})
 		digest := from.Digest(false)
@@ -158,7 +158,7 @@
 
 	It("stays in its era if another part has changed in the meantime", func() {
 		from, to := newListedFeed(doc("a", "1.1", 5)), newListedFeed(doc("a", "1.1", 5))
-		from.Enter(2)
+		from.EnterEra(2)
 		from.ApplyList([]feed.Item{doc("a", "1.1", 5)}, 20)
 		digest := from.Digest(false)
 		parts := to.Differing(digest)
@@ -187,12 +187,12 @@
 // writer is the state of the writer of a document. It determines the document, which the writer writes again
 // after a restore.
 type writer struct {
-	start, write   int
-	final, hasLeft bool
+	incarnation, sequence int
+	final, hasLeft        bool
 }
 
 func (w *writer) text() string {
-	text := fmt.Sprintf("%d.%d", w.start, w.write)
+	text := fmt.Sprintf("%d.%d", w.incarnation, w.sequence)
 	if w.final {
 		text += "f"
 	}
@@ -208,7 +208,7 @@
 func (w *world) write(it feed.Item) {
 	it.Revision = w.revision() + 1
 	w.history = append(w.history, it)
-	if it.Gone {
+	if it.Deleted {
 		delete(w.held, it.Key)
 		return
 	}
@@ -220,10 +220,10 @@
 	key := rapid.SampledFrom([]string{"a", "b", "c", "config"}).Draw(w.t, "key")
 	a := w.writers[key]
 	if a == nil {
-		a = &writer{start: 1}
+		a = &writer{incarnation: 1}
 		w.writers[key] = a
 	}
-	a.write++
+	a.sequence++
 	if key != "config" {
 		switch rapid.IntRange(0, 3).Draw(w.t, "act") {
 		case 0:
@@ -231,7 +231,7 @@
 		case 1:
 			a.hasLeft = true
 		case 2:
-			a.start, a.write, a.final, a.hasLeft = a.start+1, 1, false, false
+			a.incarnation, a.sequence, a.final, a.hasLeft = a.incarnation+1, 1, false, false
 		}
 	}
 	w.writeState(key, a)
@@ -244,7 +244,7 @@
 		return
 	}
 	if _, ok := w.held[key]; ok {
-		w.write(feed.Item{Key: key, Gone: true})
+		w.write(feed.Item{Key: key, Deleted: true})
 	}
 }
 
@@ -279,7 +279,7 @@
 	watch feed.Position
 }
 
-func newNode() *node { return &node{f: feed.New(numberedOrder{})} }
+func newNode() *node { return &node{f: feed.New(numberedVersions{})} }
 
 // listStore reads a complete list from the store.
 func (n *node) listStore(w *world) {
@@ -287,7 +287,7 @@
 		return
 	}
 	if n.f.Position().Era < w.era {
-		n.f.Enter(w.era)
+		n.f.EnterEra(w.era)
 	}
 	var items []feed.Item
 	for _, it := range w.held {
@@ -312,10 +312,10 @@
 func (n *node) syncFrom(from *node) {
 	own, at := n.f.Position(), from.f.Position()
 	if at.Era < own.Era {
-		n.f.ApplyFormer(from.f.Lasting())
+		n.f.ApplyRetained(from.f.Retained())
 		return
 	}
-	after := n.f.AskAfter()
+	after := n.f.SyncAfter()
 	if own.Era != at.Era {
 		after = 0
 	}
@@ -330,7 +330,7 @@
 	if complete || own == (feed.Position{}) {
 		items, _ = from.f.Since(0)
 		if n.f.Position().Era < at.Era {
-			n.f.Enter(at.Era)
+			n.f.EnterEra(at.Era)
 		}
 		n.f.ApplyList(items, at.Revision)
 		return
@@ -338,18 +338,18 @@
 	n.f.ApplyParts(items, at.Revision, digest, parts)
 }
 
-// TestAllAgreeWithTheStoreAfterItCameBack runs random sequences of writes, backups and restores of the store,
+// TestDaemonsAgreeWithRestoredStore runs random sequences of writes, backups and restores of the store,
 // and of daemons that list, watch, restart and fetch from each other. No process may go back to an older
-// configuration, or from the final document of a start to another of that start. Once the writers have
+// configuration, or from the final document of an incarnation to another of that incarnation. Once the writers have
 // written lost documents again and the time limits for pre-restore documents have passed, all daemons must
 // hold the same documents as the store.
-func TestAllAgreeWithTheStoreAfterItCameBack(t *testing.T) {
+func TestDaemonsAgreeWithRestoredStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		nodes := []*node{newNode(), newNode(), newNode()}
-		seen := make([]map[string]feed.Age, len(nodes))
+		seen := make([]map[string]feed.Version, len(nodes))
 		for i := range seen {
-			seen[i] = make(map[string]feed.Age)
+			seen[i] = make(map[string]feed.Version)
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			i := rapid.IntRange(0, 2).Draw(t, "daemon")
@@ -365,7 +365,7 @@
 					w.rewrite()
 				}
 			case 5:
-				nodes[i], seen[i] = newNode(), make(map[string]feed.Age)
+				nodes[i], seen[i] = newNode(), make(map[string]feed.Version)
 			case 6:
 				n.listStore(w)
 			case 7:
@@ -377,12 +377,12 @@
 			}
 			for i, n := range nodes {
 				n.f.Each(func(it feed.Item) {
-					was, is := seen[i][it.Key], numberedOrder{}.Age(it)
-					if it.Key == "config" && is.Write < was.Write {
-						t.Fatalf("daemon %d went back from configuration %d to %d", i, was.Write, is.Write)
+					was, is := seen[i][it.Key], numberedVersions{}.Version(it)
+					if it.Key == "config" && is.Sequence < was.Sequence {
+						t.Fatalf("daemon %d went back from configuration %d to %d", i, was.Sequence, is.Sequence)
 					}
-					if it.Key != "config" && is.Start == was.Start && was.Final && !is.Final {
-						t.Fatalf("daemon %d went back from %s's final document of start %d", i, it.Key, is.Start)
+					if it.Key != "config" && is.Incarnation == was.Incarnation && was.Final && !is.Final {
+						t.Fatalf("daemon %d went back from %s's final document of incarnation %d", i, it.Key, is.Incarnation)
 					}
 					seen[i][it.Key] = is
 				})
@@ -397,7 +397,7 @@
 		}
 		for _, n := range nodes {
 			n.f.DropMissing()
-			n.f.Yield()
+			n.f.AcceptOverruled()
 		}
 		var want []string
 		for _, key := range []string{"a", "b", "c", "config"} {
--- a/state/feed/feed.go
+++ b/state/feed/feed.go
@@ -11,8 +11,8 @@
 //
 // # Usage
 //
-//	f := feed.New(order)
-//	f.Enter(era)                          // before the first list of another era
+//	f := feed.New(versions)
+//	f.EnterEra(era)                       // before the first list of another era
 //	changed := f.Apply(items)             // from a watch
 //	changed = f.ApplyList(items, at)      // a complete list: missing documents are removed
 //	items, complete := f.Since(revision)  // for a peer
@@ -30,7 +30,7 @@
 	Key      string
 	Value    []byte
 	Revision Revision // 0: a pre-restore document, from an era before the feed's
-	Gone     bool     // the document was removed
+	Deleted  bool
 }
 
 // Page is a part of a list, in the order of the keys. The pages of a list are not read
@@ -54,7 +54,7 @@
 
 // Feed is a set of documents. It is not safe for concurrent use.
 type Feed struct {
-	order         Order
+	versions      Versioner
 	era           Era
 	items         map[string]Item // by key; includes removals that are remembered
 	overruled     map[string]Item // by key, documents of the store that are older than the held pre-restore document
@@ -69,12 +69,12 @@
 	tombstones []string // keys of removals, oldest first
 }
 
-// New returns an empty feed. With a nil order no document reports its age and none is retained.
-func New(o Order) *Feed {
-	if o == nil {
-		o = noOrder{}
+// New returns an empty feed. With a nil Versioner no document has a version and none is retained.
+func New(v Versioner) *Feed {
+	if v == nil {
+		v = noVersions{}
 	}
-	return &Feed{order: o, items: make(map[string]Item), overruled: make(map[string]Item)}
+	return &Feed{versions: v, items: make(map[string]Item), overruled: make(map[string]Item)}
 }
 
 // Revision returns the revision up to which the feed is complete.
@@ -101,10 +101,10 @@
 	return changed
 }
 
-// AskAfter returns the revision after which to request changes from a peer. A feed that holds documents
+// SyncAfter returns the revision after which to request changes from a peer. A feed that holds documents
 // newer than its revision, from the later pages of a list, must request everything: a peer that never held
 // those documents would not report their removal.
-func (f *Feed) AskAfter() Revision {
+func (f *Feed) SyncAfter() Revision {
 	if f.newest > f.revision {
 		return 0
 	}
@@ -138,13 +138,13 @@
 // put stores an item. A removal keeps the last content of its document. If there are too many tombstones,
 // the oldest is dropped.
 func (f *Feed) put(it Item) {
-	if it.Gone && len(it.Value) == 0 {
+	if it.Deleted && len(it.Value) == 0 {
 		it.Value = f.items[it.Key].Value
 	}
 	f.items[it.Key] = it
 	f.newest = max(f.newest, it.Revision)
 	f.hasPreRestore = f.hasPreRestore || it.Revision == 0
-	if !it.Gone {
+	if !it.Deleted {
 		return
 	}
 	f.tombstones = append(f.tombstones, it.Key)
@@ -153,7 +153,7 @@
 	}
 	oldest := f.tombstones[0]
 	f.tombstones = f.tombstones[1:]
-	if held, ok := f.items[oldest]; ok && held.Gone {
+	if held, ok := f.items[oldest]; ok && held.Deleted {
 		f.horizon = max(f.horizon, held.Revision)
 		delete(f.items, oldest)
 	}
@@ -173,7 +173,7 @@
 func (f *Feed) removeUnlisted(items []Item, at Revision, inRange func(key string) bool) []Item {
 	listed := make(map[string]struct{}, len(items))
 	for _, it := range items {
-		if !it.Gone && it.Revision > 0 { // a removal may be older than the held item; a pre-restore document is not in the store
+		if !it.Deleted && it.Revision > 0 { // a removal may be older than the held item; a pre-restore document is not in the store
 			listed[it.Key] = struct{}{}
 		}
 	}
@@ -182,7 +182,7 @@
 		_, ok := listed[key]
 		revision, isCurrent := f.currentRevision(held)
 		if !ok && isCurrent && revision <= at && inRange(key) {
-			gone = append(gone, Item{Key: key, Revision: max(at, revision+1), Gone: true})
+			gone = append(gone, Item{Key: key, Revision: max(at, revision+1), Deleted: true})
 		}
 	}
 	return f.putSorted(gone)
@@ -198,7 +198,7 @@
 }
 
 // Advance records that the feed is complete up to a revision, because a list, a watch or a
-// peer's answer was.
+// peer's response was.
 func (f *Feed) Advance(to Revision) { f.revision = max(f.revision, to) }
 
 // Since returns the items that changed after a revision of the current era, or all items if complete is true.
@@ -226,5 +226,5 @@
 // Get returns the document of a key. It returns false if there is none or it was removed.
 func (f *Feed) Get(key string) (Item, bool) {
 	it, ok := f.items[key]
-	return it, ok && !it.Gone
+	return it, ok && !it.Deleted
 }
--- a/state/feed/parts.go
+++ b/state/feed/parts.go
@@ -31,15 +31,15 @@
 	// documentsPerPart is the approximate number of documents in a part. With larger parts, more unchanged
 	// documents are sent along with a changed one; with smaller parts, a digest has more checksums.
 	documentsPerPart = 16
-	// LeastParts and MostParts bound the number of parts.
-	LeastParts = 8
-	MostParts  = 1 << 14
+	// MinParts and MaxParts bound the number of parts.
+	MinParts = 8
+	MaxParts = 1 << 14
 )
 
 // Digest returns the digest of the feed: by revision for a feed in the same era, otherwise by content.
 func (f *Feed) Digest(byRevision bool) Digest {
-	n := LeastParts
-	for n < MostParts && n*documentsPerPart < len(f.items) {
+	n := MinParts
+	for n < MaxParts && n*documentsPerPart < len(f.items) {
 		n *= 2
 	}
 	return Digest{Era: f.era, Revision: f.revision, Sums: f.checksums(n, byRevision)}
@@ -50,7 +50,7 @@
 	sums := make([]uint64, n)
 	var buf []byte
 	for _, it := range f.items {
-		if _, overrules := f.overruled[it.Key]; !it.Gone || overrules {
+		if _, overrules := f.overruled[it.Key]; !it.Deleted || overrules {
 			buf = appendChecksummed(buf[:0], it, byRevision)
 			sums[partOf(it.Key, n)] ^= xxhash.Sum64(buf)
 		}
@@ -98,14 +98,14 @@
 		return items, complete
 	}
 	for _, it := range f.items {
-		if !it.Gone && it.Revision > 0 && it.Revision <= after && parts[partOf(it.Key, len(parts))] {
+		if !it.Deleted && it.Revision > 0 && it.Revision <= after && parts[partOf(it.Key, len(parts))] {
 			items = append(items, it)
 		}
 	}
 	return items, false
 }
 
-// ApplyParts merges the answer of another feed that is at a revision: all documents in the parts in which
+// ApplyParts merges the response of another feed that is at a revision: all documents in the parts in which
 // this feed differed from the digest d of the other, and all changes since the digest. It returns the
 // changes. If another part of this feed has changed in the meantime, the feed's revision stays, so that the
 // other feed is asked again, and a feed of an earlier era does not enter the era of the digest.
@@ -118,7 +118,7 @@
 		if !isComplete {
 			return nil
 		}
-		f.enter(d.Era, d.Revision, func(key string) bool { return !parts[partOf(key, len(parts))] })
+		f.enterEra(d.Era, d.Revision, func(key string) bool { return !parts[partOf(key, len(parts))] })
 	}
 	changed := f.merge(items)
 	changed = append(changed, f.removeUnlisted(items, at, func(key string) bool { return parts[partOf(key, len(parts))] })...)
