--- a/coordination/routing/barred.go
+++ b/coordination/routing/barred.go
@@ -33,17 +33,17 @@
 }
 
 // ineligible returns the ready replicas of a pool that must not get any request.
-func (p *Placer) barred(pool *Pool, now time.Time) replicaSet {
-	barred := p.Leavings.among(pool)
+func (p *Placer) ineligible(pool *Pool, now time.Time) replicaSet {
+	excluded := p.Leavings.leavingReady(pool)
 	if !p.Rests.Known() {
-		return barred
+		return excluded
 	}
 	for i := range pool.Ready {
 		if p.Rests.Left(&pool.Ready[i], now) > 0 {
-			barred = barred.with(i, len(pool.Ready))
+			excluded = excluded.with(i, len(pool.Ready))
 		}
 	}
-	return barred
+	return excluded
 }
 
 // Bars reports whether a replica must not get any request.
@@ -55,12 +55,12 @@
 // its caller should retry.
 func (p *Placer) WhyNone(v *View, r *Request, now time.Time) coordination.NotRun {
 	pool := v.Pool(r.Service)
-	back, rests := p.Rests.backIn(pool, r.ID, now)
+	retryAfter, backingOff := p.Rests.retryAfter(pool, r.ID, now)
 	switch {
 	case len(pool.Ready) == 0 && len(pool.Evacuated) > 0:
 		return coordination.NotRun{Reason: coordination.ReasonEvacuated, RetryAfter: retryAfterEvacuated}
-	case rests:
-		return coordination.NotRun{Reason: coordination.ReasonResting, RetryAfter: back}
+	case backingOff:
+		return coordination.NotRun{Reason: coordination.ReasonResting, RetryAfter: retryAfter}
 	case pool.allCold(now):
 		return coordination.NotRun{Reason: coordination.ReasonCold, RetryAfter: retryAfterCold}
 	}
--- a/coordination/routing/candidates.go
+++ b/coordination/routing/candidates.go
@@ -21,7 +21,7 @@
 	coldUntil   time.Time  // when the last of them is warm
 	loads       []int      // requests
 	usable      []bool     // may be chosen
-	leftOut     replicaSet // get nothing while others may be chosen
+	skip        replicaSet // get nothing while others may be chosen
 	crowded     []bool     // hold too much, by their own reports
 	ranks       []uint64   // in the prompt's order: the highest is the home
 	usableCount int
@@ -35,11 +35,11 @@
 	c.mean = float64(p.Loads.addTo(c.loads, pool, now)) / float64(n)
 	c.coverage = p.Loads.coverage(v.Daemons, now)
 	p.Crowds.mark(c.crowded, pool, v.LargeFleet, now)
-	barred, ended := p.barred(pool, now), p.Health.markEnded(pool, now)
-	c.leftOut = leftOut(barred, ended, n)
+	ineligible, terminated := p.ineligible(pool, now), p.Health.terminatedReplicas(pool, now)
+	c.skip = withTerminated(ineligible, terminated, n)
 	c.markUsable(p, pool, tried, now)
-	if c.areTried(ended, s) {
-		c.include(p, pool, barred, ended, now)
+	if c.mayTryTerminated(terminated, s) {
+		c.includeTerminated(p, pool, ineligible, terminated, now)
 		c.count()
 		c.excludeTried(tried)
 	}
--- a/coordination/routing/cold.go
+++ b/coordination/routing/cold.go
@@ -39,20 +39,20 @@
 const (
 	// warmFraction is the fraction of a service's usable replicas from which the warm ones serve
 	// alone. A failure domain that comes back is a quarter to a half of a service.
-	warmShare = 0.5
+	warmFraction = 0.5
 	// coldFraction is the fraction of a cold replica's rate that daemons use.
-	coldShare = 0.5
+	coldFraction = 0.5
 	// coldWindow is the sliding window in which requests are counted.
 	coldWindow = time.Second
 	// assumedFleetSize is the number of daemons assumed by a daemon that knows no others yet. Up
 	// to three times as many daemons, none of which knows another, still keep the limit.
-	assumedFleet = 1000
+	assumedFleetSize = 1000
 	// FleetKnownAfter is how long after its start a daemon assumes assumedFleetSize: about twelve
 	// heartbeats of a large fleet, each of which carries the fleet's size.
 	FleetKnownAfter = 5 * time.Second
 	// maxTracked is the number of replicas above which those without recent requests are removed.
 	// By its quotas a daemon sends to at most a hundred cold replicas.
-	maxRates = 1000
+	maxTracked = 1000
 )
 
 // ColdRates limits the requests that this daemon sends to cold replicas. It is safe for
@@ -60,9 +60,9 @@
 type ColdRates struct {
 	daemon PeerID
 
-	mu      sync.Mutex
-	daemons int // largest number of daemons known; 0: not known yet
-	sent    map[LoadKey][]time.Time
+	mu        sync.Mutex
+	fleetSize int // largest number of daemons known; 0: not known yet
+	sent      map[LoadKey][]time.Time
 }
 
 // NewColdRates returns the limiter of the daemon with the given id.
@@ -75,7 +75,7 @@
 func (c *ColdRates) SetDaemons(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.daemons = max(c.daemons, n)
+	c.fleetSize = max(c.fleetSize, n)
 }
 
 // IsCold reports whether a replica is cold.
@@ -88,28 +88,28 @@
 
 // allows reports whether this daemon may send a request to a replica of service s now.
 func (c *ColdRates) allows(r *Replica, s *Service, now time.Time) bool {
-	if !c.bounds(r, s, now) {
+	if !c.isLimited(r, s, now) {
 		return true
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.recent(r.LoadKey(), now)) < c.part(r, s)
+	return len(c.recent(r.LoadKey(), now)) < c.quota(r, s)
 }
 
 // reserve counts a request that is about to be sent to a replica of service s. It returns false
 // if the quota is used up.
-func (c *ColdRates) take(r *Replica, s *Service, now time.Time) bool {
-	if !c.bounds(r, s, now) {
+func (c *ColdRates) reserve(r *Replica, s *Service, now time.Time) bool {
+	if !c.isLimited(r, s, now) {
 		return true
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	key := r.LoadKey()
 	recent := c.recent(key, now)
-	if len(recent) >= c.part(r, s) {
+	if len(recent) >= c.quota(r, s) {
 		return false
 	}
-	if len(c.sent) >= maxRates {
+	if len(c.sent) >= maxTracked {
 		c.forget(now)
 	}
 	c.sent[key] = append(recent, now)
@@ -124,7 +124,7 @@
 }
 
 // isLimited reports whether the rate of a replica is limited.
-func (c *ColdRates) bounds(r *Replica, s *Service, now time.Time) bool {
+func (c *ColdRates) isLimited(r *Replica, s *Service, now time.Time) bool {
 	return c != nil && s != nil && s.ColdPerSecond > 0 && r.IsCold(now)
 }
 
@@ -145,12 +145,12 @@
 
 // quota returns how many requests this daemon may send to a cold replica in any coldWindow, by
 // rule 2. c.mu must be held.
-func (c *ColdRates) part(r *Replica, s *Service) int {
-	daemons := c.daemons
-	if daemons == 0 {
-		daemons = assumedFleet
+func (c *ColdRates) quota(r *Replica, s *Service) int {
+	fleetSize := c.fleetSize
+	if fleetSize == 0 {
+		fleetSize = assumedFleetSize
 	}
-	equal := coldShare * s.ColdPerSecond / float64(daemons)
+	part := coldFraction * s.ColdPerSecond / float64(fleetSize)
 	draw := xxhash.Sum64String(string(c.daemon) + "\x00" + string(r.ID))
-	return int(equal + float64(draw)/math.MaxUint64)
+	return int(part + float64(draw)/math.MaxUint64)
 }
--- a/coordination/routing/cold_test.go
+++ b/coordination/routing/cold_test.go
@@ -18,13 +18,13 @@
 // together may send it in any second: one and a half times as much, plus 5.
 const (
 	coldPerSecond = 13
-	mostWhileCold = 24
+	maxWhileCold  = 24
 	coldStart     = 3 * time.Second
 )
 
 // coldFleetSim simulates a fleet in which each daemon has more requests than cold replicas can
 // serve. Replicas and daemons are spread over the same failure domains.
-type coldWorld struct {
+type coldFleetSim struct {
 	rng     *rand.Rand
 	view    map[state.FailureDomain]*routing.View // by failure domain of the daemon
 	daemons []*coldDaemon
@@ -37,8 +37,8 @@
 	placer *routing.Placer
 }
 
-func newColdWorld(daemons, replicas, domains int, seed uint64) *coldWorld {
-	w := &coldWorld{rng: rand.New(rand.NewPCG(seed, 7)), view: make(map[state.FailureDomain]*routing.View), arrived: make(map[routing.ReplicaID][]time.Time)}
+func newColdFleetSim(daemons, replicas, domains int, seed uint64) *coldFleetSim {
+	w := &coldFleetSim{rng: rand.New(rand.NewPCG(seed, 7)), view: make(map[state.FailureDomain]*routing.View), arrived: make(map[routing.ReplicaID][]time.Time)}
 	pool := &routing.Pool{}
 	for i := range replicas {
 		pool.Ready = append(pool.Ready, routing.NewReplica(routing.Replica{
@@ -64,7 +64,7 @@
 
 // cut disconnects a domain from the others: its daemons reach only its own replicas, and no other
 // daemon reaches these.
-func (w *coldWorld) cut(domain state.FailureDomain) {
+func (w *coldFleetSim) cut(domain state.FailureDomain) {
 	for d, v := range w.view {
 		pool := &routing.Pool{}
 		for _, r := range v.Pool("llm").Ready {
@@ -78,7 +78,7 @@
 }
 
 // run lets each daemon place a request every 50 ms, with a random offset.
-func (w *coldWorld) run(from, d time.Duration) {
+func (w *coldFleetSim) run(from, d time.Duration) {
 	const step = 50 * time.Millisecond
 	for at := from; at < from+d; at += step {
 		for i, daemon := range w.daemons {
@@ -96,7 +96,7 @@
 }
 
 // most returns the largest number of requests that reached one replica within any second.
-func (w *coldWorld) most() int {
+func (w *coldFleetSim) most() int {
 	most := 0
 	for _, list := range w.arrived {
 		for i := range list {
@@ -122,7 +122,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		RegisterTestingT(t)
 		n := rapid.SampledFrom(fleetSizes).Draw(t, "daemons")
-		w := newColdWorld(n, 8, 4, rapid.Uint64Range(0, 1<<20).Draw(t, "seed"))
+		w := newColdFleetSim(n, 8, 4, rapid.Uint64Range(0, 1<<20).Draw(t, "seed"))
 		fresh := rapid.SampledFrom([]float64{0, .1, .5, 1}).Draw(t, "started just now")
 		isCut := rapid.Bool().Draw(t, "one domain is cut off")
 		if isCut {
@@ -139,8 +139,8 @@
 			d.placer.Cold.SetDaemons(known)
 		}
 		w.run(0, 1500*time.Millisecond)
-		if most := w.most(); most > mostWhileCold {
-			t.Fatalf("%d requests reached a cold replica within a second, want at most %d", most, mostWhileCold)
+		if most := w.most(); most > maxWhileCold {
+			t.Fatalf("%d requests reached a cold replica within a second, want at most %d", most, maxWhileCold)
 		}
 	})
 }
@@ -148,19 +148,19 @@
 // TestColdLoadExceedsUnlimitedRate checks that the load above is heavy enough to exceed the limit
 // if there is no rate limit, or if each daemon derives its quota from the daemons it knows when
 // all have just started and know only themselves.
-func TestTheLoadOfColdReplicasBreaksWhatKeepsNoRate(t *testing.T) {
+func TestColdLoadExceedsUnlimitedRate(t *testing.T) {
 	RegisterTestingT(t)
 	for name, naive := range map[string]func(*routing.Placer){
 		"no rate":                      func(p *routing.Placer) { p.Cold = nil },
 		"quota from the known daemons": func(p *routing.Placer) { p.Cold.SetDaemons(1) },
 	} {
 		for _, n := range fleetSizes {
-			w := newColdWorld(n, 8, 4, 1)
+			w := newColdFleetSim(n, 8, 4, 1)
 			for _, d := range w.daemons {
 				naive(d.placer)
 			}
 			w.run(0, 1500*time.Millisecond)
-			if most := w.most(); most <= mostWhileCold {
+			if most := w.most(); most <= maxWhileCold {
 				t.Errorf("%s, %d daemons: %d in a second; the load is too light to exceed the limit", name, n, most)
 			}
 		}
@@ -173,7 +173,7 @@
 func TestPartsOfARateAreSpreadEvenly(t *testing.T) {
 	RegisterTestingT(t)
 	const daemons, replicas = 930, 4500
-	w := newColdWorld(daemons, 1, 1, 3)
+	w := newColdFleetSim(daemons, 1, 1, 3)
 	parts := make([]int, replicas)
 	for _, d := range w.daemons {
 		d.placer.Cold.SetDaemons(daemons)
@@ -186,8 +186,8 @@
 	for _, n := range parts {
 		sum, most = sum+n, max(most, n)
 	}
-	if most > mostWhileCold {
-		t.Errorf("a replica has %d senders, want at most %d", most, mostWhileCold)
+	if most > maxWhileCold {
+		t.Errorf("a replica has %d senders, want at most %d", most, maxWhileCold)
 	}
 	if mean := float64(sum) / replicas; mean < .45*coldPerSecond || mean > .55*coldPerSecond {
 		t.Errorf("%.2f requests a second are sent to a replica, want half of %d", mean, coldPerSecond)
@@ -276,7 +276,7 @@
 // A daemon refused requests for over a second although a live replica could serve them. The
 // replica was ejected after some refusals, all others had just started and the daemon's quota for
 // these was 0, but they counted as usable, so that the ejection was not ignored.
-func TestAnEjectedReplicaIsBetterThanColdOnesThatGetNothing(t *testing.T) {
+func TestEjectedReplicaIsPreferredToColdOnesWithoutQuota(t *testing.T) {
 	RegisterTestingT(t)
 	f := newFleet("llm", sameDomain(3)...)
 	f.view.Table, _ = routing.NewTable(&routing.Config{Services: []routing.Service{{Name: "llm", Generates: true, ColdPerSecond: coldPerSecond}}})
--- a/coordination/routing/crash.go
+++ b/coordination/routing/crash.go
@@ -55,34 +55,34 @@
 	Content ContentKey
 	Caller  CallerKey
 	// Replica is the incarnation that crashed; unset if the request is cleared.
-	Replica  LoadKey
-	Acquits  bool
-	Age      time.Duration // since the crash or the complete response
-	sortEnds int           // crashes known of the content; sorts pending reports
+	Replica    LoadKey
+	Acquits    bool
+	Age        time.Duration // since the crash or the complete response
+	crashCount int           // crashes known of the content; sorts pending reports
 }
 
 const (
 	// crashesToQuarantine is the number of crashes after which a content is quarantined. Callers
 	// are promised this number.
-	heldEnds = 3
+	crashesToQuarantine = 3
 	// maxCrashesKept bounds the crashes that are kept of one content; more have no effect.
-	maxEnds = 6
+	maxCrashesKept = 6
 	// repeatPeriod bounds which contents are repeated to other daemons. Contents with one or two
 	// crashes long ago were mostly in flight by coincidence; they are kept but not repeated.
-	repeatMemory = time.Minute
+	repeatPeriod = time.Minute
 	// clearedRetention is far longer than it takes to resend a clearance to a daemon that missed
 	// it. Until then that daemon sends others the crashes that it knows.
-	acquittalMemory = time.Minute
+	clearedRetention = time.Minute
 	// maxContents bounds the memory to about 0.5 MB. A series of 20 crashes leaves 200 contents.
 	maxContents = 2000
 	// crashReportsPerSecond bounds the cost of reports: 30 of about 24 bytes to seven daemons are
 	// 5 KB/s while replicas crash in series. With 18 replicas of 12 requests each and one crash a
 	// second, 12 are needed.
-	crashesPerSecond  = 30
-	maxPendingCrashes = 400
+	crashReportsPerSecond  = 30
+	maxPendingCrashReports = 400
 	// retryAfterQuarantined keeps a caller from retrying in quick succession. It is not known
 	// when the request may run again; a caller with a deadline has mostly given up by then.
-	retryAfterHeld = 30 * time.Second
+	retryAfterQuarantined = 30 * time.Second
 )
 
 // Crashes records the requests during which replicas crashed. It is safe for concurrent use. A
@@ -98,15 +98,15 @@
 
 // suspect is what is known of one content.
 type suspect struct {
-	caller      CallerKey
-	ends        []replicaEnd // since the content was last cleared, oldest first
-	acquittedAt time.Time
-	usedAt      time.Time // when it was last reported or requested
-	refused     int       // requests refused by this daemon
+	caller    CallerKey
+	crashes   []replicaCrash // since the content was last cleared, oldest first
+	clearedAt time.Time
+	lastUsed  time.Time // when it was last reported or requested
+	refused   int       // requests refused by this daemon
 }
 
 // replicaCrash is the crash of a replica while it served a request.
-type replicaEnd struct {
+type replicaCrash struct {
 	replica LoadKey
 	at      time.Time
 }
@@ -116,15 +116,15 @@
 	return &Crashes{
 		suspects: make(map[ContentKey]*suspect),
 		outbox: outbox[CrashReport]{
-			waiting: make(chan struct{}, 1), most: maxPendingCrashes, perSecond: crashesPerSecond, keeps: true,
-			before: func(a, b pendingReport[CrashReport]) int { return b.report.sortEnds - a.report.sortEnds },
+			notify: make(chan struct{}, 1), capacity: maxPendingCrashReports, rate: crashReportsPerSecond, keepUnsent: true,
+			compare: func(a, b pendingReport[CrashReport]) int { return b.report.crashCount - a.report.crashCount },
 		},
 	}
 }
 
 // Waiting returns a channel that receives a value when reports are available from
 // [Crashes.TakeReports].
-func (c *Crashes) Waiting() <-chan struct{} { return c.outbox.waiting }
+func (c *Crashes) Waiting() <-chan struct{} { return c.outbox.notify }
 
 // ReportEnd records that a replica crashed while serving a request of a workspace. It returns
 // true if the content of the request is quarantined from now on and was not before.
@@ -145,12 +145,12 @@
 	}
 	c.mu.RLock()
 	s := c.suspects[content]
-	ended := s != nil && len(s.ends) > 0
+	crashed := s != nil && len(s.crashes) > 0
 	c.mu.RUnlock()
-	if ended {
+	if crashed {
 		c.Observe([]CrashReport{{Content: content, Caller: s.caller, Acquits: true}}, now)
 	}
-	return ended
+	return crashed
 }
 
 // Observe applies reports. It returns the contents that are quarantined from now on and were not
@@ -158,39 +158,39 @@
 func (c *Crashes) Observe(reports []CrashReport, now time.Time) []ContentKey {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var held []ContentKey
+	var quarantined []ContentKey
 	for _, r := range reports {
 		s := c.suspect(r.Content, r.Caller, now)
-		before := s.isHeld()
-		if !s.take(r, now.Add(-r.Age)) {
+		before := s.isQuarantined()
+		if !s.apply(r, now.Add(-r.Age)) {
 			continue
 		}
-		s.usedAt = now
-		r.sortEnds = len(s.ends)
+		s.lastUsed = now
+		r.crashCount = len(s.crashes)
 		c.outbox.add(r, now.Add(-r.Age))
-		if !before && s.isHeld() {
-			held = append(held, r.Content)
+		if !before && s.isQuarantined() {
+			quarantined = append(quarantined, r.Content)
 		}
 	}
-	return held
+	return quarantined
 }
 
 // apply applies a report of an event at the given time and returns true if it is new. A clearance
 // is new if it is the first one known or if it removes crashes; times alone can't tell, because
 // the time of one clearance differs from daemon to daemon by the network delay.
-func (s *suspect) take(r CrashReport, at time.Time) bool {
+func (s *suspect) apply(r CrashReport, at time.Time) bool {
 	if r.Acquits {
-		isNew, before := s.acquittedAt.IsZero(), len(s.ends)
-		s.acquittedAt = latest(s.acquittedAt, at)
-		s.ends = slices.DeleteFunc(s.ends, func(e replicaEnd) bool { return !e.at.After(at) })
-		return isNew || len(s.ends) < before
+		isNew, before := s.clearedAt.IsZero(), len(s.crashes)
+		s.clearedAt = latest(s.clearedAt, at)
+		s.crashes = slices.DeleteFunc(s.crashes, func(e replicaCrash) bool { return !e.at.After(at) })
+		return isNew || len(s.crashes) < before
 	}
-	isSame := func(e replicaEnd) bool { return e.replica == r.Replica }
-	if !at.After(s.acquittedAt) || len(s.ends) >= maxEnds || slices.ContainsFunc(s.ends, isSame) {
+	isSame := func(e replicaCrash) bool { return e.replica == r.Replica }
+	if !at.After(s.clearedAt) || len(s.crashes) >= maxCrashesKept || slices.ContainsFunc(s.crashes, isSame) {
 		return false
 	}
-	s.ends = append(s.ends, replicaEnd{r.Replica, at})
-	slices.SortFunc(s.ends, func(a, b replicaEnd) int { return a.at.Compare(b.at) })
+	s.crashes = append(s.crashes, replicaCrash{r.Replica, at})
+	slices.SortFunc(s.crashes, func(a, b replicaCrash) int { return a.at.Compare(b.at) })
 	return true
 }
 
@@ -199,9 +199,9 @@
 	s := c.suspects[content]
 	if s == nil {
 		if len(c.suspects) >= maxContents {
-			c.makeRoom()
+			c.evict()
 		}
-		s = &suspect{caller: caller, usedAt: now}
+		s = &suspect{caller: caller, lastUsed: now}
 		c.suspects[content] = s
 		c.known.Store(int64(len(c.suspects)))
 	}
@@ -210,7 +210,7 @@
 
 // evict removes one content: a cleared one if there is any, else one of the caller that has the
 // most. Among those it prefers one that is not quarantined, then the least recently used.
-func (c *Crashes) makeRoom() {
+func (c *Crashes) evict() {
 	counts := make(map[CallerKey]int)
 	for _, s := range c.suspects {
 		counts[s.caller]++
@@ -218,24 +218,24 @@
 	var victim ContentKey
 	var worst *suspect
 	for content, s := range c.suspects {
-		if worst == nil || s.givesWayBefore(worst, counts) {
+		if worst == nil || s.evictBefore(worst, counts) {
 			victim, worst = content, s
 		}
 	}
 	delete(c.suspects, victim)
 }
 
-func (s *suspect) givesWayBefore(than *suspect, counts map[CallerKey]int) bool {
-	if a, b := len(s.ends) == 0, len(than.ends) == 0; a != b {
+func (s *suspect) evictBefore(than *suspect, counts map[CallerKey]int) bool {
+	if a, b := len(s.crashes) == 0, len(than.crashes) == 0; a != b {
 		return a
 	}
 	if a, b := counts[s.caller], counts[than.caller]; a != b {
 		return a > b
 	}
-	if a, b := s.isHeld(), than.isHeld(); a != b {
+	if a, b := s.isQuarantined(), than.isQuarantined(); a != b {
 		return b
 	}
-	return s.usedAt.Before(than.usedAt)
+	return s.lastUsed.Before(than.lastUsed)
 }
 
 // Held reports whether requests of a content must not be sent, and if so counts a refusal.
@@ -245,20 +245,20 @@
 	}
 	c.mu.RLock()
 	s := c.suspects[content]
-	held := s != nil && s.isHeld()
+	quarantined := s != nil && s.isQuarantined()
 	c.mu.RUnlock()
-	if !held {
+	if !quarantined {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s.usedAt = now
+	s.lastUsed = now
 	s.refused++
 	return true
 }
 
-// isHeld applies rule 3.
-func (s *suspect) isHeld() bool { return len(s.ends) >= heldEnds }
+// isQuarantined applies rule 3.
+func (s *suspect) isQuarantined() bool { return len(s.crashes) >= crashesToQuarantine }
 
 // TakeReports returns up to n reports to send to other daemons, as far as crashReportsPerSecond
 // allows. The others stay queued.
@@ -266,7 +266,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.outbox.take(n, now, func(r CrashReport, age time.Duration) CrashReport {
-		r.Age, r.sortEnds = age, 0
+		r.Age, r.crashCount = age, 0
 		return r
 	})
 }
@@ -280,8 +280,8 @@
 	defer c.mu.RUnlock()
 	contents := make([]ContentKey, 0, len(c.suspects))
 	for content, s := range c.suspects {
-		isNews := s.isHeld() || now.Sub(s.usedAt) < repeatMemory
-		if content > after && isNews {
+		mustRepeat := s.isQuarantined() || now.Sub(s.lastUsed) < repeatPeriod
+		if content > after && mustRepeat {
 			contents = append(contents, content)
 		}
 	}
@@ -299,24 +299,24 @@
 // reports returns all that is known of a content.
 func (s *suspect) reports(content ContentKey, now time.Time) []CrashReport {
 	var out []CrashReport
-	if !s.acquittedAt.IsZero() {
-		out = append(out, CrashReport{Content: content, Caller: s.caller, Acquits: true, Age: max(0, now.Sub(s.acquittedAt))})
+	if !s.clearedAt.IsZero() {
+		out = append(out, CrashReport{Content: content, Caller: s.caller, Acquits: true, Age: max(0, now.Sub(s.clearedAt))})
 	}
-	for _, e := range s.ends {
+	for _, e := range s.crashes {
 		out = append(out, CrashReport{Content: content, Caller: s.caller, Replica: e.replica, Age: max(0, now.Sub(e.at))})
 	}
 	return out
 }
 
-// Disprove removes the crashes that were false alarms according to wasNone.
-func (c *Crashes) Disprove(wasNone func(replica LoadKey, at time.Time) bool) {
+// Disprove removes the crashes that were false alarms according to isFalse.
+func (c *Crashes) Disprove(isFalse func(replica LoadKey, at time.Time) bool) {
 	if c.known.Load() == 0 {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.suspects {
-		s.ends = slices.DeleteFunc(s.ends, func(e replicaEnd) bool { return wasNone(e.replica, e.at) })
+		s.crashes = slices.DeleteFunc(s.crashes, func(e replicaCrash) bool { return isFalse(e.replica, e.at) })
 	}
 }
 
@@ -325,7 +325,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for content, s := range c.suspects {
-		if len(s.ends) == 0 && now.Sub(s.acquittedAt) > acquittalMemory {
+		if len(s.crashes) == 0 && now.Sub(s.clearedAt) > clearedRetention {
 			delete(c.suspects, content)
 		}
 	}
@@ -347,11 +347,11 @@
 	defer c.mu.RUnlock()
 	var out []HeldContent
 	for content, s := range c.suspects {
-		if !s.isHeld() {
+		if !s.isQuarantined() {
 			continue
 		}
-		h := HeldContent{Content: content, Caller: s.caller, For: now.Sub(s.ends[len(s.ends)-1].at), Refused: s.refused}
-		for _, e := range s.ends {
+		h := HeldContent{Content: content, Caller: s.caller, For: now.Sub(s.crashes[len(s.crashes)-1].at), Refused: s.refused}
+		for _, e := range s.crashes {
 			h.Replicas = append(h.Replicas, e.replica)
 		}
 		out = append(out, h)
--- a/coordination/routing/crash_bench_test.go
+++ b/coordination/routing/crash_bench_test.go
@@ -27,7 +27,7 @@
 func BenchmarkHeld(b *testing.B) {
 	now := time.Now()
 	for name, contents := range map[string]int{"nothing_known": 0, "all_known": 2000} {
-		c := crashesOf(contents, now)
+		c := newQuarantinedCrashes(contents, now)
 		b.Run(name, func(b *testing.B) {
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
@@ -44,7 +44,7 @@
 	for b.Loop() {
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		c := crashesOf(2000, time.Now())
+		c := newQuarantinedCrashes(2000, time.Now())
 		c.TakeReports(1<<20, time.Now())
 		runtime.GC()
 		runtime.ReadMemStats(&after)
@@ -53,12 +53,12 @@
 	}
 }
 
-// newHeldCrashes records the given number of contents, all of which are quarantined.
-func crashesOf(contents int, now time.Time) *routing.Crashes {
+// newQuarantinedCrashes records the given number of contents, all of which are quarantined.
+func newQuarantinedCrashes(contents int, now time.Time) *routing.Crashes {
 	c := routing.NewCrashes()
 	for i := range contents {
 		for r := range 3 {
-			c.ReportEnd(routing.ContentKey(1000+i), "w", numbered(r), now)
+			c.ReportEnd(routing.ContentKey(1000+i), "w", numberedReplica(r), now)
 		}
 	}
 	return c
--- a/coordination/routing/crash_fleet_test.go
+++ b/coordination/routing/crash_fleet_test.go
@@ -17,33 +17,33 @@
 // restarts, must exceed the limit.
 func TestCrashingRequestReachesThreeReplicasMore(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		play  crashPlay
-		naive bool // expected to exceed the limit
+		name   string
+		faults crashFaults
+		naive  bool // expected to exceed the limit
 	}{
-		{"lossless", crashPlay{}, false},
-		{"a fifth of the datagrams lost", crashPlay{loss: .2}, false},
-		{"daemons killed when they see a crash", crashPlay{loss: .05, killWitness: true}, false},
-		{"each daemon restarted every 10 s", crashPlay{loss: .05, lives: 10 * time.Second}, false},
-		{"a domain cut off from 2 s to 12 s", crashPlay{loss: .05, cutFrom: 2 * time.Second, cutTo: 12 * time.Second}, false},
-		{"request every 2 s only, each daemon restarted every 10 s", crashPlay{every: 2 * time.Second, lives: 10 * time.Second}, false},
-		{"naive: nothing is shared", crashPlay{silent: true}, true},
-		{"naive: reports are not repeated to daemons that start", crashPlay{lives: 10 * time.Second, noRepeats: true}, true},
+		{"lossless", crashFaults{}, false},
+		{"a fifth of the datagrams lost", crashFaults{loss: .2}, false},
+		{"daemons killed when they see a crash", crashFaults{loss: .05, killOnCrash: true}, false},
+		{"each daemon restarted every 10 s", crashFaults{loss: .05, meanUptime: 10 * time.Second}, false},
+		{"a domain cut off from 2 s to 12 s", crashFaults{loss: .05, cutFrom: 2 * time.Second, cutTo: 12 * time.Second}, false},
+		{"request every 2 s only, each daemon restarted every 10 s", crashFaults{every: 2 * time.Second, meanUptime: 10 * time.Second}, false},
+		{"naive: nothing is shared", crashFaults{noSharing: true}, true},
+		{"naive: reports are not repeated to daemons that start", crashFaults{meanUptime: 10 * time.Second, noRepeats: true}, true},
 	} {
 		for _, daemons := range []int{8, 65, 300, 930} {
 			t.Run(fmt.Sprintf("%s/%d", c.name, daemons), func(t *testing.T) {
 				t.Parallel()
-				worst, ends := 0, 0
+				worst, crashes := 0, 0
 				lasts := 40 * time.Second
 				if c.naive {
 					lasts *= 2 // daemons that forget exceed the limit slowly
 				}
 				for seed := range uint64(3) {
-					w := newCrashWorld(daemons, seed, c.play)
+					w := newCrashSim(daemons, seed, c.faults)
 					w.run(lasts)
-					worst, ends = max(worst, w.late), max(ends, len(w.ends))
+					worst, crashes = max(worst, w.late), max(crashes, len(w.crashes))
 				}
-				t.Logf("at most %d replicas crashed, %d arrivals too late", ends, worst)
+				t.Logf("at most %d replicas crashed, %d arrivals too late", crashes, worst)
 				const allowed = 3
 				if broken := worst > allowed; broken != c.naive {
 					t.Errorf("%d arrivals more than 3 s after the third crash, want at most %d: %t", worst, allowed, !c.naive)
@@ -54,38 +54,38 @@
 }
 
 // crashFaults describes the faults of a fleet.
-type crashPlay struct {
+type crashFaults struct {
 	every       time.Duration // time between two tries of the request; 0: .15 to .5 s
 	loss        float64       // fraction of the datagrams
-	killWitness bool          // a daemon is killed 5 ms after it saw one of the first three crashes
-	lives       time.Duration // mean time between restarts of a daemon; 0: no restarts
+	killOnCrash bool          // a daemon is killed 5 ms after it saw one of the first three crashes
+	meanUptime  time.Duration // mean time between restarts of a daemon; 0: no restarts
 	cutFrom     time.Duration // when the first domain is cut off
 	cutTo       time.Duration
-	silent      bool
+	noSharing   bool
 	noRepeats   bool
 }
 
 const (
-	crashStep     = 5 * time.Millisecond
-	crashDelay    = 10 * time.Millisecond // of a datagram, including the batching of reports
-	crashDomains  = 4
-	crashTouch    = 3 * time.Second
-	crashAttempts = 2
-	crashRepeat   = time.Second
-	crashFanOut   = 5
+	crashStep       = 5 * time.Millisecond
+	crashDelay      = 10 * time.Millisecond // of a datagram, including the batching of reports
+	crashDomains    = 4
+	crashSettleTime = 3 * time.Second
+	crashAttempts   = 2
+	crashRepeat     = time.Second
+	crashFanOut     = 5
 )
 
 // crashSim simulates a fleet in virtual time to which one crashing request is sent again and
 // again.
-type crashWorld struct {
-	crashPlay
-	rng     *rand.Rand
-	now     time.Time
-	daemons []*crashDaemon
-	mail    []crashMail
-	ends    []time.Time
-	late    int // arrivals more than 3 s after the third crash, at daemons that were up for as long
-	starts  int // replica incarnations so far
+type crashSim struct {
+	crashFaults
+	rng          *rand.Rand
+	now          time.Time
+	daemons      []*crashDaemon
+	inFlight     []crashDatagram
+	crashes      []time.Time
+	late         int // arrivals more than 3 s after the third crash, at daemons that were up for as long
+	incarnations int // replica incarnations so far
 }
 
 type crashDaemon struct {
@@ -98,14 +98,14 @@
 }
 
 // crashDatagram is a datagram in transit.
-type crashMail struct {
+type crashDatagram struct {
 	at      time.Time
 	to      int
 	reports []routing.CrashReport
 }
 
-func newCrashWorld(daemons int, seed uint64, p crashPlay) *crashWorld {
-	w := &crashWorld{crashPlay: p, rng: rand.New(rand.NewPCG(seed, 11)), now: epoch}
+func newCrashSim(daemons int, seed uint64, p crashFaults) *crashSim {
+	w := &crashSim{crashFaults: p, rng: rand.New(rand.NewPCG(seed, 11)), now: epoch}
 	for i := range daemons {
 		repeated := epoch.Add(-time.Duration(w.rng.Int64N(int64(crashRepeat))))
 		w.daemons = append(w.daemons, &crashDaemon{Crashes: routing.NewCrashes(), domain: i % crashDomains, started: epoch.Add(-time.Hour), repeated: repeated})
@@ -113,25 +113,25 @@
 	return w
 }
 
-func (w *crashWorld) run(d time.Duration) {
+func (w *crashSim) run(d time.Duration) {
 	next := w.now.Add(time.Second)
 	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(crashStep) {
 		w.deliver()
 		for i, daemon := range w.daemons {
 			isKilled := !daemon.killAt.IsZero() && !w.now.Before(daemon.killAt)
-			if isKilled || w.lives > 0 && w.rng.Float64() < crashStep.Seconds()/w.lives.Seconds() {
+			if isKilled || w.meanUptime > 0 && w.rng.Float64() < crashStep.Seconds()/w.meanUptime.Seconds() {
 				w.restart(i)
 			}
-			w.speak(i)
+			w.sendReports(i)
 		}
 		if !w.now.Before(next) {
 			w.try(w.rng.IntN(len(w.daemons)))
-			next = w.now.Add(w.pauseOfCaller())
+			next = w.now.Add(w.retryPause())
 		}
 	}
 }
 
-func (w *crashWorld) pauseOfCaller() time.Duration {
+func (w *crashSim) retryPause() time.Duration {
 	if w.every > 0 {
 		return w.every
 	}
@@ -139,28 +139,28 @@
 }
 
 // try sends the request to a daemon, which retries it once after a crash.
-func (w *crashWorld) try(at int) {
+func (w *crashSim) try(at int) {
 	const content = 99
 	d := w.daemons[at]
 	for range crashAttempts {
 		if d.Held(content, w.now) {
 			return
 		}
-		if len(w.ends) >= 3 && w.now.Sub(w.ends[2]) > crashTouch && w.now.Sub(d.started) > crashTouch {
+		if len(w.crashes) >= 3 && w.now.Sub(w.crashes[2]) > crashSettleTime && w.now.Sub(d.started) > crashSettleTime {
 			w.late++
 		}
-		w.starts++
-		r := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint(w.starts))})
+		w.incarnations++
+		r := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint(w.incarnations))})
 		d.ReportEnd(content, "w", &r, w.now)
-		w.ends = append(w.ends, w.now)
-		if w.killWitness && len(w.ends) <= 3 && d.killAt.IsZero() {
+		w.crashes = append(w.crashes, w.now)
+		if w.killOnCrash && len(w.crashes) <= 3 && d.killAt.IsZero() {
 			d.killAt = w.now.Add(crashStep)
 		}
 	}
 }
 
 // restart restarts a daemon. Three others discover it and send it what they know.
-func (w *crashWorld) restart(i int) {
+func (w *crashSim) restart(i int) {
 	d := w.daemons[i]
 	d.Crashes, d.started, d.killAt, d.after = routing.NewCrashes(), w.now, time.Time{}, 0
 	if w.noRepeats {
@@ -175,9 +175,9 @@
 
 // sendReports sends a daemon's queued reports to its targets, and repeats what it knows to one of
 // them each second.
-func (w *crashWorld) speak(i int) {
+func (w *crashSim) sendReports(i int) {
 	d := w.daemons[i]
-	if w.silent {
+	if w.noSharing {
 		return
 	}
 	select {
@@ -201,7 +201,7 @@
 
 // targets selects daemons as membership.Roster does: all others in a small fleet, otherwise some
 // of the same domain and one of another.
-func (w *crashWorld) targets(i int) []int {
+func (w *crashSim) targets(i int) []int {
 	var near, far []int
 	for k, d := range w.daemons {
 		switch {
@@ -220,16 +220,16 @@
 	return append(near[:min(len(near), crashFanOut-1)], far[0])
 }
 
-func (w *crashWorld) send(from *crashDaemon, to int, reports []routing.CrashReport) {
+func (w *crashSim) send(from *crashDaemon, to int, reports []routing.CrashReport) {
 	sinceStart := w.now.Sub(epoch)
 	isCut := sinceStart >= w.cutFrom && sinceStart < w.cutTo && (from.domain == 0) != (w.daemons[to].domain == 0)
 	if len(reports) > 0 && !isCut && w.rng.Float64() >= w.loss {
-		w.mail = append(w.mail, crashMail{w.now.Add(crashDelay), to, reports})
+		w.inFlight = append(w.inFlight, crashDatagram{w.now.Add(crashDelay), to, reports})
 	}
 }
 
-func (w *crashWorld) deliver() {
-	w.mail = slices.DeleteFunc(w.mail, func(m crashMail) bool {
+func (w *crashSim) deliver() {
+	w.inFlight = slices.DeleteFunc(w.inFlight, func(m crashDatagram) bool {
 		if w.now.Before(m.at) {
 			return false
 		}
@@ -244,20 +244,20 @@
 // caller. It bounds how many are quarantined, and compares with quarantining after two crashes.
 func TestInnocentRequestsAreRarelyHeldBack(t *testing.T) {
 	for _, c := range []struct {
-		endsPerSecond float64
-		most          float64 // fraction of the requests that are quarantined
+		crashesPerSecond float64
+		most             float64 // fraction of the requests that are quarantined
 	}{{1, .0001}, {3, .005}} {
-		share, near := innocentsHeld(c.endsPerSecond)
-		t.Logf("%.0f crashes a second: %.2f%% of the requests met one crash, %.3f%% two, %.4f%% three and are quarantined", c.endsPerSecond, 100*near[1], 100*near[2], 100*share)
+		share, near := coincidentalQuarantines(c.crashesPerSecond)
+		t.Logf("%.0f crashes a second: %.2f%% of the requests met one crash, %.3f%% two, %.4f%% three and are quarantined", c.crashesPerSecond, 100*near[1], 100*near[2], 100*share)
 		if share > c.most || share == 0 {
-			t.Errorf("%.0f crashes a second: %.4f%% of the requests are quarantined, want some and at most %.4f%%", c.endsPerSecond, 100*share, 100*c.most)
+			t.Errorf("%.0f crashes a second: %.4f%% of the requests are quarantined, want some and at most %.4f%%", c.crashesPerSecond, 100*share, 100*c.most)
 		}
 	}
 }
 
-// coincidentalHolds returns the fraction of the requests that are quarantined, and the fractions
-// that met at least one, two and three crashes.
-func innocentsHeld(endsPerSecond float64) (held float64, near [4]float64) {
+// coincidentalQuarantines returns the fraction of the requests that are quarantined, and the
+// fractions that met at least one, two and three crashes.
+func coincidentalQuarantines(crashesPerSecond float64) (quarantined float64, near [4]float64) {
 	const (
 		replicas, requests = 18, 100_000
 		lasts, down        = 500 * time.Millisecond, 3 * time.Second
@@ -265,10 +265,10 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	// An attempt meets a crash with the probability that its replica, one of those that are up,
 	// crashes while the attempt lasts.
-	up := replicas - endsPerSecond*down.Seconds()
-	meets := endsPerSecond * lasts.Seconds() / up
+	up := replicas - crashesPerSecond*down.Seconds()
+	meets := crashesPerSecond * lasts.Seconds() / up
 	c := routing.NewCrashes()
-	heldBack, starts := 0, 0
+	refused, incarnations := 0, 0
 	now := epoch
 	for i := range requests {
 		content := routing.ContentKey(i + 1)
@@ -276,15 +276,15 @@
 		met := 0
 		for range 4 {
 			if c.Held(content, now) {
-				heldBack++
+				refused++
 				break
 			}
 			if rng.Float64() >= meets {
 				c.Acquit(content, now)
 				break
 			}
-			starts++
-			r := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint(starts))})
+			incarnations++
+			r := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint(incarnations))})
 			c.ReportEnd(content, routing.WorkspaceName(fmt.Sprint(i%10)), &r, now)
 			met++
 		}
@@ -296,5 +296,5 @@
 	for n := range near {
 		near[n] /= requests
 	}
-	return float64(heldBack) / requests, near
+	return float64(refused) / requests, near
 }
--- a/coordination/routing/crash_test.go
+++ b/coordination/routing/crash_test.go
@@ -14,7 +14,7 @@
 )
 
 // numberedReplica returns a distinct replica for each number.
-func numbered(n int) *routing.Replica {
+func numberedReplica(n int) *routing.Replica {
 	r := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(rune('a' + n))})
 	return &r
 }
@@ -23,16 +23,16 @@
 	const content, workspace = routing.ContentKey(7), routing.WorkspaceName("w")
 	var c *routing.Crashes
 	BeforeEach(func() { c = routing.NewCrashes() })
-	end := func(of routing.ContentKey, replica int, at time.Time) bool {
-		return c.ReportEnd(of, workspace, numbered(replica), at)
+	crash := func(of routing.ContentKey, replica int, at time.Time) bool {
+		return c.ReportEnd(of, workspace, numberedReplica(replica), at)
 	}
 	takeAll := func(now time.Time) []routing.CrashReport { return c.TakeReports(1000, now) }
 
 	It("quarantines a content permanently after the third crash", func() {
-		Expect(end(content, 0, epoch)).To(BeFalse())
-		Expect(end(content, 1, epoch)).To(BeFalse())
+		Expect(crash(content, 0, epoch)).To(BeFalse())
+		Expect(crash(content, 1, epoch)).To(BeFalse())
 		Expect(c.Held(content, epoch)).To(BeFalse())
-		Expect(end(content, 2, epoch)).To(BeTrue())
+		Expect(crash(content, 2, epoch)).To(BeTrue())
 		for _, after := range []time.Duration{0, time.Minute, 1000 * time.Hour} {
 			c.Forget(epoch.Add(after))
 			Expect(c.Held(content, epoch.Add(after))).To(BeTrue())
@@ -42,28 +42,28 @@
 
 	It("counts the crash of one replica once, whichever daemon saw it and whenever the report arrives", func() {
 		for i := range 5 {
-			end(content, 0, epoch.Add(time.Duration(i)*time.Second))
+			crash(content, 0, epoch.Add(time.Duration(i)*time.Second))
 		}
-		end(content, 1, epoch)
+		crash(content, 1, epoch)
 		Expect(c.Held(content, epoch)).To(BeFalse())
 	})
 
 	It("clears a content of earlier crashes, but not of later ones, after a complete response", func() {
 		for i := range 4 {
-			end(content, i, epoch)
+			crash(content, i, epoch)
 		}
 		c.Acquit(content, epoch.Add(time.Second))
 		Expect(c.Held(content, epoch.Add(time.Second))).To(BeFalse())
-		Expect(end(content, 5, epoch.Add(500*time.Millisecond))).To(BeFalse(), "reported late")
+		Expect(crash(content, 5, epoch.Add(500*time.Millisecond))).To(BeFalse(), "reported late")
 		for i := range 3 {
-			end(content, 6+i, epoch.Add(2*time.Second))
+			crash(content, 6+i, epoch.Add(2*time.Second))
 		}
 		Expect(c.Held(content, epoch.Add(2*time.Second))).To(BeTrue())
 	})
 
 	It("records nothing for contents without a crash", func() {
 		c.Acquit(content, epoch)
-		end(content+1, 0, epoch)
+		crash(content+1, 0, epoch)
 		c.Acquit(content, epoch)
 		reports, _ := c.All(0, 100, epoch)
 		Expect(reports).To(HaveLen(1))
@@ -72,33 +72,33 @@
 
 	It("clears a content that an operator releases, and quarantines it again after three more crashes", func() {
 		for i := range 3 {
-			end(content, i, epoch)
+			crash(content, i, epoch)
 		}
 		Expect(c.Acquit(content, epoch.Add(time.Hour))).To(BeTrue())
 		Expect(c.Held(content, epoch.Add(time.Hour))).To(BeFalse())
 		Expect(c.AllHeld(epoch)).To(BeEmpty())
 		for i := range 3 {
-			end(content, 10+i, epoch.Add(2*time.Hour))
+			crash(content, 10+i, epoch.Add(2*time.Hour))
 		}
 		Expect(c.Held(content, epoch.Add(2*time.Hour))).To(BeTrue())
 	})
 
 	It("lists quarantined contents with their replicas and refusals", func() {
 		for i := range 3 {
-			end(content, i, epoch.Add(time.Duration(i)*time.Second))
+			crash(content, i, epoch.Add(time.Duration(i)*time.Second))
 		}
-		end(content+1, 0, epoch)
+		crash(content+1, 0, epoch)
 		later := epoch.Add(12 * time.Second)
 		c.Held(content, later)
 		c.Held(content, later)
 		Expect(c.AllHeld(later)).To(ConsistOf(routing.HeldContent{
 			Content: content, Caller: routing.NewCallerKey(workspace), For: 10 * time.Second, Refused: 2,
-			Replicas: []routing.LoadKey{numbered(0).LoadKey(), numbered(1).LoadKey(), numbered(2).LoadKey()},
+			Replicas: []routing.LoadKey{numberedReplica(0).LoadKey(), numberedReplica(1).LoadKey(), numberedReplica(2).LoadKey()},
 		}))
 	})
 
 	It("forwards each new report once, and signals that reports are available", func() {
-		end(content, 0, epoch)
+		crash(content, 0, epoch)
 		Expect(c.Waiting()).To(Receive())
 		now := epoch.Add(time.Second)
 		reports := takeAll(now)
@@ -115,10 +115,10 @@
 
 	It("sends a bounded number of reports a second, those of the contents with the most crashes first", func() {
 		for i := range 100 {
-			end(routing.ContentKey(1000+i), 0, epoch)
+			crash(routing.ContentKey(1000+i), 0, epoch)
 		}
-		end(content, 0, epoch)
-		end(content, 1, epoch)
+		crash(content, 0, epoch)
+		crash(content, 1, epoch)
 		first := takeAll(epoch.Add(time.Second))
 		Expect(first).To(HaveLen(30))
 		Expect(first[0].Content).To(Equal(content))
@@ -131,12 +131,12 @@
 
 	It("stays bounded, and evicts a caller's own contents and not another's", func() {
 		for i := range 3 {
-			c.ReportEnd(content, "another", numbered(i), epoch)
+			c.ReportEnd(content, "another", numberedReplica(i), epoch)
 		}
 		for i := range 5000 {
 			now := epoch.Add(time.Duration(i) * time.Millisecond)
 			for r := range 3 {
-				end(routing.ContentKey(1000+i), r, now)
+				crash(routing.ContentKey(1000+i), r, now)
 			}
 		}
 		Expect(c.AllHeld(epoch)).To(HaveLen(2000))
@@ -146,8 +146,8 @@
 	})
 
 	It("removes only contents that were cleared long ago", func() {
-		end(content, 0, epoch)
-		end(content+1, 0, epoch)
+		crash(content, 0, epoch)
+		crash(content+1, 0, epoch)
 		c.Acquit(content, epoch)
 		c.Forget(epoch.Add(time.Hour))
 		reports, _ := c.All(0, 100, epoch)
@@ -157,7 +157,7 @@
 	It("returns everything in pages, each content once", func() {
 		for i := range 100 {
 			for r := range 3 {
-				end(routing.ContentKey(100+i), r, epoch)
+				crash(routing.ContentKey(100+i), r, epoch)
 			}
 		}
 		seen := make(map[routing.ContentKey]int)
@@ -179,27 +179,27 @@
 	})
 
 	It("repeats quarantined contents permanently, and others for a minute", func() {
-		end(content, 0, epoch)
+		crash(content, 0, epoch)
 		for i := range 3 {
-			end(content+1, i, epoch)
+			crash(content+1, i, epoch)
 		}
 		reports, _ := c.All(0, 100, epoch.Add(59*time.Second))
 		Expect(reports).To(HaveLen(4))
 		reports, _ = c.All(0, 100, epoch.Add(time.Hour))
 		Expect(reports).To(HaveLen(3))
 		Expect(reports).To(HaveEach(HaveField("Content", content+1)))
-		end(content, 1, epoch.Add(time.Hour))
-		Expect(end(content, 2, epoch.Add(2*time.Hour))).To(BeTrue(), "it is still recorded")
+		crash(content, 1, epoch.Add(time.Hour))
+		Expect(crash(content, 2, epoch.Add(2*time.Hour))).To(BeTrue(), "it is still recorded")
 	})
 
 	It("does nothing if nil, or for the zero content", func() {
 		var none *routing.Crashes
-		Expect(none.ReportEnd(content, workspace, numbered(0), epoch)).To(BeFalse())
+		Expect(none.ReportEnd(content, workspace, numberedReplica(0), epoch)).To(BeFalse())
 		Expect(none.Held(content, epoch)).To(BeFalse())
 		none.Acquit(content, epoch)
-		Expect(end(0, 0, epoch)).To(BeFalse(), "the zero content")
-		Expect(end(0, 1, epoch)).To(BeFalse())
-		Expect(end(0, 2, epoch)).To(BeFalse())
+		Expect(crash(0, 0, epoch)).To(BeFalse(), "the zero content")
+		Expect(crash(0, 1, epoch)).To(BeFalse())
+		Expect(crash(0, 2, epoch)).To(BeFalse())
 	})
 })
 
--- a/coordination/routing/crowd.go
+++ b/coordination/routing/crowd.go
@@ -101,14 +101,14 @@
 	return &Crowds{
 		avoided: make(map[LoadKey]time.Time), needs: make(map[PromptKey]homesNeed), loads: make(map[ServiceName]reportedLoads),
 		outbox: outbox[CrowdReport]{
-			waiting: make(chan struct{}, 1), most: maxPendingCrowds, perSecond: crowdsPerSecond, maxAge: crowdedAge,
-			before: func(a, b pendingReport[CrowdReport]) int { return int(b.report.Homes) - int(a.report.Homes) },
+			notify: make(chan struct{}, 1), capacity: maxPendingCrowds, rate: crowdsPerSecond, maxAge: crowdedAge,
+			compare: func(a, b pendingReport[CrowdReport]) int { return int(b.report.Homes) - int(a.report.Homes) },
 		},
 	}
 }
 
 // Waiting has a value once reports wait for [Crowds.TakeReports].
-func (c *Crowds) Waiting() <-chan struct{} { return c.outbox.waiting }
+func (c *Crowds) Waiting() <-chan struct{} { return c.outbox.notify }
 
 // homes returns how many homes a prompt has; base is how many others of its size have.
 func (c *Crowds) homes(prompt uint64, base int, now time.Time) int {
--- a/coordination/routing/cutoff.go
+++ b/coordination/routing/cutoff.go
@@ -30,7 +30,7 @@
 	// domainRetention is how long missing heartbeats of a domain's daemons exclude its replicas.
 	// Daemons may be gone for good while the replicas there live on; after this time requests are
 	// sent there again.
-	domainMemory = 15 * time.Second
+	domainRetention = 15 * time.Second
 )
 
 // ObserveDomains records when a daemon of each other domain was last seen, and sets the time
@@ -54,26 +54,26 @@
 // markReachable marks the replicas in domains that are not cut off. If there are none, it marks
 // those in domains that are cut off but in which no connection failed. It returns the number of
 // replicas marked.
-func (h *Health) markReachable(usable []bool, leftOut replicaSet, p *Pool, now time.Time) int {
-	marked := h.mark(usable, leftOut, p, func(d state.FailureDomain) bool { return !h.domainIsCutOff(d, now) })
+func (h *Health) markReachable(usable []bool, skip replicaSet, p *Pool, now time.Time) int {
+	marked := h.mark(usable, skip, p, func(d state.FailureDomain) bool { return !h.domainIsCutOff(d, now) })
 	if marked > 0 {
 		return marked
 	}
-	return h.markNotUnreachable(usable, leftOut, p, now)
+	return h.markNotUnreachable(usable, skip, p, now)
 }
 
 // markDespiteEjections marks all replicas, ejected or not, except those in skip and those in
 // domains that are cut off and in which a connection failed.
-func (h *Health) markDespiteEjections(usable []bool, leftOut replicaSet, p *Pool, now time.Time) {
+func (h *Health) markDespiteEjections(usable []bool, skip replicaSet, p *Pool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.markNotUnreachable(usable, leftOut, p, now)
+	h.markNotUnreachable(usable, skip, p, now)
 }
 
 // markNotUnreachable marks the replicas of domains in which no connection failed, and returns the
 // number of replicas marked. h.mu must be held.
-func (h *Health) markNotUnreachable(usable []bool, leftOut replicaSet, p *Pool, now time.Time) int {
-	return h.mark(usable, leftOut, p, func(d state.FailureDomain) bool { return !h.domainIsUnreachable(d, now) })
+func (h *Health) markNotUnreachable(usable []bool, skip replicaSet, p *Pool, now time.Time) int {
+	return h.mark(usable, skip, p, func(d state.FailureDomain) bool { return !h.domainIsUnreachable(d, now) })
 }
 
 // domainIsUnreachable reports whether a domain is cut off and a connection to a replica there
@@ -84,7 +84,7 @@
 
 // mark marks the replicas in domains that meet a condition, except those in skip, and returns the
 // number of replicas marked.
-func (h *Health) mark(usable []bool, leftOut replicaSet, p *Pool, condition func(state.FailureDomain) bool) int {
+func (h *Health) mark(usable []bool, skip replicaSet, p *Pool, condition func(state.FailureDomain) bool) int {
 	unmet := make([]state.FailureDomain, 0, len(h.domainSeen))
 	for d := range h.domainSeen {
 		if !condition(d) {
@@ -94,7 +94,7 @@
 	marked := 0
 	for i := range p.Ready {
 		// Usually no domain is cut off, and the lookup is skipped.
-		usable[i] = !leftOut.has(i) && (len(unmet) == 0 || !slices.Contains(unmet, p.Ready[i].Domain))
+		usable[i] = !skip.has(i) && (len(unmet) == 0 || !slices.Contains(unmet, p.Ready[i].Domain))
 		if usable[i] {
 			marked++
 		}
--- a/coordination/routing/doubt.go
+++ b/coordination/routing/doubt.go
@@ -25,18 +25,18 @@
 // LinkDoubts records when connections to failure domains broke. It is safe for concurrent use.
 // The zero value is ready to use.
 type LinkDoubts struct {
-	mu    sync.Mutex
-	broke map[state.FailureDomain]time.Time
+	mu       sync.Mutex
+	brokenAt map[state.FailureDomain]time.Time
 }
 
 // Broke records that a connection to a replica of a domain broke before the response began.
 func (l *LinkDoubts) Broke(d state.FailureDomain, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.broke == nil {
-		l.broke = make(map[state.FailureDomain]time.Time)
+	if l.brokenAt == nil {
+		l.brokenAt = make(map[state.FailureDomain]time.Time)
 	}
-	l.broke[d] = now
+	l.brokenAt[d] = now
 }
 
 // Trusts reports whether a connection to a domain that has been idle since the given time may be
@@ -44,5 +44,5 @@
 func (l *LinkDoubts) Trusts(d state.FailureDomain, idleSince time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return idleSince.After(l.broke[d])
+	return idleSince.After(l.brokenAt[d])
 }
--- a/coordination/routing/doubt_test.go
+++ b/coordination/routing/doubt_test.go
@@ -12,12 +12,12 @@
 // a failure domain were reset, before a heartbeat is missed: a daemon sends four requests a
 // second to the domain, over connections that were idle when the links broke. Each request sent
 // on such a connection is lost, since it may have run.
-func TestBrokenLinksCostOneRequestADomain(t *testing.T) {
+func TestBrokenLinksCostOneRequestPerDomain(t *testing.T) {
 	const replicas, requests = 28, 6
 	for _, c := range []struct {
 		name   string
 		lost   int
-		doubts bool
+		tracks bool
 	}{{"without tracking", requests, false}, {"with tracking", 1, true}} {
 		var l routing.LinkDoubts
 		idleSince := make([]time.Time, replicas)
@@ -31,7 +31,7 @@
 				continue // a new connection fails, and the request goes elsewhere
 			}
 			lost++
-			if c.doubts {
+			if c.tracks {
 				l.Broke("z1", now)
 			}
 		}
--- a/coordination/routing/eject.go
+++ b/coordination/routing/eject.go
@@ -32,14 +32,14 @@
 const (
 	// minFailures and minFailureRatio: a replica that fails a few responses in a hundred stays
 	// below them. The two were not varied one at a time.
-	leastFailures = 4
-	failureShare  = 0.3
+	minFailures     = 4
+	minFailureRatio = 0.3
 	// initialEjection and maxEjection bound the duration of one ejection.
-	firstEjection   = 500 * time.Millisecond
-	longestEjection = 4 * time.Second
+	initialEjection = 500 * time.Millisecond
+	maxEjection     = 4 * time.Second
 	// ejectionResetAfter is the time without an ejection after which the next one lasts
 	// initialEjection again.
-	ejectionMemory = 6 * time.Second
+	ejectionResetAfter = 6 * time.Second
 	// PeerEvidenceAge is how long a peer's counts are used: five of its heartbeats.
 	// PeerEvidenceAgeLarge holds in a large fleet, where a peer's heartbeat arrives every 5 s;
 	// with 1 s a daemon of 62 saw a fifth of the evidence.
@@ -62,14 +62,14 @@
 	domainTimeout time.Duration
 	// unreachable is until when a domain that is cut off gets no requests because a connection to
 	// a replica there failed.
-	unreachable map[state.FailureDomain]time.Time
-	silences    silences
-	ended       map[LoadKey]time.Time // when incarnations terminated
-	endedHold   time.Duration         // how long a termination counts
+	unreachable    map[state.FailureDomain]time.Time
+	silences       silenceTable
+	terminated     map[LoadKey]time.Time // when incarnations terminated
+	terminatedHold time.Duration         // how long a termination counts
 	// liveness is the time through which each incarnation is known to have lived. It disproves
 	// terminations.
-	lives       map[LoadKey]*life
-	lifeReports outbox[LifeReport]
+	liveness        map[LoadKey]*liveInterval
+	livenessReports outbox[LifeReport]
 }
 
 // NewHealth returns an empty Health.
@@ -77,11 +77,11 @@
 	return &Health{
 		records: make(map[LoadKey]*record), ejected: make(map[LoadKey]*record), peers: make(map[PeerID]*peerEvidence),
 		domainSeen: make(map[state.FailureDomain]time.Time), domainTimeout: DomainTimeout,
-		unreachable: make(map[state.FailureDomain]time.Time), silences: newSilences(),
-		ended: make(map[LoadKey]time.Time), endedHold: endedHold, lives: make(map[LoadKey]*life),
-		lifeReports: outbox[LifeReport]{
-			waiting: make(chan struct{}, 1), most: maxLifeReports, keeps: true,
-			before: func(a, b pendingReport[LifeReport]) int { return a.at.Compare(b.at) },
+		unreachable: make(map[state.FailureDomain]time.Time), silences: newSilenceTable(),
+		terminated: make(map[LoadKey]time.Time), terminatedHold: terminatedHold, liveness: make(map[LoadKey]*liveInterval),
+		livenessReports: outbox[LifeReport]{
+			notify: make(chan struct{}, 1), capacity: maxLivenessReports, keepUnsent: true,
+			compare: func(a, b pendingReport[LifeReport]) int { return a.at.Compare(b.at) },
 		},
 	}
 }
@@ -104,34 +104,34 @@
 	if result == ResultGood || rec.ejected(now) || !h.shouldEject(key, rec, result, now) {
 		return false
 	}
-	if now.Sub(rec.until) > ejectionMemory {
-		rec.ejection = 0
+	if now.Sub(rec.ejectedUntil) > ejectionResetAfter {
+		rec.ejectDuration = 0
 	}
-	rec.ejection = min(max(firstEjection, 2*rec.ejection), longestEjection)
-	rec.until, rec.cause = now.Add(rec.ejection), result
+	rec.ejectDuration = min(max(initialEjection, 2*rec.ejectDuration), maxEjection)
+	rec.ejectedUntil, rec.ejectCause = now.Add(rec.ejectDuration), result
 	h.ejected[key] = rec
 	if h.domainIsCutOff(r.Domain, now) {
-		h.unreachable[r.Domain] = rec.until
+		h.unreachable[r.Domain] = rec.ejectedUntil
 	}
 	return true
 }
 
 // shouldEject applies rules 1 and 2 after a failure.
 func (h *Health) shouldEject(key LoadKey, rec *record, result Result, now time.Time) bool {
-	if meansSilence(result) {
+	if isNoResponse(result) {
 		return true
 	}
-	good, bad := rec.sums()
+	good, bad := rec.totals()
 	for _, p := range h.peers {
-		peerGood, peerBad := p.of(key, now)
+		peerGood, peerBad := p.countsOf(key, now)
 		good += peerGood
 		bad += peerBad
 	}
-	return bad >= leastFailures && float64(bad) >= failureShare*float64(good+bad)
+	return bad >= minFailures && float64(bad) >= minFailureRatio*float64(good+bad)
 }
 
 // isNoResponse reports whether a result means that nothing was received from the replica.
-func meansSilence(r Result) bool { return r == ResultUnreachable || r == ResultSilent }
+func isNoResponse(r Result) bool { return r == ResultUnreachable || r == ResultSilent }
 
 // Observe records a peer's counts, which are used for the given time. The caller must not change
 // them afterwards.
@@ -148,7 +148,7 @@
 	var out []Evidence
 	for key, rec := range h.records {
 		rec.advance(now)
-		good, bad := rec.sums()
+		good, bad := rec.totals()
 		if bad > 0 {
 			out = append(out, Evidence{Replica: key, Good: saturate(good), Bad: saturate(bad)})
 		}
@@ -162,16 +162,16 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	rec := h.records[r.LoadKey()]
-	lost := h.hasEnded(r.LoadKey(), now) || rec != nil && rec.ejected(now) && meansSilence(rec.cause) || h.isSilent(r.LoadKey(), now)
+	lost := h.isTerminated(r.LoadKey(), now) || rec != nil && rec.ejected(now) && isNoResponse(rec.ejectCause) || h.isSilent(r.LoadKey(), now)
 	return !lost && !h.domainIsCutOff(r.Domain, now)
 }
 
 // markUsable sets usable[i] for each ready replica of a pool that may be chosen by rule 4, none
 // of which is in skip, and returns their number.
-func (h *Health) markUsable(usable []bool, leftOut replicaSet, p *Pool, now time.Time) int {
+func (h *Health) markUsable(usable []bool, skip replicaSet, p *Pool, now time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	reachable := h.markReachable(usable, leftOut, p, now)
+	reachable := h.markReachable(usable, skip, p, now)
 	left := reachable
 	for key, rec := range h.ejected {
 		if !rec.ejected(now) {
@@ -190,7 +190,7 @@
 		}
 	}
 	if 2*left < reachable || left == 0 {
-		return h.markReachable(usable, leftOut, p, now)
+		return h.markReachable(usable, skip, p, now)
 	}
 	return left
 }
@@ -209,8 +209,8 @@
 	defer h.mu.Unlock()
 	for key, rec := range h.records {
 		rec.advance(now)
-		good, bad := rec.sums()
-		if good+bad == 0 && now.Sub(rec.until) > ejectionMemory {
+		good, bad := rec.totals()
+		if good+bad == 0 && now.Sub(rec.ejectedUntil) > ejectionResetAfter {
 			delete(h.records, key)
 		}
 	}
@@ -220,11 +220,11 @@
 		}
 	}
 	h.silences.forget(now)
-	h.forgetEnds(now)
-	h.forgetLives(now)
+	h.forgetTerminated(now)
+	h.forgetLiveness(now)
 	delete(h.domainSeen, ownDomain)
 	for domain, at := range h.domainSeen {
-		if now.Sub(at) > domainMemory {
+		if now.Sub(at) > domainRetention {
 			delete(h.domainSeen, domain)
 		}
 	}
@@ -236,16 +236,16 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if rec := h.records[r.LoadKey()]; rec != nil {
-		good, bad := rec.sums()
+		good, bad := rec.totals()
 		if good+bad > 0 {
 			failures = float64(bad) / float64(good+bad)
 		}
-		if rec.ejected(now) && !h.hasEnded(r.LoadKey(), now) {
-			return failures, rec.cause.String()
+		if rec.ejected(now) && !h.isTerminated(r.LoadKey(), now) {
+			return failures, rec.ejectCause.String()
 		}
 	}
-	if h.hasEnded(r.LoadKey(), now) {
-		return failures, reasonEnded
+	if h.isTerminated(r.LoadKey(), now) {
+		return failures, reasonTerminated
 	}
 	if h.isSilent(r.LoadKey(), now) {
 		return failures, reasonSilentToOthers
--- a/coordination/routing/ended.go
+++ b/coordination/routing/ended.go
@@ -25,11 +25,11 @@
 const (
 	// terminatedHold is how long the entry of a new incarnation may be unknown: store watches can
 	// be silent for 1.7 s, and peers forward it within tenths of a second.
-	endedHold = 3 * time.Second
+	terminatedHold = 3 * time.Second
 	// terminatedHoldStale is longer than a restart of some seconds and the cold time after it.
 	// With terminatedHold instead, replicas that come back while the store is unavailable get too
 	// much.
-	endedHoldStale = 10 * time.Second
+	terminatedHoldStale = 10 * time.Second
 )
 
 // SetEntriesStale sets whether no daemon reads the store, or none did a moment ago, so that
@@ -37,9 +37,9 @@
 func (h *Health) SetEntriesStale(stale bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.endedHold = endedHold
+	h.terminatedHold = terminatedHold
 	if stale {
-		h.endedHold = endedHoldStale
+		h.terminatedHold = terminatedHoldStale
 	}
 }
 
@@ -48,8 +48,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, r := range reports {
-		if !r.Acquits && r.Age < endedHoldStale {
-			h.ended[r.Replica] = latest(h.ended[r.Replica], now.Add(-r.Age))
+		if !r.Acquits && r.Age < terminatedHoldStale {
+			h.terminated[r.Replica] = latest(h.terminated[r.Replica], now.Add(-r.Age))
 		}
 	}
 }
@@ -61,26 +61,26 @@
 
 // isTerminated reports whether an incarnation has terminated and gets no requests. h.mu must be
 // held.
-func (h *Health) hasEnded(key LoadKey, now time.Time) bool {
-	at, ok := h.ended[key]
-	return ok && now.Sub(at) < h.endedHold
+func (h *Health) isTerminated(key LoadKey, now time.Time) bool {
+	at, ok := h.terminated[key]
+	return ok && now.Sub(at) < h.terminatedHold
 }
 
 // terminatedReplicas returns the positions of the ready replicas of a pool that have terminated,
 // with the time until which each is skipped for that; nil if there are none.
-func (h *Health) markEnded(p *Pool, now time.Time) map[int]time.Time {
+func (h *Health) terminatedReplicas(p *Pool, now time.Time) map[int]time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out map[int]time.Time
-	for key, at := range h.ended {
+	for key, at := range h.terminated {
 		i, ok := p.places.place(key)
-		if !ok || p.Ready[i].LoadKey() != key || !h.hasEnded(key, now) {
+		if !ok || p.Ready[i].LoadKey() != key || !h.isTerminated(key, now) {
 			continue
 		}
 		if out == nil {
 			out = make(map[int]time.Time)
 		}
-		out[i] = at.Add(h.endedHold)
+		out[i] = at.Add(h.terminatedHold)
 	}
 	return out
 }
@@ -90,8 +90,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []LoadKey
-	for key := range h.ended {
-		if h.hasEnded(key, now) {
+	for key := range h.terminated {
+		if h.isTerminated(key, now) {
 			out = append(out, key)
 		}
 	}
@@ -99,13 +99,13 @@
 }
 
 // forgetTerminated removes terminations that have expired. h.mu must be held.
-func (h *Health) forgetEnds(now time.Time) {
-	for key, at := range h.ended {
-		if now.Sub(at) >= endedHoldStale {
-			delete(h.ended, key)
+func (h *Health) forgetTerminated(now time.Time) {
+	for key, at := range h.terminated {
+		if now.Sub(at) >= terminatedHoldStale {
+			delete(h.terminated, key)
 		}
 	}
 }
 
 // reasonTerminated is shown to operators. Tools match the text.
-const reasonEnded = "it has ended; its entry is not renewed yet"
+const reasonTerminated = "it has ended; its entry is not renewed yet"
--- a/coordination/routing/evacuate.go
+++ b/coordination/routing/evacuate.go
@@ -29,12 +29,12 @@
 // safe for concurrent use.
 type Evacuations struct {
 	evacuated map[state.FailureDomain]bool
-	takenBack map[state.FailureDomain]time.Time
+	endedAt   map[state.FailureDomain]time.Time
 }
 
 // NewEvacuations returns an Evacuations without an evacuated domain.
 func NewEvacuations() *Evacuations {
-	return &Evacuations{evacuated: make(map[state.FailureDomain]bool), takenBack: make(map[state.FailureDomain]time.Time)}
+	return &Evacuations{evacuated: make(map[state.FailureDomain]bool), endedAt: make(map[state.FailureDomain]time.Time)}
 }
 
 // Begin records that a domain is evacuated. It returns false if it already was.
@@ -43,7 +43,7 @@
 		return false
 	}
 	e.evacuated[d] = true
-	delete(e.takenBack, d)
+	delete(e.endedAt, d)
 	return true
 }
 
@@ -54,7 +54,7 @@
 		return false
 	}
 	delete(e.evacuated, d)
-	e.takenBack[d] = now
+	e.endedAt[d] = now
 	return true
 }
 
@@ -72,7 +72,7 @@
 // domains whose evacuation ended as cold for the duration of a cold start. It returns false if
 // there are no such domains.
 func (e *Evacuations) Apply(p *Pool, coldStart time.Duration) bool {
-	if len(e.evacuated)+len(e.takenBack) == 0 {
+	if len(e.evacuated)+len(e.endedAt) == 0 {
 		return false
 	}
 	p.Ready = slices.DeleteFunc(slices.Clone(p.Ready), func(r Replica) bool {
@@ -84,7 +84,7 @@
 	})
 	for i := range p.Ready {
 		r := &p.Ready[i]
-		if at, ok := e.takenBack[r.Domain]; ok {
+		if at, ok := e.endedAt[r.Domain]; ok {
 			r.ColdUntil = latest(r.ColdUntil, at.Add(coldStart))
 		}
 	}
--- a/coordination/routing/evacuate_test.go
+++ b/coordination/routing/evacuate_test.go
@@ -22,24 +22,24 @@
 
 // evacuationSim simulates a fleet whose daemons learn of documents from a few store readers and
 // from each other, in messages that may be lost, delayed or duplicated.
-type evacuationWorld struct {
-	rng     *rand.Rand
-	now     time.Duration
-	lost    float64 // fraction of the messages
-	daemons []*evacuationDaemon
-	mail    map[time.Duration][]evacuationMail // by the time of arrival, in steps
+type evacuationSim struct {
+	rng      *rand.Rand
+	now      time.Duration
+	lossRate float64 // fraction of the messages
+	daemons  []*evacuationDaemon
+	inFlight map[time.Duration][]evacuationMessage // by the time of arrival, in steps
 	// apply applies a document; the naive version applies whatever arrives last.
-	obey func(*evacuationDaemon, feed.Item)
+	apply func(*evacuationDaemon, feed.Item)
 }
 
 type evacuationDaemon struct {
-	feed      *feed.Feed
-	last      feed.Revision // of the last document applied
-	evacuated *routing.Evacuations
-	news      int // rounds for which it still forwards the document
+	feed          *feed.Feed
+	last          feed.Revision // of the last document applied
+	evacuated     *routing.Evacuations
+	forwardRounds int // rounds for which it still forwards the document
 }
 
-type evacuationMail struct {
+type evacuationMessage struct {
 	to   int
 	item feed.Item
 }
@@ -47,10 +47,10 @@
 const evacuationStep = 50 * time.Millisecond
 
 // storeReaders is the number of daemons that read the store, in a fleet of any size.
-const readersOfFleet = 4
+const storeReaders = 4
 
-func newEvacuationWorld(daemons int, seed uint64) *evacuationWorld {
-	w := &evacuationWorld{rng: rand.New(rand.NewPCG(seed, 9)), mail: make(map[time.Duration][]evacuationMail), obey: obeyNewest}
+func newEvacuationSim(daemons int, seed uint64) *evacuationSim {
+	w := &evacuationSim{rng: rand.New(rand.NewPCG(seed, 9)), inFlight: make(map[time.Duration][]evacuationMessage), apply: applyNewest}
 	for range daemons {
 		w.daemons = append(w.daemons, &evacuationDaemon{feed: feed.New(nil), evacuated: routing.NewEvacuations()})
 	}
@@ -58,19 +58,19 @@
 }
 
 // applyNewest applies a document if the feed finds it newer than the current one.
-func obeyNewest(d *evacuationDaemon, it feed.Item) {
+func applyNewest(d *evacuationDaemon, it feed.Item) {
 	for _, changed := range d.feed.Apply([]feed.Item{it}) {
 		d.take(changed)
 	}
 }
 
 // applyLast is naive: it applies whatever arrives last.
-func obeyLatest(d *evacuationDaemon, it feed.Item) { d.take(it) }
+func applyLast(d *evacuationDaemon, it feed.Item) { d.take(it) }
 
 func (d *evacuationDaemon) take(it feed.Item) {
-	const newsTimes = 5
+	const rounds = 5
 	if it.Revision > d.last {
-		d.last, d.news = it.Revision, newsTimes
+		d.last, d.forwardRounds = it.Revision, rounds
 	}
 	if it.Gone {
 		d.evacuated.End("z0", epoch)
@@ -80,31 +80,31 @@
 }
 
 // write stores a document. The store readers receive it within .6 s.
-func (w *evacuationWorld) write(it feed.Item) {
-	for i := range readersOfFleet {
+func (w *evacuationSim) write(it feed.Item) {
+	for i := range storeReaders {
 		w.post(i, it, time.Duration(w.rng.Int64N(int64(600*time.Millisecond))))
 	}
 }
 
-func (w *evacuationWorld) post(to int, it feed.Item, delay time.Duration) {
+func (w *evacuationSim) post(to int, it feed.Item, delay time.Duration) {
 	at := (w.now + delay).Truncate(evacuationStep) + evacuationStep
-	w.mail[at] = append(w.mail[at], evacuationMail{to, it})
+	w.inFlight[at] = append(w.inFlight[at], evacuationMessage{to, it})
 }
 
 // step delivers the messages that are due. Every 400 ms each daemon forwards what is new to it to
 // five others; some messages arrive so late that a newer document has long been known.
-func (w *evacuationWorld) step(documents []feed.Item) {
+func (w *evacuationSim) step(documents []feed.Item) {
 	w.now += evacuationStep
-	for _, m := range w.mail[w.now] {
-		w.obey(w.daemons[m.to], m.item)
+	for _, m := range w.inFlight[w.now] {
+		w.apply(w.daemons[m.to], m.item)
 	}
-	delete(w.mail, w.now)
+	delete(w.inFlight, w.now)
 	if w.now%(400*time.Millisecond) != 0 {
 		return
 	}
 	for _, d := range w.daemons {
-		for range min(5, d.news*5) {
-			if w.rng.Float64() < w.lost {
+		for range min(5, d.forwardRounds*5) {
+			if w.rng.Float64() < w.lossRate {
 				continue
 			}
 			delay := time.Duration(w.rng.Int64N(int64(50 * time.Millisecond)))
@@ -114,13 +114,13 @@
 			i := slices.IndexFunc(documents, func(it feed.Item) bool { return it.Revision == d.last })
 			w.post(w.rng.IntN(len(w.daemons)), documents[i], delay)
 		}
-		d.news = max(0, d.news-1)
+		d.forwardRounds = max(0, d.forwardRounds-1)
 	}
 }
 
 // runChanges writes documents that evacuate a domain and end the evacuation in turn, and returns
 // the number of daemons that have not applied the newest one after the bound.
-func (w *evacuationWorld) play(changes int) (wrong int) {
+func (w *evacuationSim) runChanges(changes int) (wrong int) {
 	var documents []feed.Item
 	for i := range changes {
 		documents = append(documents, feed.Item{Key: "z0", Revision: feed.Revision(i + 1), Gone: i%2 == 1})
@@ -147,9 +147,9 @@
 func TestAnEvacuationReachesTheFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom(fleetSizes).Draw(t, "daemons")
-		w := newEvacuationWorld(n, rapid.Uint64().Draw(t, "seed"))
-		w.lost = .1
-		if wrong := w.play(rapid.IntRange(1, 5).Draw(t, "changes")); wrong > 0 {
+		w := newEvacuationSim(n, rapid.Uint64().Draw(t, "seed"))
+		w.lossRate = .1
+		if wrong := w.runChanges(rapid.IntRange(1, 5).Draw(t, "changes")); wrong > 0 {
 			t.Fatalf("%d of %d daemons have not applied the newest document", wrong, n)
 		}
 	})
@@ -157,15 +157,15 @@
 
 // TestLateDocumentsBreakApplyLast checks that the simulation above is hard enough: daemons that
 // apply whatever arrives last must end with an old document.
-func TestLateDocumentsBreakWhatObeysTheLatest(t *testing.T) {
+func TestLateDocumentsBreakApplyLast(t *testing.T) {
 	for _, n := range fleetSizes {
 		wrong := 0
 		for seed := range uint64(5) {
-			w := newEvacuationWorld(n, seed)
-			w.obey = obeyLatest
-			wrong += w.play(5)
+			w := newEvacuationSim(n, seed)
+			w.apply = applyLast
+			wrong += w.runChanges(5)
 		}
-		if wrong == 0 && n > readersOfFleet*2 {
+		if wrong == 0 && n > storeReaders*2 {
 			t.Errorf("%d daemons that apply whatever arrives last all end with the newest document", n)
 		}
 	}
--- a/coordination/routing/evidence.go
+++ b/coordination/routing/evidence.go
@@ -51,10 +51,10 @@
 	clock     slotClock
 	// ejectDuration is the duration of the last ejection, ejectedUntil its end and ejectCause its
 	// cause.
-	ejection time.Duration
-	until    time.Time
-	cause    Result
-	answered time.Time // when it last sent this daemon a complete response
+	ejectDuration time.Duration
+	ejectedUntil  time.Time
+	ejectCause    Result
+	lastGood      time.Time // when it last sent this daemon a complete response
 }
 
 // advance clears the slots that have left the window.
@@ -73,13 +73,13 @@
 	i := r.slot % evidenceSlots
 	if result == ResultGood {
 		r.good[i]++
-		r.answered = now
+		r.lastGood = now
 		return
 	}
 	r.bad[i]++
 }
 
-func (r *record) sums() (good, bad int) {
+func (r *record) totals() (good, bad int) {
 	for i := range evidenceSlots {
 		good += r.good[i]
 		bad += r.bad[i]
@@ -87,7 +87,7 @@
 	return good, bad
 }
 
-func (r *record) ejected(now time.Time) bool { return now.Before(r.until) }
+func (r *record) ejected(now time.Time) bool { return now.Before(r.ejectedUntil) }
 
 // peerEvidence holds the counts of one peer.
 type peerEvidence struct {
@@ -96,7 +96,7 @@
 }
 
 // countsOf returns the peer's counts of one replica.
-func (p *peerEvidence) of(key LoadKey, now time.Time) (good, bad int) {
+func (p *peerEvidence) countsOf(key LoadKey, now time.Time) (good, bad int) {
 	if now.After(p.until) {
 		return 0, 0
 	}
--- a/coordination/routing/export_test.go
+++ b/coordination/routing/export_test.go
@@ -33,7 +33,7 @@
 func (c *ColdRates) Part(r *Replica, perSecond float64) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.part(r, &Service{ColdPerSecond: perSecond})
+	return c.quota(r, &Service{ColdPerSecond: perSecond})
 }
 
 // Len returns how many rests are remembered.
@@ -43,5 +43,5 @@
 func (l *Leavings) Starts() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.starts)
+	return len(l.incarnations)
 }
--- a/coordination/routing/leaving.go
+++ b/coordination/routing/leaving.go
@@ -38,11 +38,11 @@
 
 const (
 	// departureRetention covers entries that expire and reappear while the store has problems.
-	leavingMemory = 10 * time.Minute
+	departureRetention = 10 * time.Minute
 	// minDepartureCapacity bounds the announcements kept and queued in a fleet with fewer
 	// entries; with more entries the bound is their number, since all may leave at once. Beyond
 	// the bound, the one whose entry was seen longest ago is evicted.
-	leastLeavings = 5000
+	minDepartureCapacity = 5000
 )
 
 // Leavings records which replicas announced that they are leaving. It is safe for concurrent use.
@@ -51,33 +51,33 @@
 	// known is the number of records. It lets requests skip the lock while there are none.
 	known atomic.Int64
 
-	mu     sync.RWMutex
-	told   map[ReplicaID]time.Time // when replicas told this daemon, in any incarnation
-	starts map[LoadKey]*leaving
-	outbox outbox[LeavingReport] // its capacity is that of incarnations
+	mu           sync.RWMutex
+	announced    map[ReplicaID]time.Time // when replicas told this daemon, in any incarnation
+	incarnations map[LoadKey]*departure
+	outbox       outbox[LeavingReport] // its capacity is that of incarnations
 }
 
 // departure is what is known of one incarnation that is leaving.
-type leaving struct {
-	at      time.Time // when it was announced
-	namedAt time.Time // when an entry last named the incarnation, or when the departure became known
-	ready   bool      // the entry says that it is ready
+type departure struct {
+	announcedAt time.Time // when it was announced
+	lastNamed   time.Time // when an entry last named the incarnation, or when the departure became known
+	ready       bool      // the entry says that it is ready
 }
 
 // NewLeavings returns an empty record.
 func NewLeavings() *Leavings {
 	return &Leavings{
-		told: make(map[ReplicaID]time.Time), starts: make(map[LoadKey]*leaving),
+		announced: make(map[ReplicaID]time.Time), incarnations: make(map[LoadKey]*departure),
 		outbox: outbox[LeavingReport]{
-			waiting: make(chan struct{}, 1), most: leastLeavings, keeps: true,
-			before: func(a, b pendingReport[LeavingReport]) int { return b.at.Compare(a.at) },
+			notify: make(chan struct{}, 1), capacity: minDepartureCapacity, keepUnsent: true,
+			compare: func(a, b pendingReport[LeavingReport]) int { return b.at.Compare(a.at) },
 		},
 	}
 }
 
 // Waiting returns a channel that receives a value when a new departure is known: views must be
 // rebuilt, and reports are available from [Leavings.TakeReports].
-func (l *Leavings) Waiting() <-chan struct{} { return l.outbox.waiting }
+func (l *Leavings) Waiting() <-chan struct{} { return l.outbox.notify }
 
 // Say records that a replica told this daemon that it is leaving. It returns true if that is new.
 func (l *Leavings) Say(r *Replica, now time.Time) bool {
@@ -86,7 +86,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.told[r.ID] = now
+	l.announced[r.ID] = now
 	return l.add(r.LoadKey(), now, now)
 }
 
@@ -106,31 +106,31 @@
 // add records the departure of an incarnation and, if it is new, queues a report. l.mu must be
 // held.
 func (l *Leavings) add(key LoadKey, at, now time.Time) bool {
-	if l.starts[key] != nil {
+	if l.incarnations[key] != nil {
 		return false
 	}
-	if len(l.starts) >= l.outbox.most {
-		l.makeRoom()
+	if len(l.incarnations) >= l.outbox.capacity {
+		l.evictOldest()
 	}
-	l.starts[key] = &leaving{at: at, namedAt: now, ready: true}
-	l.count()
+	l.incarnations[key] = &departure{announcedAt: at, lastNamed: now, ready: true}
+	l.updateKnown()
 	l.outbox.add(LeavingReport{Replica: key}, at)
 	return true
 }
 
 // evictOldest removes the incarnation whose entry was seen longest ago. l.mu must be held.
-func (l *Leavings) makeRoom() {
+func (l *Leavings) evictOldest() {
 	var first LoadKey
-	for key, s := range l.starts {
-		if l.starts[first] == nil || s.namedAt.Before(l.starts[first].namedAt) {
+	for key, s := range l.incarnations {
+		if l.incarnations[first] == nil || s.lastNamed.Before(l.incarnations[first].lastNamed) {
 			first = key
 		}
 	}
-	delete(l.starts, first)
+	delete(l.incarnations, first)
 }
 
 // updateKnown sets known. l.mu must be held.
-func (l *Leavings) count() { l.known.Store(int64(len(l.told) + len(l.starts))) }
+func (l *Leavings) updateKnown() { l.known.Store(int64(len(l.announced) + len(l.incarnations))) }
 
 // Known reports whether any replica is known to have announced that it is leaving.
 func (l *Leavings) Known() bool { return l != nil && l.known.Load() > 0 }
@@ -142,14 +142,14 @@
 	}
 	l.mu.RLock()
 	defer l.mu.RUnlock()
-	_, wasTold := l.told[r.ID]
-	return l.starts[r.LoadKey()] != nil || r.Born == 0 && wasTold
+	_, wasAnnounced := l.announced[r.ID]
+	return l.incarnations[r.LoadKey()] != nil || r.Born == 0 && wasAnnounced
 }
 
 // Apply moves the replicas that announced their departure from p.Ready to p.Draining. It returns
 // false if there are none.
 func (l *Leavings) Apply(p *Pool) bool {
-	leaving := l.among(p)
+	leaving := l.leavingReady(p)
 	if leaving == nil {
 		return false
 	}
@@ -167,7 +167,7 @@
 
 // leavingReady returns the ready replicas of a pool that announced their departure. It looks the
 // departures up in the pool's index, because there are few of them among many replicas.
-func (l *Leavings) among(p *Pool) (out replicaSet) {
+func (l *Leavings) leavingReady(p *Pool) (out replicaSet) {
 	if !l.Known() {
 		return nil
 	}
@@ -175,12 +175,12 @@
 	if p.places != nil {
 		indexed = p.indexed
 		l.mu.RLock()
-		for key := range l.starts {
+		for key := range l.incarnations {
 			if i, ok := p.places.place(key); ok && p.Ready[i].LoadKey() == key {
 				out = out.with(i, len(p.Ready))
 			}
 		}
-		for id := range l.told {
+		for id := range l.announced {
 			if i, ok := p.places.place(newLoadKey(Incarnation{ID: id})); ok && p.Ready[i].Incarnation() == (Incarnation{ID: id}) {
 				out = out.with(i, len(p.Ready))
 			}
@@ -212,7 +212,7 @@
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	var keys []LoadKey
-	for key, s := range l.starts {
+	for key, s := range l.incarnations {
 		if key > after && s.ready {
 			keys = append(keys, key)
 		}
@@ -222,7 +222,7 @@
 		if len(reports) == n {
 			return reports, last
 		}
-		reports, last = append(reports, LeavingReport{Replica: key, Age: max(0, now.Sub(l.starts[key].at))}), key
+		reports, last = append(reports, LeavingReport{Replica: key, Age: max(0, now.Sub(l.incarnations[key].announcedAt))}), key
 	}
 	return reports, 0
 }
@@ -231,26 +231,26 @@
 func (l *Leavings) Named(replicas iter.Seq[Replica], now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, s := range l.starts {
+	for _, s := range l.incarnations {
 		s.ready = false
 	}
 	entries := 0
 	for r := range replicas {
 		entries++
-		if s := l.starts[r.LoadKey()]; s != nil {
-			s.namedAt, s.ready = now, !r.Draining
+		if s := l.incarnations[r.LoadKey()]; s != nil {
+			s.lastNamed, s.ready = now, !r.Draining
 		}
 	}
-	l.outbox.most = max(leastLeavings, entries)
-	for key, s := range l.starts {
-		if now.Sub(s.namedAt) > leavingMemory {
-			delete(l.starts, key)
+	l.outbox.capacity = max(minDepartureCapacity, entries)
+	for key, s := range l.incarnations {
+		if now.Sub(s.lastNamed) > departureRetention {
+			delete(l.incarnations, key)
 		}
 	}
-	for id, at := range l.told {
-		if now.Sub(at) > leavingMemory {
-			delete(l.told, id)
+	for id, at := range l.announced {
+		if now.Sub(at) > departureRetention {
+			delete(l.announced, id)
 		}
 	}
-	l.count()
+	l.updateKnown()
 }
--- a/coordination/routing/leaving_test.go
+++ b/coordination/routing/leaving_test.go
@@ -14,7 +14,7 @@
 
 var _ = Describe("Replicas that announced their departure", func() {
 	It("get nothing from then on, not even if no other replica is left", func() {
-		f := restingFleet(3)
+		f := newBackoffFleet(3)
 		for i := range f.pool.Ready {
 			Expect(f.placer.Leavings.Say(&f.pool.Ready[i], epoch)).To(BeTrue())
 			Expect(f.placer.Leavings.Say(&f.pool.Ready[i], epoch)).To(BeFalse(), "it is already known")
@@ -23,7 +23,7 @@
 	})
 
 	It("are draining in rebuilt views, and prompts are copied from them", func() {
-		f := restingFleet(3)
+		f := newBackoffFleet(3)
 		t := f.choose(chat("s"))
 		f.placer.RecordRead(chat("s"), &t, epoch)
 		f.placer.Leavings.Say(&t.Replica, epoch)
@@ -56,7 +56,7 @@
 			l.Say(&r, epoch)
 			replicas = append(replicas, r)
 		}
-		told := func() int {
+		reported := func() int {
 			total, after := 0, routing.LoadKey(0)
 			for {
 				reports, last := l.All(after, 2, epoch)
@@ -66,12 +66,12 @@
 				}
 			}
 		}
-		Expect(told()).To(Equal(5))
+		Expect(reported()).To(Equal(5))
 		replicas[0].Draining = true
 		l.Named(slices.Values(replicas), epoch)
-		Expect(told()).To(Equal(4), "the store says that one is draining")
+		Expect(reported()).To(Equal(4), "the store says that one is draining")
 		l.Named(slices.Values(replicas[:3]), epoch)
-		Expect(told()).To(Equal(2), "two have no entry")
+		Expect(reported()).To(Equal(2), "two have no entry")
 	})
 
 	It("are removed some time after the last entry that names them, and bounded in number", func() {
@@ -96,7 +96,7 @@
 // TestAllReplicasOfLargeFleetMayLeave simulates a release of most replicas of a large fleet at
 // once, announced in their responses: none may be forgotten while its entry says that it is
 // ready.
-func TestAllReplicasOfALargeFleetMayLeave(t *testing.T) {
+func TestAllReplicasOfLargeFleetMayLeave(t *testing.T) {
 	const entries, leaving = 20000, 9000
 	l := routing.NewLeavings()
 	replicas := make([]routing.Replica, entries)
@@ -117,11 +117,11 @@
 }
 
 // TestDepartureAppliesToIncarnation checks rule 2.
-func TestStartsThatALeavingBinds(t *testing.T) {
+func TestDepartureAppliesToIncarnation(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		said, other routing.Born
-		leaves      bool
+		name             string
+		announced, other routing.Born
+		leaves           bool
 	}{
 		{"the incarnation that announced it", 7, 7, true},
 		{"another incarnation", 7, 8, false},
@@ -129,7 +129,7 @@
 		{"another incarnation, after an announcement without one", 0, 8, false},
 	} {
 		l := routing.NewLeavings()
-		r := routing.NewReplica(routing.Replica{ID: "r", Born: c.said})
+		r := routing.NewReplica(routing.Replica{ID: "r", Born: c.announced})
 		l.Say(&r, epoch)
 		other := routing.NewReplica(routing.Replica{ID: "r", Born: c.other})
 		l.Named(slices.Values([]routing.Replica{other}), epoch)
--- a/coordination/routing/lives.go
+++ b/coordination/routing/lives.go
@@ -33,31 +33,31 @@
 	// livenessSlack bounds how much later than it was a termination can appear. Reports are
 	// forwarded within tens of milliseconds. At the other end of the interval ageRounding is
 	// enough: with more, false terminations caused by a partition would count.
-	lifeSlack   = 300 * time.Millisecond
-	ageRounding = 10 * time.Millisecond
+	livenessSlack = 300 * time.Millisecond
+	ageRounding   = 10 * time.Millisecond
 	// livenessRetention is how long an interval is kept after its end: as long as terminations
 	// count and reports of them are in transit.
-	lifeMemory = 2 * endedHoldStale
+	livenessRetention = 2 * terminatedHoldStale
 	// livenessReportInterval is the minimum time between two reports of the same incarnation.
-	lifeInterval = time.Second
+	livenessReportInterval = time.Second
 	// maxLivenessReports bounds the queued reports, because each daemon of a large fleet may have
 	// as many.
-	maxLifeReports = 500
+	maxLivenessReports = 500
 )
 
 // liveInterval is the latest interval throughout which an incarnation is known to have lived.
-type life struct {
-	from, to time.Time
-	toldAt   time.Time
+type liveInterval struct {
+	from, to   time.Time
+	reportedAt time.Time
 }
 
 // covers reports whether a termination at the given time is false, by rule 2.
-func (l *life) covers(at time.Time) bool {
-	return l != nil && at.Sub(l.from) > lifeSlack && l.to.Sub(at) > ageRounding
+func (l *liveInterval) covers(at time.Time) bool {
+	return l != nil && at.Sub(l.from) > livenessSlack && l.to.Sub(at) > ageRounding
 }
 
 // extend merges an interval with the known one if they overlap, or replaces an older one.
-func (l *life) add(from, to time.Time) {
+func (l *liveInterval) extend(from, to time.Time) {
 	if from.After(l.to) || l.to.IsZero() {
 		l.from = from
 	}
@@ -73,42 +73,42 @@
 func (h *Health) Lived(r *Replica, opened, sent time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.life(r.LoadKey()).add(opened, sent)
-	h.tellOfLife(r.LoadKey(), sent)
+	h.livenessOf(r.LoadKey()).extend(opened, sent)
+	h.removeDisproved(r.LoadKey(), sent)
 }
 
 // livenessOf returns the interval of an incarnation, which is created if needed. h.mu must be
 // held.
-func (h *Health) life(key LoadKey) *life {
-	l := h.lives[key]
+func (h *Health) livenessOf(key LoadKey) *liveInterval {
+	l := h.liveness[key]
 	if l == nil {
-		l = &life{}
-		h.lives[key] = l
+		l = &liveInterval{}
+		h.liveness[key] = l
 	}
 	return l
 }
 
 // removeDisproved removes the known termination of an incarnation if it is false, and queues a
 // report of that. It returns true if it did. h.mu must be held.
-func (h *Health) tellOfLife(key LoadKey, now time.Time) bool {
-	at, ended := h.ended[key]
-	l := h.lives[key]
-	if !ended || !l.covers(at) {
+func (h *Health) removeDisproved(key LoadKey, now time.Time) bool {
+	at, terminated := h.terminated[key]
+	l := h.liveness[key]
+	if !terminated || !l.covers(at) {
 		return false
 	}
-	delete(h.ended, key)
-	h.queueLife(key, l, now)
+	delete(h.terminated, key)
+	h.queueLiveness(key, l, now)
 	return true
 }
 
 // queueLiveness queues a report unless one was queued within livenessReportInterval. h.mu must be
 // held.
-func (h *Health) queueLife(key LoadKey, l *life, now time.Time) {
-	if now.Sub(l.toldAt) < lifeInterval {
+func (h *Health) queueLiveness(key LoadKey, l *liveInterval, now time.Time) {
+	if now.Sub(l.reportedAt) < livenessReportInterval {
 		return
 	}
-	l.toldAt = now
-	h.lifeReports.add(LifeReport{Replica: key}, now)
+	l.reportedAt = now
+	h.livenessReports.add(LifeReport{Replica: key}, now)
 }
 
 // Disproves reports whether a termination of an incarnation at the given time is known to be
@@ -116,7 +116,7 @@
 func (h *Health) Disproves(key LoadKey, at time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.lives[key].covers(at)
+	return h.liveness[key].covers(at)
 }
 
 // Believable returns the crash reports that are not disproved, including clearances. For those
@@ -126,12 +126,12 @@
 	defer h.mu.Unlock()
 	out := make([]CrashReport, 0, len(reports))
 	for _, r := range reports {
-		l := h.lives[r.Replica]
+		l := h.liveness[r.Replica]
 		if r.Acquits || !l.covers(now.Add(-r.Age)) {
 			out = append(out, r)
 			continue
 		}
-		h.queueLife(r.Replica, l, now)
+		h.queueLiveness(r.Replica, l, now)
 	}
 	return out
 }
@@ -143,8 +143,8 @@
 	defer h.mu.Unlock()
 	var found []LoadKey
 	for _, r := range reports {
-		h.life(r.Replica).add(now.Add(-r.Since), now.Add(-r.Age))
-		if h.tellOfLife(r.Replica, now) {
+		h.livenessOf(r.Replica).extend(now.Add(-r.Since), now.Add(-r.Age))
+		if h.removeDisproved(r.Replica, now) {
 			found = append(found, r.Replica)
 		}
 	}
@@ -153,24 +153,24 @@
 
 // LivesWaiting returns a channel that receives a value when reports are available from
 // [Health.TakeLives].
-func (h *Health) LivesWaiting() <-chan struct{} { return h.lifeReports.waiting }
+func (h *Health) LivesWaiting() <-chan struct{} { return h.livenessReports.notify }
 
 // TakeLives returns up to n reports to send to other daemons. The others stay queued.
 func (h *Health) TakeLives(n int, now time.Time) []LifeReport {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.lifeReports.take(n, now, func(r LifeReport, _ time.Duration) LifeReport {
-		l := h.life(r.Replica)
+	return h.livenessReports.take(n, now, func(r LifeReport, _ time.Duration) LifeReport {
+		l := h.livenessOf(r.Replica)
 		r.Since, r.Age = now.Sub(l.from), now.Sub(l.to)
 		return r
 	})
 }
 
 // forgetLiveness removes expired intervals. h.mu must be held.
-func (h *Health) forgetLives(now time.Time) {
-	for key, l := range h.lives {
-		if now.Sub(l.to) > lifeMemory {
-			delete(h.lives, key)
+func (h *Health) forgetLiveness(now time.Time) {
+	for key, l := range h.liveness {
+		if now.Sub(l.to) > livenessRetention {
+			delete(h.liveness, key)
 		}
 	}
 }
--- a/coordination/routing/lives_fleet_test.go
+++ b/coordination/routing/lives_fleet_test.go
@@ -12,29 +12,29 @@
 
 // partitionSim simulates in virtual time a service with daemons and replicas in two failure
 // domains, and links between them that refuse connections for a while.
-type cutWorld struct {
-	pool    *routing.Pool
-	view    *routing.View
-	daemons []*cutDaemon
-	now     time.Time
-	isCut   bool
+type partitionSim struct {
+	pool          *routing.Pool
+	view          *routing.View
+	daemons       []*partitionDaemon
+	now           time.Time
+	isPartitioned bool
 }
 
 // partitionDaemon is a daemon with a connection to each replica that it reaches.
-type cutDaemon struct {
-	domain int
-	placer *routing.Placer
-	opened map[routing.ReplicaID]time.Time
-	ends   []routing.CrashReport // seen by this daemon; Age is relative to epoch
+type partitionDaemon struct {
+	domain  int
+	placer  *routing.Placer
+	opened  map[routing.ReplicaID]time.Time
+	crashes []routing.CrashReport // seen by this daemon; Age is relative to epoch
 }
 
-func newCutWorld(daemons, replicas int) *cutWorld {
+func newPartitionSim(daemons, replicas int) *partitionSim {
 	f := newFleet("llm", sameDomain(replicas)...)
 	f.pool.Sort()
 	f.view.Table, _ = routing.NewTable(&routing.Config{Services: []routing.Service{{Name: "llm", Generates: true, ColdPerSecond: coldPerSecond}}})
-	w := &cutWorld{pool: f.pool, view: f.view, now: epoch}
+	w := &partitionSim{pool: f.pool, view: f.view, now: epoch}
 	for i := range daemons {
-		d := &cutDaemon{domain: i % 2, opened: make(map[routing.ReplicaID]time.Time)}
+		d := &partitionDaemon{domain: i % 2, opened: make(map[routing.ReplicaID]time.Time)}
 		d.placer = &routing.Placer{Loads: routing.NewLoads(), Health: routing.NewHealth(), Cold: routing.NewColdRates(routing.PeerID(fmt.Sprint(i)))}
 		d.placer.Cold.SetDaemons(daemons)
 		w.daemons = append(w.daemons, d)
@@ -44,10 +44,10 @@
 
 // domainOf returns the domain of a replica: one of three replicas is in the first domain, the
 // others in the second, as with a small service that has one replica on one side of a partition.
-func (w *cutWorld) domainOf(i int) int { return min(1, i%3) }
+func (w *partitionSim) domainOf(i int) int { return min(1, i%3) }
 
 // request lets a daemon serve one request. It returns false if there was no replica to choose.
-func (w *cutWorld) request(d *cutDaemon, id string) bool {
+func (w *partitionSim) request(d *partitionDaemon, id string) bool {
 	var tried routing.Tried
 	for range routing.MaxChoices {
 		t, ok := d.placer.Choose(w.view, chat(id), tried, w.now)
@@ -60,11 +60,11 @@
 				i = k
 			}
 		}
-		if w.isCut && w.domainOf(i) != d.domain {
+		if w.isPartitioned && w.domainOf(i) != d.domain {
 			// The connection broke, and a new one is refused.
 			delete(d.opened, t.Replica.ID)
 			d.placer.Health.ReportEnd(&w.pool.Ready[i], w.now)
-			d.ends = append(d.ends, routing.CrashReport{Content: 5, Replica: w.pool.Ready[i].LoadKey(), Age: -w.now.Sub(epoch)})
+			d.crashes = append(d.crashes, routing.CrashReport{Content: 5, Replica: w.pool.Ready[i].LoadKey(), Age: -w.now.Sub(epoch)})
 			tried.Replicas = append(tried.Replicas, t.Replica.ID)
 			continue
 		}
@@ -79,19 +79,19 @@
 
 // gossip sends each daemon all that the others have seen and know, as far as the partition
 // allows.
-func (w *cutWorld) gossip() {
+func (w *partitionSim) gossip() {
 	for _, from := range w.daemons {
 		lives := from.placer.Health.TakeLives(100, w.now)
-		ends := make([]routing.CrashReport, len(from.ends))
-		for i, r := range from.ends {
+		crashes := make([]routing.CrashReport, len(from.crashes))
+		for i, r := range from.crashes {
 			r.Age += w.now.Sub(epoch)
-			ends[i] = r
+			crashes[i] = r
 		}
 		for _, to := range w.daemons {
-			if to == from || w.isCut && to.domain != from.domain {
+			if to == from || w.isPartitioned && to.domain != from.domain {
 				continue
 			}
-			to.placer.Health.ReportEnds(to.placer.Health.Believable(ends, w.now), w.now)
+			to.placer.Health.ReportEnds(to.placer.Health.Believable(crashes, w.now), w.now)
 			to.placer.Health.ObserveLives(lives, w.now)
 		}
 	}
@@ -106,7 +106,7 @@
 	const step = 20 * time.Millisecond
 	for _, daemons := range []int{8, 64} {
 		for _, cut := range []time.Duration{200 * time.Millisecond, time.Second, 5 * time.Second} {
-			w := newCutWorld(daemons, 3)
+			w := newPartitionSim(daemons, 3)
 			play := func(d time.Duration) (refused, all int) {
 				for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(step) {
 					for i, d := range w.daemons {
@@ -122,9 +122,9 @@
 				return refused, all
 			}
 			play(5 * time.Second)
-			w.isCut = true
+			w.isPartitioned = true
 			play(cut)
-			w.isCut = false
+			w.isPartitioned = false
 			refused, all := play(8 * time.Second)
 			t.Logf("%d daemons, cut for %v: %d of %d requests refused after it", daemons, cut, refused, all)
 			if refused > 0 {
--- a/coordination/routing/lives_test.go
+++ b/coordination/routing/lives_test.go
@@ -10,13 +10,13 @@
 )
 
 // TestLivenessDisprovesTerminations checks which responses disprove a termination at second 100.
-func TestLivesDisproveEnds(t *testing.T) {
+func TestLivenessDisprovesTerminations(t *testing.T) {
 	type answer struct{ opened, at float64 }
 	at := func(s float64) time.Time { return epoch.Add(time.Duration(s * float64(time.Second))) }
 	for _, c := range []struct {
-		name    string
-		answers []answer
-		none    bool
+		name      string
+		answers   []answer
+		disproved bool
 	}{
 		{"nothing", nil, false},
 		{"an answer on a connection from before", []answer{{50, 101}}, true},
@@ -34,8 +34,8 @@
 		for _, a := range c.answers {
 			h.Lived(&r, at(a.opened), at(a.at))
 		}
-		if got := h.Disproves(r.LoadKey(), at(100)); got != c.none {
-			t.Errorf("%s: disproved %t, want %t", c.name, got, c.none)
+		if got := h.Disproves(r.LoadKey(), at(100)); got != c.disproved {
+			t.Errorf("%s: disproved %t, want %t", c.name, got, c.disproved)
 		}
 	}
 }
@@ -43,7 +43,7 @@
 // TestDaemonsForwardDisprovedTerminations checks that a daemon that can disprove a termination
 // replies to the report of one that believes it, so that both use the replica again, and that the
 // crash no longer counts against requests.
-func TestDaemonsThatKnowBetterTellOthers(t *testing.T) {
+func TestDaemonsForwardDisprovedTerminations(t *testing.T) {
 	here, there := routing.NewHealth(), routing.NewHealth()
 	crashes := routing.NewCrashes()
 	r := routing.NewReplica(routing.Replica{ID: "r"})
@@ -93,24 +93,24 @@
 			return time.Duration(rapid.IntRange(0, most).Draw(t, name)) * time.Millisecond
 		}
 		now := epoch
-		var ends []time.Time
+		var terminations []time.Time
 		for range rapid.IntRange(1, 8).Draw(t, "starts") {
-			began := now
+			started := now
 			now = now.Add(draw("lives", 3000))
-			end := now
+			terminated := now
 			for range rapid.IntRange(0, 6).Draw(t, "answers") {
-				opened := began.Add(time.Duration(rapid.Float64Range(0, 1).Draw(t, "opened") * float64(end.Sub(began))))
-				sent := opened.Add(time.Duration(rapid.Float64Range(0, 1).Draw(t, "sent") * float64(end.Sub(opened))))
+				opened := started.Add(time.Duration(rapid.Float64Range(0, 1).Draw(t, "opened") * float64(terminated.Sub(started))))
+				sent := opened.Add(time.Duration(rapid.Float64Range(0, 1).Draw(t, "sent") * float64(terminated.Sub(opened))))
 				rapid.SampledFrom(daemons).Draw(t, "daemon").Lived(&r, opened, sent)
 			}
-			ends = append(ends, end)
+			terminations = append(terminations, terminated)
 			now = now.Add(draw("down", 2000) + time.Millisecond)
 			for _, d := range daemons {
 				d.ObserveLives(rapid.SampledFrom(daemons).Draw(t, "sender").TakeLives(10, now), now.Add(draw("delay", 100)))
 			}
 		}
 		for i, d := range daemons {
-			for _, end := range ends {
+			for _, end := range terminations {
 				if d.Disproves(r.LoadKey(), end.Add(draw("late", 40))) {
 					t.Fatalf("daemon %d disproves the termination at %v", i, end.Sub(epoch))
 				}
--- a/coordination/routing/outbox.go
+++ b/coordination/routing/outbox.go
@@ -17,26 +17,26 @@
 // outbox queues the reports of one kind. It is not safe for concurrent use.
 type outbox[R any] struct {
 	// notify receives a value when reports are queued.
-	waiting chan struct{}
-	most    int // maximum number of queued reports; more are dropped
+	notify   chan struct{}
+	capacity int // maximum number of queued reports; more are dropped
 	// rate is the number of reports sent a second, with bursts of up to one second's worth; 0:
 	// unlimited.
-	perSecond float64
+	rate float64
 	// maxAge is the age from which a report is dropped instead of sent; 0: unlimited.
 	maxAge time.Duration
 	// keepUnsent keeps reports that can't be sent now in the queue.
-	keeps bool
+	keepUnsent bool
 	// compare orders reports by priority: those that sort first are sent first.
-	before func(a, b pendingReport[R]) int
+	compare func(a, b pendingReport[R]) int
 
-	pending   []pendingReport[R]
-	allowance float64 // reports that may be sent, as of refilledAt
-	allowedAt time.Time
+	pending    []pendingReport[R]
+	tokens     float64 // reports that may be sent, as of refilledAt
+	refilledAt time.Time
 }
 
 // add queues a report. It is dropped if the queue is full.
 func (o *outbox[R]) add(r R, at time.Time) {
-	if len(o.pending) >= o.most {
+	if len(o.pending) >= o.capacity {
 		return
 	}
 	o.pending = append(o.pending, pendingReport[R]{r, at})
@@ -46,7 +46,7 @@
 // signal sends a value to notify, unless one is pending.
 func (o *outbox[R]) signal() {
 	select {
-	case o.waiting <- struct{}{}:
+	case o.notify <- struct{}{}:
 	default:
 	}
 }
@@ -55,8 +55,8 @@
 func (o *outbox[R]) take(n int, now time.Time, withAge func(r R, age time.Duration) R) []R {
 	pending := o.pending
 	o.pending = nil
-	slices.SortStableFunc(pending, o.before)
-	n = min(n, o.allow(now))
+	slices.SortStableFunc(pending, o.compare)
+	n = min(n, o.refill(now))
 	out := make([]R, 0, min(n, len(pending)))
 	for _, p := range pending {
 		age := max(0, now.Sub(p.at))
@@ -64,20 +64,20 @@
 		case o.maxAge > 0 && age >= o.maxAge:
 		case len(out) < n:
 			out = append(out, withAge(p.report, age))
-		case o.keeps:
+		case o.keepUnsent:
 			o.pending = append(o.pending, p)
 		}
 	}
-	o.allowance -= float64(len(out))
+	o.tokens -= float64(len(out))
 	return out
 }
 
 // refill returns how many reports may be sent now.
-func (o *outbox[R]) allow(now time.Time) int {
-	if o.perSecond == 0 {
-		return o.most
+func (o *outbox[R]) refill(now time.Time) int {
+	if o.rate == 0 {
+		return o.capacity
 	}
-	saved := o.allowance + o.perSecond*now.Sub(o.allowedAt).Seconds()
-	o.allowance, o.allowedAt = min(o.perSecond, saved), now
-	return int(o.allowance)
+	saved := o.tokens + o.rate*now.Sub(o.refilledAt).Seconds()
+	o.tokens, o.refilledAt = min(o.rate, saved), now
+	return int(o.tokens)
 }
--- a/coordination/routing/place.go
+++ b/coordination/routing/place.go
@@ -121,7 +121,7 @@
 	c.excludeCold(p.Cold, s, now)
 	for c.usableCount > 0 {
 		t := p.chooseUsable(c, pool, v, r, s, now)
-		if p.Cold.take(&t.Replica, s, now) {
+		if p.Cold.reserve(&t.Replica, s, now) {
 			return t, true
 		}
 		c.exclude(func(r *Replica) bool { return r.ID == t.Replica.ID })
--- a/coordination/routing/resting.go
+++ b/coordination/routing/resting.go
@@ -38,13 +38,13 @@
 	// maxBackoff bounds what a replica can request. A broken replica may request years, and only
 	// a restart of it would end that. A replica that means to serve again requests seconds;
 	// operators see backoffs and can lift them.
-	longestRest = time.Hour
+	maxBackoff = time.Hour
 	// maxBackoffs bounds the memory. It is far above the planned number of replicas, 4,500.
 	// Beyond it, the backoff that ends first is evicted.
-	maxRests = 10_000
+	maxBackoffs = 10_000
 	// backoffJitter is the time over which the retries of callers are spread after the first
 	// backoff has ended, so that they don't all arrive at the one replica that is back.
-	restSpread = 300 * time.Millisecond
+	backoffJitter = 300 * time.Millisecond
 )
 
 // Rests records which replicas requested a backoff from this daemon. It is safe for concurrent
@@ -54,22 +54,22 @@
 	known atomic.Int64
 
 	mu    sync.RWMutex
-	rests map[ReplicaID]rest
+	rests map[ReplicaID]backoff
 }
 
 // backoff is the backoff of one replica.
-type rest struct {
-	born  Born // start time of the incarnation that requested it
-	until time.Time
-	by    RequestID // the request whose response last requested the backoff
+type backoff struct {
+	born        Born // start time of the incarnation that requested it
+	until       time.Time
+	requestedBy RequestID // the request whose response last requested the backoff
 }
 
 // NewRests returns an empty record.
-func NewRests() *Rests { return &Rests{rests: make(map[ReplicaID]rest)} }
+func NewRests() *Rests { return &Rests{rests: make(map[ReplicaID]backoff)} }
 
 // appliesTo reports whether the backoff applies to an incarnation of the replica, by rule 3. An
 // entry without an incarnation time is taken for the same incarnation.
-func (t rest) binds(r *Replica) bool { return t.born == r.Born || t.born == 0 || r.Born == 0 }
+func (t backoff) appliesTo(r *Replica) bool { return t.born == r.Born || t.born == 0 || r.Born == 0 }
 
 // Ask records that a replica, in its response to the request by, requested a backoff of duration
 // d. It returns how much longer the replica backs off, and whether it was not backing off before.
@@ -80,13 +80,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before, ok := s.rests[r.ID]
-	isNew = !ok || !before.binds(r) || !now.Before(before.until)
-	t := rest{born: r.Born, until: now.Add(min(d, longestRest)), by: by}
+	isNew = !ok || !before.appliesTo(r) || !now.Before(before.until)
+	t := backoff{born: r.Born, until: now.Add(min(d, maxBackoff)), requestedBy: by}
 	if !isNew {
 		t.until = latest(t.until, before.until)
 	}
-	if !ok && len(s.rests) >= maxRests {
-		s.makeRoom()
+	if !ok && len(s.rests) >= maxBackoffs {
+		s.evictFirst()
 	}
 	s.rests[r.ID] = t
 	s.known.Store(int64(len(s.rests)))
@@ -94,7 +94,7 @@
 }
 
 // evictFirst removes the backoff that ends first. s.mu must be held.
-func (s *Rests) makeRoom() {
+func (s *Rests) evictFirst() {
 	var first ReplicaID
 	for id, t := range s.rests {
 		if first == "" || t.until.Before(s.rests[first].until) {
@@ -115,7 +115,7 @@
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	t, ok := s.rests[r.ID]
-	if !ok || !t.binds(r) {
+	if !ok || !t.appliesTo(r) {
 		return 0
 	}
 	return max(0, t.until.Sub(now))
@@ -129,13 +129,13 @@
 	}
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.rests[r.ID].by
+	return s.rests[r.ID].requestedBy
 }
 
 // retryAfter returns the time after which the caller of the request id, which was refused because
 // replicas of the pool are backing off, should retry, by rule 6. It returns false if no replica
 // of the pool is backing off.
-func (s *Rests) backIn(p *Pool, id RequestID, now time.Time) (time.Duration, bool) {
+func (s *Rests) retryAfter(p *Pool, id RequestID, now time.Time) (time.Duration, bool) {
 	if !s.Known() {
 		return 0, false
 	}
@@ -146,7 +146,7 @@
 		}
 	}
 	draw := float64(xxhash.Sum64String(string(id))) / math.MaxUint64
-	return first + time.Duration(draw*float64(restSpread)), first > 0
+	return first + time.Duration(draw*float64(backoffJitter)), first > 0
 }
 
 // Lift ends the backoff of a replica on behalf of an operator. It returns false if the replica
--- a/coordination/routing/resting_test.go
+++ b/coordination/routing/resting_test.go
@@ -14,7 +14,7 @@
 )
 
 // newBackoffFleet returns a fleet whose daemon records backoffs and departures.
-func restingFleet(replicas int) *fleet {
+func newBackoffFleet(replicas int) *fleet {
 	f := newFleet("llm", sameDomain(replicas)...)
 	f.placer.Rests, f.placer.Leavings = routing.NewRests(), routing.NewLeavings()
 	return f
@@ -34,7 +34,7 @@
 
 var _ = Describe("Replicas that requested a backoff", func() {
 	It("get nothing until it is over, and then their share", func() {
-		f := restingFleet(4)
+		f := newBackoffFleet(4)
 		r := f.pool.Ready[0]
 		f.placer.Rests.Ask(&r, 3*time.Second, "q", epoch)
 		Expect(f.chosen(0)).NotTo(HaveKey(r.ID))
@@ -43,7 +43,7 @@
 	})
 
 	It("get nothing even if all others are ejected or far more loaded", func() {
-		f := restingFleet(4)
+		f := newBackoffFleet(4)
 		r := f.pool.Ready[0]
 		f.placer.Rests.Ask(&r, 3*time.Second, "q", epoch)
 		for i := range f.pool.Ready {
@@ -61,7 +61,7 @@
 	})
 
 	It("lead to an immediate refusal if all are backing off, with the time until the first is back", func() {
-		f := restingFleet(3)
+		f := newBackoffFleet(3)
 		for i := range f.pool.Ready {
 			f.placer.Rests.Ask(&f.pool.Ready[i], time.Duration(2+i)*time.Second, "q", epoch)
 		}
@@ -77,7 +77,7 @@
 	})
 
 	It("are still sources of prompt copies", func() {
-		f := restingFleet(3)
+		f := newBackoffFleet(3)
 		t := f.choose(chat("s"))
 		f.placer.RecordRead(chat("s"), &t, epoch)
 		f.placer.Rests.Ask(&t.Replica, time.Second, "q", epoch)
@@ -113,11 +113,11 @@
 })
 
 // TestBackoffAppliesToIncarnation checks rule 3.
-func TestStartsThatARestBinds(t *testing.T) {
+func TestBackoffAppliesToIncarnation(t *testing.T) {
 	for _, c := range []struct {
-		name         string
-		asked, other routing.Born
-		bound        bool
+		name             string
+		requested, other routing.Born
+		backsOff         bool
 	}{
 		{"the incarnation that requested it", 7, 7, true},
 		{"another incarnation", 7, 8, false},
@@ -125,11 +125,11 @@
 		{"an incarnation that requested it under such an entry", 0, 8, true},
 	} {
 		rests := routing.NewRests()
-		r := routing.NewReplica(routing.Replica{ID: "r", Born: c.asked})
+		r := routing.NewReplica(routing.Replica{ID: "r", Born: c.requested})
 		rests.Ask(&r, 10*time.Second, "q", epoch)
 		other := routing.NewReplica(routing.Replica{ID: "r", Born: c.other})
-		if got := rests.Left(&other, epoch) > 0; got != c.bound {
-			t.Errorf("%s: backs off %t, want %t", c.name, got, c.bound)
+		if got := rests.Left(&other, epoch) > 0; got != c.backsOff {
+			t.Errorf("%s: backs off %t, want %t", c.name, got, c.backsOff)
 		}
 	}
 }
@@ -138,11 +138,11 @@
 // ejections, entries that come and go, and restarts, with any number of replicas. No request of
 // the daemon may reach a replica between the response that requested a backoff and the end of the
 // backoff. Two would be allowed, half a second later.
-func TestRestsAreKeptWhateverComesAfter(t *testing.T) {
+func TestBackoffsAreKept(t *testing.T) {
 	RegisterTestingT(t)
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "replicas")
-		f := restingFleet(n)
+		f := newBackoffFleet(n)
 		for i := range f.pool.Ready {
 			f.pool.Ready[i].Born = 1
 			f.pool.Ready[i] = routing.NewReplica(f.pool.Ready[i])
@@ -182,7 +182,7 @@
 				if ok && now.Before(until[target.Replica.ID]) {
 					t.Fatalf("%s got a request %v before the end of its backoff", target.Replica.ID, until[target.Replica.ID].Sub(now))
 				}
-				if !ok && someServes(f, until, now) {
+				if !ok && anyServing(f, until, now) {
 					t.Fatalf("a request was refused although a replica is not backing off")
 				}
 			}
@@ -201,7 +201,7 @@
 }
 
 // anyServing reports whether a replica of the fleet is not backing off.
-func someServes(f *fleet, until map[routing.ReplicaID]time.Time, now time.Time) bool {
+func anyServing(f *fleet, until map[routing.ReplicaID]time.Time, now time.Time) bool {
 	for i := range f.pool.Ready {
 		if !now.Before(until[f.pool.Ready[i].ID]) {
 			return true
--- a/coordination/routing/retry.go
+++ b/coordination/routing/retry.go
@@ -78,7 +78,7 @@
 // changes nothing if an attempt may have run it.
 func (a *Attempts) HeldBack() {
 	if _, ok := a.Outcome.(coordination.NotRun); ok {
-		a.Outcome = coordination.NotRun{Reason: coordination.ReasonHeldBack, RetryAfter: retryAfterHeld}
+		a.Outcome = coordination.NotRun{Reason: coordination.ReasonHeldBack, RetryAfter: retryAfterQuarantined}
 	}
 }
 
--- a/coordination/routing/silence.go
+++ b/coordination/routing/silence.go
@@ -44,55 +44,55 @@
 const (
 	// minSilentReporters is how many daemons must report a replica. One may be cut off itself or
 	// have lost a packet; two may be so at the same time.
-	silentReporters = 3
+	minSilentReporters = 3
 	// silenceReportTTL is how long a report counts: as long as other evidence.
-	silenceAge = evidenceWindow
+	silenceReportTTL = evidenceWindow
 	// forwardInterval is how much newer than the last forwarded report of the same replica and
 	// daemon a report must be to be forwarded again: a third of its lifetime, so that the
 	// information does not expire while the silence goes on.
-	refreshAfter = silenceAge / 3
+	forwardInterval = silenceReportTTL / 3
 	// maxSilenceReports bounds the reports kept: ten for each of 400 replicas.
-	maxSilences = 4000
+	maxSilenceReports = 4000
 )
 
 // silenceTable holds the reports. It is not safe for concurrent use.
-type silences struct {
-	reports map[LoadKey]map[ReporterID]silence
+type silenceTable struct {
+	reports map[LoadKey]map[ReporterID]silenceRecord
 	count   int
 	outbox  outbox[SilenceReport]
 }
 
 // silenceRecord is the newest report by one daemon of one replica.
-type silence struct {
-	at     time.Time // when the silence was met
-	passed time.Time // the time of the newest report that was forwarded
+type silenceRecord struct {
+	at          time.Time // when the silence was met
+	forwardedAt time.Time // the time of the newest report that was forwarded
 }
 
-func newSilences() silences {
-	return silences{
-		reports: make(map[LoadKey]map[ReporterID]silence),
+func newSilenceTable() silenceTable {
+	return silenceTable{
+		reports: make(map[LoadKey]map[ReporterID]silenceRecord),
 		outbox: outbox[SilenceReport]{
-			waiting: make(chan struct{}, 1), most: maxSilences, maxAge: silenceAge, keeps: true,
-			before: func(a, b pendingReport[SilenceReport]) int { return b.at.Compare(a.at) },
+			notify: make(chan struct{}, 1), capacity: maxSilenceReports, maxAge: silenceReportTTL, keepUnsent: true,
+			compare: func(a, b pendingReport[SilenceReport]) int { return b.at.Compare(a.at) },
 		},
 	}
 }
 
 // add records a report, and queues it to be forwarded if it is new.
-func (s *silences) add(replica LoadKey, reporter ReporterID, at, now time.Time) {
+func (s *silenceTable) add(replica LoadKey, reporter ReporterID, at, now time.Time) {
 	known, ok := s.reports[replica][reporter]
-	if now.Sub(at) >= silenceAge || ok && !at.After(known.at) || !ok && s.count >= maxSilences {
+	if now.Sub(at) >= silenceReportTTL || ok && !at.After(known.at) || !ok && s.count >= maxSilenceReports {
 		return
 	}
 	if !ok {
 		s.count++
 	}
 	if s.reports[replica] == nil {
-		s.reports[replica] = make(map[ReporterID]silence)
+		s.reports[replica] = make(map[ReporterID]silenceRecord)
 	}
 	known.at = at
-	if at.Sub(known.passed) >= refreshAfter {
-		known.passed = at
+	if at.Sub(known.forwardedAt) >= forwardInterval {
+		known.forwardedAt = at
 		s.outbox.add(SilenceReport{Replica: replica, Reporter: reporter}, at)
 	}
 	s.reports[replica][reporter] = known
@@ -100,21 +100,21 @@
 
 // isSilent reports whether enough daemons found a replica silent after it last responded to this
 // daemon.
-func (s *silences) silent(replica LoadKey, answered, now time.Time) bool {
+func (s *silenceTable) isSilent(replica LoadKey, answered, now time.Time) bool {
 	n := 0
 	for _, r := range s.reports[replica] {
-		if now.Sub(r.at) < silenceAge && r.at.After(answered) {
+		if now.Sub(r.at) < silenceReportTTL && r.at.After(answered) {
 			n++
 		}
 	}
-	return n >= silentReporters
+	return n >= minSilentReporters
 }
 
 // forget removes expired reports.
-func (s *silences) forget(now time.Time) {
+func (s *silenceTable) forget(now time.Time) {
 	for replica, of := range s.reports {
 		for reporter, r := range of {
-			if now.Sub(r.at) >= silenceAge {
+			if now.Sub(r.at) >= silenceReportTTL {
 				delete(of, reporter)
 				s.count--
 			}
@@ -161,9 +161,9 @@
 func (h *Health) isSilent(key LoadKey, now time.Time) bool {
 	var answered time.Time
 	if rec := h.records[key]; rec != nil {
-		answered = rec.answered
+		answered = rec.lastGood
 	}
-	return h.silences.silent(key, answered, now)
+	return h.silences.isSilent(key, answered, now)
 }
 
 // reasonSilentToOthers is shown to operators. Tools match the text.
--- a/coordination/routing/usable.go
+++ b/coordination/routing/usable.go
@@ -13,7 +13,7 @@
 
 // markUsable marks the replicas that may be chosen, none of which is in c.skip.
 func (c *candidates) markUsable(p *Placer, pool *Pool, tried Tried, now time.Time) {
-	c.usableCount = p.Health.markUsable(c.usable, c.leftOut, pool, now)
+	c.usableCount = p.Health.markUsable(c.usable, c.skip, pool, now)
 	c.excludeTried(tried)
 	if c.usableCount == 0 {
 		c.ignoreEjections(p, pool, tried, now)
@@ -22,7 +22,7 @@
 
 // ignoreEjections marks ejected replicas too, because any replica is better than none.
 func (c *candidates) ignoreEjections(p *Placer, pool *Pool, tried Tried, now time.Time) {
-	p.Health.markDespiteEjections(c.usable, c.leftOut, pool, now)
+	p.Health.markDespiteEjections(c.usable, c.skip, pool, now)
 	c.count()
 	c.excludeTried(tried)
 }
@@ -37,27 +37,27 @@
 
 // withTerminated returns the ineligible replicas together with the terminated ones; n is the size
 // of the pool.
-func leftOut(barred replicaSet, ended map[int]time.Time, n int) replicaSet {
-	out := slices.Clone(barred)
-	for i := range ended {
+func withTerminated(ineligible replicaSet, terminated map[int]time.Time, n int) replicaSet {
+	out := slices.Clone(ineligible)
+	for i := range terminated {
 		out = out.with(i, n)
 	}
 	return out
 }
 
 // mayTryTerminated applies rule 2 of ended.go.
-func (c *candidates) areTried(ended map[int]time.Time, s *Service) bool {
+func (c *candidates) mayTryTerminated(terminated map[int]time.Time, s *Service) bool {
 	isBounded := s != nil && s.ColdPerSecond > 0
-	return len(ended) > 0 && (c.usableCount == 0 || isBounded && c.usableCount < len(ended))
+	return len(terminated) > 0 && (c.usableCount == 0 || isBounded && c.usableCount < len(terminated))
 }
 
 // includeTerminated marks the terminated replicas, as cold ones. One that refused a connection a
 // moment ago is left out while others may be chosen.
-func (c *candidates) include(p *Placer, pool *Pool, barred replicaSet, ended map[int]time.Time, now time.Time) {
+func (c *candidates) includeTerminated(p *Placer, pool *Pool, ineligible replicaSet, terminated map[int]time.Time, now time.Time) {
 	reachable := make([]bool, len(c.ready))
-	p.Health.markDespiteEjections(reachable, barred, pool, now)
+	p.Health.markDespiteEjections(reachable, ineligible, pool, now)
 	c.ready = slices.Clone(c.ready)
-	for i, until := range ended {
+	for i, until := range terminated {
 		r := &c.ready[i]
 		if !reachable[i] || c.usableCount > 0 && p.Health.isEjected(r, now) {
 			continue
@@ -75,16 +75,16 @@
 	}
 	warm := 0
 	for i := range c.ready {
-		if c.usable[i] && !rates.bounds(&c.ready[i], s, now) {
+		if c.usable[i] && !rates.isLimited(&c.ready[i], s, now) {
 			warm++
 		}
 	}
 	if warm == c.usableCount {
 		return
 	}
-	enough := float64(warm) >= warmShare*float64(c.usableCount)
+	enough := float64(warm) >= warmFraction*float64(c.usableCount)
 	c.exclude(func(r *Replica) bool {
-		return rates.bounds(r, s, now) && (enough || !rates.allows(r, s, now))
+		return rates.isLimited(r, s, now) && (enough || !rates.allows(r, s, now))
 	})
 }
 
