--- a/coordination/routing/barred.go
+++ b/coordination/routing/barred.go
@@ -35,11 +35,11 @@
 // ineligible returns the ready replicas of a pool that must not get any request.
 func (p *Placer) ineligible(pool *Pool, now time.Time) replicaSet {
 	excluded := p.Leavings.leavingReady(pool)
-	if !p.Rests.Known() {
+	if !p.Backoffs.Known() {
 		return excluded
 	}
 	for i := range pool.Ready {
-		if p.Rests.Left(&pool.Ready[i], now) > 0 {
+		if p.Backoffs.Remaining(&pool.Ready[i], now) > 0 {
 			excluded = excluded.with(i, len(pool.Ready))
 		}
 	}
@@ -48,14 +48,14 @@
 
 // Bars reports whether a replica must not get any request.
 func (p *Placer) Bars(r *Replica, now time.Time) bool {
-	return p.Rests.Left(r, now) > 0 || p.Leavings.Leaves(r)
+	return p.Backoffs.Remaining(r, now) > 0 || p.Leavings.Leaves(r)
 }
 
 // WhyNone returns the reason why no replica can be chosen for a request, and the time after which
 // its caller should retry.
 func (p *Placer) WhyNone(v *View, r *Request, now time.Time) coordination.NotRun {
 	pool := v.Pool(r.Service)
-	retryAfter, backingOff := p.Rests.retryAfter(pool, r.ID, now)
+	retryAfter, backingOff := p.Backoffs.retryAfter(pool, r.ID, now)
 	switch {
 	case len(pool.Ready) == 0 && len(pool.Evacuated) > 0:
 		return coordination.NotRun{Reason: coordination.ReasonEvacuated, RetryAfter: retryAfterEvacuated}
--- a/coordination/routing/export_test.go
+++ b/coordination/routing/export_test.go
@@ -37,7 +37,7 @@
 }
 
 // Len returns how many rests are remembered.
-func (s *Rests) Len() int { return int(s.known.Load()) }
+func (s *Backoffs) Len() int { return int(s.known.Load()) }
 
 // Starts returns how many starts are remembered.
 func (l *Leavings) Starts() int {
--- a/coordination/routing/place.go
+++ b/coordination/routing/place.go
@@ -88,12 +88,12 @@
 
 // Placer chooses replicas. It is safe for use by many goroutines.
 type Placer struct {
-	Loads  *Loads
-	Health *Health
-	Cache  *CacheTable // nil: nothing is known to be cached
-	Crowds *Crowds     // nil: no replica is crowded
-	Cold   *ColdRates  // nil: cold replicas get as much as warm ones
-	Rests  *Rests      // nil: no replica rests
+	Loads    *Loads
+	Health   *Health
+	Cache    *CacheTable // nil: nothing is known to be cached
+	Crowds   *Crowds     // nil: no replica is crowded
+	Cold     *ColdRates  // nil: cold replicas get as much as warm ones
+	Backoffs *Backoffs   // nil: no replica rests
 	// Leavings are nil where no replica leaves by its own word.
 	Leavings *Leavings
 }
--- a/coordination/routing/resting.go
+++ b/coordination/routing/resting.go
@@ -47,14 +47,14 @@
 	backoffJitter = 300 * time.Millisecond
 )
 
-// Rests records which replicas requested a backoff from this daemon. It is safe for concurrent
-// use. A nil *Rests has no records.
-type Rests struct {
+// Backoffs records which replicas requested a backoff from this daemon. It is safe for concurrent
+// use. A nil *Backoffs has no records.
+type Backoffs struct {
 	// known is the number of backoffs. It lets requests skip the lock while there are none.
 	known atomic.Int64
 
-	mu    sync.RWMutex
-	rests map[ReplicaID]backoff
+	mu       sync.RWMutex
+	backoffs map[ReplicaID]backoff
 }
 
 // backoff is the backoff of one replica.
@@ -64,84 +64,85 @@
 	requestedBy RequestID // the request whose response last requested the backoff
 }
 
-// NewRests returns an empty record.
-func NewRests() *Rests { return &Rests{rests: make(map[ReplicaID]backoff)} }
+// NewBackoffs returns an empty record.
+func NewBackoffs() *Backoffs { return &Backoffs{backoffs: make(map[ReplicaID]backoff)} }
 
 // appliesTo reports whether the backoff applies to an incarnation of the replica, by rule 3. An
 // entry without an incarnation time is taken for the same incarnation.
 func (t backoff) appliesTo(r *Replica) bool { return t.born == r.Born || t.born == 0 || r.Born == 0 }
 
-// Ask records that a replica, in its response to the request by, requested a backoff of duration
-// d. It returns how much longer the replica backs off, and whether it was not backing off before.
-func (s *Rests) Ask(r *Replica, d time.Duration, by RequestID, now time.Time) (left time.Duration, isNew bool) {
+// Record records that a replica, in its response to the request by, requested a backoff of
+// duration d. It returns how much longer the replica backs off, and whether it was not backing
+// off before.
+func (s *Backoffs) Record(r *Replica, d time.Duration, by RequestID, now time.Time) (left time.Duration, isNew bool) {
 	if s == nil || d <= 0 {
 		return 0, false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before, ok := s.rests[r.ID]
+	before, ok := s.backoffs[r.ID]
 	isNew = !ok || !before.appliesTo(r) || !now.Before(before.until)
 	t := backoff{born: r.Born, until: now.Add(min(d, maxBackoff)), requestedBy: by}
 	if !isNew {
 		t.until = latest(t.until, before.until)
 	}
-	if !ok && len(s.rests) >= maxBackoffs {
+	if !ok && len(s.backoffs) >= maxBackoffs {
 		s.evictFirst()
 	}
-	s.rests[r.ID] = t
-	s.known.Store(int64(len(s.rests)))
+	s.backoffs[r.ID] = t
+	s.known.Store(int64(len(s.backoffs)))
 	return t.until.Sub(now), isNew
 }
 
 // evictFirst removes the backoff that ends first. s.mu must be held.
-func (s *Rests) evictFirst() {
+func (s *Backoffs) evictFirst() {
 	var first ReplicaID
-	for id, t := range s.rests {
-		if first == "" || t.until.Before(s.rests[first].until) {
+	for id, t := range s.backoffs {
+		if first == "" || t.until.Before(s.backoffs[first].until) {
 			first = id
 		}
 	}
-	delete(s.rests, first)
+	delete(s.backoffs, first)
 }
 
 // Known reports whether any backoff is recorded.
-func (s *Rests) Known() bool { return s != nil && s.known.Load() > 0 }
+func (s *Backoffs) Known() bool { return s != nil && s.known.Load() > 0 }
 
-// Left returns how much longer a replica backs off, or 0 if it does not.
-func (s *Rests) Left(r *Replica, now time.Time) time.Duration {
+// Remaining returns how much longer a replica backs off, or 0 if it does not.
+func (s *Backoffs) Remaining(r *Replica, now time.Time) time.Duration {
 	if !s.Known() {
 		return 0
 	}
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	t, ok := s.rests[r.ID]
+	t, ok := s.backoffs[r.ID]
 	if !ok || !t.appliesTo(r) {
 		return 0
 	}
 	return max(0, t.until.Sub(now))
 }
 
-// AskedBy returns the request whose response last requested the current backoff of a replica, or
-// "" if there is none.
-func (s *Rests) AskedBy(r *Replica, now time.Time) RequestID {
-	if s.Left(r, now) == 0 {
+// RequestedBy returns the request whose response last requested the current backoff of a replica,
+// or "" if there is none.
+func (s *Backoffs) RequestedBy(r *Replica, now time.Time) RequestID {
+	if s.Remaining(r, now) == 0 {
 		return ""
 	}
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.rests[r.ID].requestedBy
+	return s.backoffs[r.ID].requestedBy
 }
 
 // retryAfter returns the time after which the caller of the request id, which was refused because
 // replicas of the pool are backing off, should retry, by rule 6. It returns false if no replica
 // of the pool is backing off.
-func (s *Rests) retryAfter(p *Pool, id RequestID, now time.Time) (time.Duration, bool) {
+func (s *Backoffs) retryAfter(p *Pool, id RequestID, now time.Time) (time.Duration, bool) {
 	if !s.Known() {
 		return 0, false
 	}
 	var first time.Duration
 	for i := range p.Ready {
-		if left := s.Left(&p.Ready[i], now); left > 0 && (first == 0 || left < first) {
+		if left := s.Remaining(&p.Ready[i], now); left > 0 && (first == 0 || left < first) {
 			first = left
 		}
 	}
@@ -151,23 +152,23 @@
 
 // Lift ends the backoff of a replica on behalf of an operator. It returns false if the replica
 // was not backing off.
-func (s *Rests) Lift(id ReplicaID, now time.Time) bool {
+func (s *Backoffs) Lift(id ReplicaID, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t, ok := s.rests[id]
-	delete(s.rests, id)
-	s.known.Store(int64(len(s.rests)))
+	t, ok := s.backoffs[id]
+	delete(s.backoffs, id)
+	s.known.Store(int64(len(s.backoffs)))
 	return ok && now.Before(t.until)
 }
 
 // Forget removes the backoffs that are over.
-func (s *Rests) Forget(now time.Time) {
+func (s *Backoffs) Forget(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, t := range s.rests {
+	for id, t := range s.backoffs {
 		if !now.Before(t.until) {
-			delete(s.rests, id)
+			delete(s.backoffs, id)
 		}
 	}
-	s.known.Store(int64(len(s.rests)))
+	s.known.Store(int64(len(s.backoffs)))
 }
--- a/coordination/routing/resting_test.go
+++ b/coordination/routing/resting_test.go
@@ -16,7 +16,7 @@
 // newBackoffFleet returns a fleet whose daemon records backoffs and departures.
 func newBackoffFleet(replicas int) *fleet {
 	f := newFleet("llm", sameDomain(replicas)...)
-	f.placer.Rests, f.placer.Leavings = routing.NewRests(), routing.NewLeavings()
+	f.placer.Backoffs, f.placer.Leavings = routing.NewBackoffs(), routing.NewLeavings()
 	return f
 }
 
@@ -36,7 +36,7 @@
 	It("get nothing until it is over, and then their share", func() {
 		f := newBackoffFleet(4)
 		r := f.pool.Ready[0]
-		f.placer.Rests.Ask(&r, 3*time.Second, "q", epoch)
+		f.placer.Backoffs.Record(&r, 3*time.Second, "q", epoch)
 		Expect(f.chosen(0)).NotTo(HaveKey(r.ID))
 		Expect(f.chosen(2999 * time.Millisecond)).NotTo(HaveKey(r.ID))
 		Expect(f.chosen(3 * time.Second)).To(HaveKey(r.ID))
@@ -45,7 +45,7 @@
 	It("get nothing even if all others are ejected or far more loaded", func() {
 		f := newBackoffFleet(4)
 		r := f.pool.Ready[0]
-		f.placer.Rests.Ask(&r, 3*time.Second, "q", epoch)
+		f.placer.Backoffs.Record(&r, 3*time.Second, "q", epoch)
 		for i := range f.pool.Ready {
 			other := &f.pool.Ready[i]
 			if other.ID == r.ID {
@@ -63,7 +63,7 @@
 	It("lead to an immediate refusal if all are backing off, with the time until the first is back", func() {
 		f := newBackoffFleet(3)
 		for i := range f.pool.Ready {
-			f.placer.Rests.Ask(&f.pool.Ready[i], time.Duration(2+i)*time.Second, "q", epoch)
+			f.placer.Backoffs.Record(&f.pool.Ready[i], time.Duration(2+i)*time.Second, "q", epoch)
 		}
 		Expect(f.chosen(0)).To(BeEmpty())
 		seen := make(map[time.Duration]bool)
@@ -80,35 +80,35 @@
 		f := newBackoffFleet(3)
 		t := f.choose(chat("s"))
 		f.placer.RecordRead(chat("s"), &t, epoch)
-		f.placer.Rests.Ask(&t.Replica, time.Second, "q", epoch)
+		f.placer.Backoffs.Record(&t.Replica, time.Second, "q", epoch)
 		next, _ := f.placer.Choose(f.view, chat("s"), routing.Tried{}, epoch)
 		Expect(next.Source.ID).To(Equal(t.Replica.ID))
 	})
 
 	It("back off for an hour at most, and until an operator lifts it", func() {
 		r := routing.NewReplica(routing.Replica{ID: "r"})
-		rests := routing.NewRests()
-		left, isNew := rests.Ask(&r, 10*365*24*time.Hour, "q", epoch)
+		backoffs := routing.NewBackoffs()
+		left, isNew := backoffs.Record(&r, 10*365*24*time.Hour, "q", epoch)
 		Expect(left).To(Equal(time.Hour))
 		Expect(isNew).To(BeTrue())
-		Expect(rests.AskedBy(&r, epoch)).To(Equal(routing.RequestID("q")))
-		Expect(rests.Lift("r", epoch)).To(BeTrue())
-		Expect(rests.Left(&r, epoch)).To(BeZero())
-		Expect(rests.Lift("r", epoch)).To(BeFalse())
+		Expect(backoffs.RequestedBy(&r, epoch)).To(Equal(routing.RequestID("q")))
+		Expect(backoffs.Lift("r", epoch)).To(BeTrue())
+		Expect(backoffs.Remaining(&r, epoch)).To(BeZero())
+		Expect(backoffs.Lift("r", epoch)).To(BeFalse())
 	})
 
 	It("are removed when the backoff is over, and bounded in number", func() {
-		rests := routing.NewRests()
+		backoffs := routing.NewBackoffs()
 		last := routing.NewReplica(routing.Replica{ID: "last"})
 		for i := range 10_001 {
 			r := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint(i))})
-			rests.Ask(&r, time.Duration(i+1)*time.Millisecond, "q", epoch)
+			backoffs.Record(&r, time.Duration(i+1)*time.Millisecond, "q", epoch)
 		}
-		rests.Ask(&last, time.Minute, "q", epoch)
-		Expect(rests.Len()).To(Equal(10_000))
-		Expect(rests.Left(&last, epoch)).To(Equal(time.Minute))
-		rests.Forget(epoch.Add(30 * time.Second))
-		Expect(rests.Len()).To(Equal(1))
+		backoffs.Record(&last, time.Minute, "q", epoch)
+		Expect(backoffs.Len()).To(Equal(10_000))
+		Expect(backoffs.Remaining(&last, epoch)).To(Equal(time.Minute))
+		backoffs.Forget(epoch.Add(30 * time.Second))
+		Expect(backoffs.Len()).To(Equal(1))
 	})
 })
 
@@ -124,11 +124,11 @@
 		{"an entry without an incarnation time", 7, 0, true},
 		{"an incarnation that requested it under such an entry", 0, 8, true},
 	} {
-		rests := routing.NewRests()
+		backoffs := routing.NewBackoffs()
 		r := routing.NewReplica(routing.Replica{ID: "r", Born: c.requested})
-		rests.Ask(&r, 10*time.Second, "q", epoch)
+		backoffs.Record(&r, 10*time.Second, "q", epoch)
 		other := routing.NewReplica(routing.Replica{ID: "r", Born: c.other})
-		if got := rests.Left(&other, epoch) > 0; got != c.backsOff {
+		if got := backoffs.Remaining(&other, epoch) > 0; got != c.backsOff {
 			t.Errorf("%s: backs off %t, want %t", c.name, got, c.backsOff)
 		}
 	}
@@ -157,9 +157,9 @@
 			case 0:
 				now = now.Add(time.Duration(rapid.IntRange(1, 2500).Draw(t, "ms")) * time.Millisecond)
 			case 1: // refused, with or without a backoff
-				rest := time.Duration(rapid.IntRange(0, 4000).Draw(t, "rest")) * time.Millisecond
-				f.placer.Rests.Ask(r, rest, "q", now)
-				if end := now.Add(rest); end.After(until[r.ID]) {
+				backoff := time.Duration(rapid.IntRange(0, 4000).Draw(t, "rest")) * time.Millisecond
+				f.placer.Backoffs.Record(r, backoff, "q", now)
+				if end := now.Add(backoff); end.After(until[r.ID]) {
 					until[r.ID] = end
 				}
 			case 2:
@@ -174,7 +174,7 @@
 				delete(until, r.ID)
 				f.pool.Ready = append(withoutReplica(f.pool.Ready, r.ID), *r)
 			case 6:
-				f.placer.Rests.Forget(now)
+				f.placer.Backoffs.Forget(now)
 			}
 			f.pool.Sort()
 			for q := range 6 {
--- a/coordination/routing/retry_test.go
+++ b/coordination/routing/retry_test.go
@@ -99,8 +99,8 @@
 func TestARefusalSaysWhyThereIsNoReplica(t *testing.T) {
 	warm := routing.Replica{ID: "w"}
 	cold, resting := routing.Replica{ID: "c", ColdUntil: epoch.Add(time.Second)}, routing.Replica{ID: "r"}
-	placer := &routing.Placer{Rests: routing.NewRests()}
-	placer.Rests.Ask(&resting, time.Second, "q", epoch)
+	placer := &routing.Placer{Backoffs: routing.NewBackoffs()}
+	placer.Backoffs.Record(&resting, time.Second, "q", epoch)
 	for _, c := range []struct {
 		name string
 		pool routing.Pool
--- a/daemon/routes/control.go
+++ b/daemon/routes/control.go
@@ -49,7 +49,7 @@
 	crashes *routing.Crashes
 	cold    *routing.ColdRates
 	budgets *routing.RetryBudgets
-	rests   *routing.Rests
+	rests   *routing.Backoffs
 	// leavings are applied to each view that is built.
 	leavings *routing.Leavings
 }
@@ -59,7 +59,7 @@
 	return tables{
 		loads: routing.NewLoads(), health: routing.NewHealth(), cache: routing.NewCacheTable(), crowds: routing.NewCrowds(),
 		crashes: routing.NewCrashes(), cold: routing.NewColdRates(daemon), budgets: routing.NewRetryBudgets(rule, daemons),
-		rests: routing.NewRests(), leavings: routing.NewLeavings(),
+		rests: routing.NewBackoffs(), leavings: routing.NewLeavings(),
 	}
 }
 
--- a/daemon/routes/statements_test.go
+++ b/daemon/routes/statements_test.go
@@ -115,7 +115,7 @@
 	now := time.Unix(1_000_000, 0)
 	entries(c, 2, now, map[string]string{"replica-1": "born=1", "replica-2": "born=1"})
 	r := c.view.Load().Pool("s").Ready[0]
-	c.rests.Ask(&r, 90*time.Second, "q", now)
+	c.rests.Record(&r, 90*time.Second, "q", now)
 	resting := func() (out []ReplicaAnswer) {
 		for _, a := range c.replicaAnswers(now) {
 			if a.RestMS > 0 {
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -260,7 +260,7 @@
 	now := clock.Now()
 	a.Rest, a.Leaving = max(a.Rest, says.Rest), a.Leaving || says.Leaving
 	s.Observer.Said(r, s.call, says)
-	if left, isNew := s.Placer.Rests.Ask(r, says.Rest, s.call.ID, now); isNew {
+	if left, isNew := s.Placer.Backoffs.Record(r, says.Rest, s.call.ID, now); isNew {
 		s.Observer.Rests(r, s.call, left)
 	}
 	if says.Leaving && s.Placer.Leavings.Say(r, now) {
--- a/transport/relay/statement_test.go
+++ b/transport/relay/statement_test.go
@@ -110,7 +110,7 @@
 func TestRestIsLookedAtAgainBeforeTheFirstByte(t *testing.T) {
 	for name, learn := range map[string]func(w *world, r *replica){
 		"rest": func(w *world, r *replica) {
-			w.relay.Placer.Rests.Ask(&r.Replica, time.Minute, "other", time.Now())
+			w.relay.Placer.Backoffs.Record(&r.Replica, time.Minute, "other", time.Now())
 		},
 		"leaving": func(w *world, r *replica) { w.relay.Placer.Leavings.Say(&r.Replica, time.Now()) },
 	} {
