--- a/coordination/routing/barred.go
+++ b/coordination/routing/barred.go
@@ -34,7 +34,7 @@
 
 // ineligible returns the ready replicas of a pool that must not get any request.
 func (p *Placer) ineligible(pool *Pool, now time.Time) replicaSet {
-	excluded := p.Leavings.leavingReady(pool)
+	excluded := p.Departures.leavingReady(pool)
 	if !p.Backoffs.Known() {
 		return excluded
 	}
@@ -48,7 +48,7 @@
 
 // Bars reports whether a replica must not get any request.
 func (p *Placer) Bars(r *Replica, now time.Time) bool {
-	return p.Backoffs.Remaining(r, now) > 0 || p.Leavings.Leaves(r)
+	return p.Backoffs.Remaining(r, now) > 0 || p.Departures.IsLeaving(r)
 }
 
 // WhyNone returns the reason why no replica can be chosen for a request, and the time after which
--- a/coordination/routing/export_test.go
+++ b/coordination/routing/export_test.go
@@ -39,8 +39,8 @@
 // Len returns how many rests are remembered.
 func (s *Backoffs) Len() int { return int(s.known.Load()) }
 
-// Starts returns how many starts are remembered.
-func (l *Leavings) Starts() int {
+// Incarnations returns the number of incarnations recorded.
+func (l *Departures) Incarnations() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.incarnations)
--- a/coordination/routing/leaving.go
+++ b/coordination/routing/leaving.go
@@ -30,8 +30,8 @@
 	"time"
 )
 
-// LeavingReport says that an incarnation of a replica is leaving.
-type LeavingReport struct {
+// DepartureReport says that an incarnation of a replica is leaving.
+type DepartureReport struct {
 	Replica LoadKey
 	Age     time.Duration // since the announcement
 }
@@ -45,16 +45,16 @@
 	minDepartureCapacity = 5000
 )
 
-// Leavings records which replicas announced that they are leaving. It is safe for concurrent use.
-// A nil *Leavings has no records.
-type Leavings struct {
+// Departures records which replicas announced that they are leaving. It is safe for concurrent
+// use. A nil *Departures has no records.
+type Departures struct {
 	// known is the number of records. It lets requests skip the lock while there are none.
 	known atomic.Int64
 
 	mu           sync.RWMutex
 	announced    map[ReplicaID]time.Time // when replicas told this daemon, in any incarnation
 	incarnations map[LoadKey]*departure
-	outbox       outbox[LeavingReport] // its capacity is that of incarnations
+	outbox       outbox[DepartureReport] // its capacity is that of incarnations
 }
 
 // departure is what is known of one incarnation that is leaving.
@@ -64,23 +64,24 @@
 	ready       bool      // the entry says that it is ready
 }
 
-// NewLeavings returns an empty record.
-func NewLeavings() *Leavings {
-	return &Leavings{
+// NewDepartures returns an empty record.
+func NewDepartures() *Departures {
+	return &Departures{
 		announced: make(map[ReplicaID]time.Time), incarnations: make(map[LoadKey]*departure),
-		outbox: outbox[LeavingReport]{
+		outbox: outbox[DepartureReport]{
 			notify: make(chan struct{}, 1), capacity: minDepartureCapacity, keepUnsent: true,
-			compare: func(a, b pendingReport[LeavingReport]) int { return b.at.Compare(a.at) },
+			compare: func(a, b pendingReport[DepartureReport]) int { return b.at.Compare(a.at) },
 		},
 	}
 }
 
 // Waiting returns a channel that receives a value when a new departure is known: views must be
-// rebuilt, and reports are available from [Leavings.TakeReports].
-func (l *Leavings) Waiting() <-chan struct{} { return l.outbox.notify }
+// rebuilt, and reports are available from [Departures.TakeReports].
+func (l *Departures) Waiting() <-chan struct{} { return l.outbox.notify }
 
-// Say records that a replica told this daemon that it is leaving. It returns true if that is new.
-func (l *Leavings) Say(r *Replica, now time.Time) bool {
+// RecordAnnounced records that a replica told this daemon that it is leaving. It returns true if
+// that is new.
+func (l *Departures) RecordAnnounced(r *Replica, now time.Time) bool {
 	if l == nil {
 		return false
 	}
@@ -91,7 +92,7 @@
 }
 
 // Observe applies the reports of another daemon. It returns the incarnations that are new.
-func (l *Leavings) Observe(reports []LeavingReport, now time.Time) []LoadKey {
+func (l *Departures) Observe(reports []DepartureReport, now time.Time) []LoadKey {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var found []LoadKey
@@ -105,7 +106,7 @@
 
 // add records the departure of an incarnation and, if it is new, queues a report. l.mu must be
 // held.
-func (l *Leavings) add(key LoadKey, at, now time.Time) bool {
+func (l *Departures) add(key LoadKey, at, now time.Time) bool {
 	if l.incarnations[key] != nil {
 		return false
 	}
@@ -114,12 +115,12 @@
 	}
 	l.incarnations[key] = &departure{announcedAt: at, lastNamed: now, ready: true}
 	l.updateKnown()
-	l.outbox.add(LeavingReport{Replica: key}, at)
+	l.outbox.add(DepartureReport{Replica: key}, at)
 	return true
 }
 
 // evictOldest removes the incarnation whose entry was seen longest ago. l.mu must be held.
-func (l *Leavings) evictOldest() {
+func (l *Departures) evictOldest() {
 	var first LoadKey
 	for key, s := range l.incarnations {
 		if l.incarnations[first] == nil || s.lastNamed.Before(l.incarnations[first].lastNamed) {
@@ -130,13 +131,13 @@
 }
 
 // updateKnown sets known. l.mu must be held.
-func (l *Leavings) updateKnown() { l.known.Store(int64(len(l.announced) + len(l.incarnations))) }
+func (l *Departures) updateKnown() { l.known.Store(int64(len(l.announced) + len(l.incarnations))) }
 
 // Known reports whether any replica is known to have announced that it is leaving.
-func (l *Leavings) Known() bool { return l != nil && l.known.Load() > 0 }
+func (l *Departures) Known() bool { return l != nil && l.known.Load() > 0 }
 
-// Leaves reports whether a replica has announced that it is leaving, by rule 2.
-func (l *Leavings) Leaves(r *Replica) bool {
+// IsLeaving reports whether a replica has announced that it is leaving, by rule 2.
+func (l *Departures) IsLeaving(r *Replica) bool {
 	if !l.Known() {
 		return false
 	}
@@ -148,7 +149,7 @@
 
 // Apply moves the replicas that announced their departure from p.Ready to p.Draining. It returns
 // false if there are none.
-func (l *Leavings) Apply(p *Pool) bool {
+func (l *Departures) Apply(p *Pool) bool {
 	leaving := l.leavingReady(p)
 	if leaving == nil {
 		return false
@@ -167,7 +168,7 @@
 
 // leavingReady returns the ready replicas of a pool that announced their departure. It looks the
 // departures up in the pool's index, because there are few of them among many replicas.
-func (l *Leavings) leavingReady(p *Pool) (out replicaSet) {
+func (l *Departures) leavingReady(p *Pool) (out replicaSet) {
 	if !l.Known() {
 		return nil
 	}
@@ -188,7 +189,7 @@
 		l.mu.RUnlock()
 	}
 	for i := indexed; i < len(p.Ready); i++ {
-		if l.Leaves(&p.Ready[i]) {
+		if l.IsLeaving(&p.Ready[i]) {
 			out = out.with(i, len(p.Ready))
 		}
 	}
@@ -196,10 +197,10 @@
 }
 
 // TakeReports returns up to n reports to send to other daemons. The others stay queued.
-func (l *Leavings) TakeReports(n int, now time.Time) []LeavingReport {
+func (l *Departures) TakeReports(n int, now time.Time) []DepartureReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.outbox.take(n, now, func(r LeavingReport, age time.Duration) LeavingReport {
+	return l.outbox.take(n, now, func(r DepartureReport, age time.Duration) DepartureReport {
 		r.Age = age
 		return r
 	})
@@ -208,7 +209,7 @@
 // All returns up to n reports of the incarnations that are leaving although their entries say
 // that they are ready. The reports follow the key after, in a fixed order; last is the key of the
 // last report, or 0 if there are no more.
-func (l *Leavings) All(after LoadKey, n int, now time.Time) (reports []LeavingReport, last LoadKey) {
+func (l *Departures) All(after LoadKey, n int, now time.Time) (reports []DepartureReport, last LoadKey) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	var keys []LoadKey
@@ -222,13 +223,13 @@
 		if len(reports) == n {
 			return reports, last
 		}
-		reports, last = append(reports, LeavingReport{Replica: key, Age: max(0, now.Sub(l.incarnations[key].announcedAt))}), key
+		reports, last = append(reports, DepartureReport{Replica: key, Age: max(0, now.Sub(l.incarnations[key].announcedAt))}), key
 	}
 	return reports, 0
 }
 
-// Named records which replicas have entries, and removes departures by rule 4.
-func (l *Leavings) Named(replicas iter.Seq[Replica], now time.Time) {
+// ObserveEntries records which replicas have entries, and removes departures by rule 4.
+func (l *Departures) ObserveEntries(replicas iter.Seq[Replica], now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, s := range l.incarnations {
--- a/coordination/routing/leaving_test.go
+++ b/coordination/routing/leaving_test.go
@@ -16,8 +16,8 @@
 	It("get nothing from then on, not even if no other replica is left", func() {
 		f := newBackoffFleet(3)
 		for i := range f.pool.Ready {
-			Expect(f.placer.Leavings.Say(&f.pool.Ready[i], epoch)).To(BeTrue())
-			Expect(f.placer.Leavings.Say(&f.pool.Ready[i], epoch)).To(BeFalse(), "it is already known")
+			Expect(f.placer.Departures.RecordAnnounced(&f.pool.Ready[i], epoch)).To(BeTrue())
+			Expect(f.placer.Departures.RecordAnnounced(&f.pool.Ready[i], epoch)).To(BeFalse(), "it is already known")
 		}
 		Expect(f.chosen(time.Hour)).To(BeEmpty())
 	})
@@ -26,8 +26,8 @@
 		f := newBackoffFleet(3)
 		t := f.choose(chat("s"))
 		f.placer.RecordRead(chat("s"), &t, epoch)
-		f.placer.Leavings.Say(&t.Replica, epoch)
-		f.placer.Leavings.Apply(f.pool)
+		f.placer.Departures.RecordAnnounced(&t.Replica, epoch)
+		f.placer.Departures.Apply(f.pool)
 		f.pool.Sort()
 		Expect(f.pool.Draining).To(ConsistOf(HaveField("ID", t.Replica.ID)))
 		next, _ := f.placer.Choose(f.view, chat("s"), routing.Tried{}, epoch)
@@ -36,24 +36,24 @@
 	})
 
 	It("become known to other daemons by one report, which each forwards once", func() {
-		here, there := routing.NewLeavings(), routing.NewLeavings()
+		here, there := routing.NewDepartures(), routing.NewDepartures()
 		r := routing.NewReplica(routing.Replica{ID: "r", Born: 5})
-		here.Say(&r, epoch)
+		here.RecordAnnounced(&r, epoch)
 		reports := here.TakeReports(10, epoch.Add(time.Second))
-		Expect(reports).To(ConsistOf(routing.LeavingReport{Replica: r.LoadKey(), Age: time.Second}))
+		Expect(reports).To(ConsistOf(routing.DepartureReport{Replica: r.LoadKey(), Age: time.Second}))
 		Expect(there.Observe(reports, epoch)).To(ConsistOf(r.LoadKey()))
-		Expect(there.Leaves(&r)).To(BeTrue())
+		Expect(there.IsLeaving(&r)).To(BeTrue())
 		Expect(there.TakeReports(10, epoch)).To(HaveLen(1))
 		Expect(there.Observe(reports, epoch)).To(BeEmpty())
 		Expect(there.TakeReports(10, epoch)).To(BeEmpty())
 	})
 
 	It("are reported to starting daemons while their entries say that they are ready", func() {
-		l := routing.NewLeavings()
+		l := routing.NewDepartures()
 		var replicas []routing.Replica
 		for i := range 5 {
 			r := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint(i))})
-			l.Say(&r, epoch)
+			l.RecordAnnounced(&r, epoch)
 			replicas = append(replicas, r)
 		}
 		reported := func() int {
@@ -68,28 +68,28 @@
 		}
 		Expect(reported()).To(Equal(5))
 		replicas[0].Draining = true
-		l.Named(slices.Values(replicas), epoch)
+		l.ObserveEntries(slices.Values(replicas), epoch)
 		Expect(reported()).To(Equal(4), "the store says that one is draining")
-		l.Named(slices.Values(replicas[:3]), epoch)
+		l.ObserveEntries(slices.Values(replicas[:3]), epoch)
 		Expect(reported()).To(Equal(2), "two have no entry")
 	})
 
 	It("are removed some time after the last entry that names them, and bounded in number", func() {
-		l := routing.NewLeavings()
+		l := routing.NewDepartures()
 		r := routing.NewReplica(routing.Replica{ID: "r"})
-		l.Say(&r, epoch)
-		l.Named(slices.Values([]routing.Replica{r}), epoch.Add(time.Hour))
-		Expect(l.Leaves(&r)).To(BeTrue())
-		l.Named(slices.Values[[]routing.Replica](nil), epoch.Add(time.Hour+9*time.Minute))
-		Expect(l.Leaves(&r)).To(BeTrue(), "its entry may have expired temporarily")
-		l.Named(slices.Values[[]routing.Replica](nil), epoch.Add(time.Hour+11*time.Minute))
-		Expect(l.Leaves(&r)).To(BeFalse())
+		l.RecordAnnounced(&r, epoch)
+		l.ObserveEntries(slices.Values([]routing.Replica{r}), epoch.Add(time.Hour))
+		Expect(l.IsLeaving(&r)).To(BeTrue())
+		l.ObserveEntries(slices.Values[[]routing.Replica](nil), epoch.Add(time.Hour+9*time.Minute))
+		Expect(l.IsLeaving(&r)).To(BeTrue(), "its entry may have expired temporarily")
+		l.ObserveEntries(slices.Values[[]routing.Replica](nil), epoch.Add(time.Hour+11*time.Minute))
+		Expect(l.IsLeaving(&r)).To(BeFalse())
 		Expect(l.Known()).To(BeFalse())
 		for i := range 5001 {
 			many := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint(i))})
-			l.Observe([]routing.LeavingReport{{Replica: many.LoadKey()}}, epoch.Add(time.Duration(i)))
+			l.Observe([]routing.DepartureReport{{Replica: many.LoadKey()}}, epoch.Add(time.Duration(i)))
 		}
-		Expect(l.Starts()).To(Equal(5000))
+		Expect(l.Incarnations()).To(Equal(5000))
 	})
 })
 
@@ -98,19 +98,19 @@
 // ready.
 func TestAllReplicasOfLargeFleetMayLeave(t *testing.T) {
 	const entries, leaving = 20000, 9000
-	l := routing.NewLeavings()
+	l := routing.NewDepartures()
 	replicas := make([]routing.Replica, entries)
 	for i := range replicas {
 		replicas[i] = routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint("r", i)), Born: 1})
 	}
 	for i := range leaving {
-		l.Say(&replicas[i], epoch.Add(time.Duration(i)*time.Millisecond))
+		l.RecordAnnounced(&replicas[i], epoch.Add(time.Duration(i)*time.Millisecond))
 		if i%500 == 0 {
-			l.Named(slices.Values(replicas), epoch.Add(time.Duration(i)*time.Millisecond))
+			l.ObserveEntries(slices.Values(replicas), epoch.Add(time.Duration(i)*time.Millisecond))
 		}
 	}
 	for i := range leaving {
-		if !l.Leaves(&replicas[i]) {
+		if !l.IsLeaving(&replicas[i]) {
 			t.Fatalf("replica %d of %d that leave is forgotten", i, leaving)
 		}
 	}
@@ -128,12 +128,12 @@
 		{"an entry without an incarnation time", 7, 0, true},
 		{"another incarnation, after an announcement without one", 0, 8, false},
 	} {
-		l := routing.NewLeavings()
+		l := routing.NewDepartures()
 		r := routing.NewReplica(routing.Replica{ID: "r", Born: c.announced})
-		l.Say(&r, epoch)
+		l.RecordAnnounced(&r, epoch)
 		other := routing.NewReplica(routing.Replica{ID: "r", Born: c.other})
-		l.Named(slices.Values([]routing.Replica{other}), epoch)
-		if got := l.Leaves(&other); got != c.leaves {
+		l.ObserveEntries(slices.Values([]routing.Replica{other}), epoch)
+		if got := l.IsLeaving(&other); got != c.leaves {
 			t.Errorf("%s: leaves %t, want %t", c.name, got, c.leaves)
 		}
 	}
--- a/coordination/routing/place.go
+++ b/coordination/routing/place.go
@@ -94,8 +94,8 @@
 	Crowds   *Crowds     // nil: no replica is crowded
 	Cold     *ColdRates  // nil: cold replicas get as much as warm ones
 	Backoffs *Backoffs   // nil: no replica rests
-	// Leavings are nil where no replica leaves by its own word.
-	Leavings *Leavings
+	// Departures are nil where no replica leaves by its own word.
+	Departures *Departures
 }
 
 // Choose returns the target of a request among the ready replicas of its
--- a/coordination/routing/replicas_test.go
+++ b/coordination/routing/replicas_test.go
@@ -133,8 +133,8 @@
 	if !evacuations.Apply(p, time.Second) || !p.Ready[0].IsCold(epoch) {
 		t.Fatal("taken back: not cold")
 	}
-	leavings := routing.NewLeavings()
-	leavings.Observe([]routing.LeavingReport{{Replica: entries.Ready[2].LoadKey()}}, epoch)
+	leavings := routing.NewDepartures()
+	leavings.Observe([]routing.DepartureReport{{Replica: entries.Ready[2].LoadKey()}}, epoch)
 	p = entries.Overlay()
 	if !leavings.Apply(p) || len(p.Ready) != 5 || len(p.Draining) != 1 {
 		t.Fatalf("leaving: %d ready, %d draining", len(p.Ready), len(p.Draining))
@@ -178,12 +178,12 @@
 func BenchmarkLeavingOfMany(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000, 20000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			list, l := routing.NewReplicaList(), routing.NewLeavings()
+			list, l := routing.NewReplicaList(), routing.NewDepartures()
 			for i := range n {
 				r := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint("r", i)), Service: "s", Born: 1})
 				list.Put(r)
 				if i%16 == 0 {
-					l.Observe([]routing.LeavingReport{{Replica: r.LoadKey()}}, epoch)
+					l.Observe([]routing.DepartureReport{{Replica: r.LoadKey()}}, epoch)
 				}
 			}
 			pool := list.Pool()
--- a/coordination/routing/resting_test.go
+++ b/coordination/routing/resting_test.go
@@ -16,7 +16,7 @@
 // newBackoffFleet returns a fleet whose daemon records backoffs and departures.
 func newBackoffFleet(replicas int) *fleet {
 	f := newFleet("llm", sameDomain(replicas)...)
-	f.placer.Backoffs, f.placer.Leavings = routing.NewBackoffs(), routing.NewLeavings()
+	f.placer.Backoffs, f.placer.Departures = routing.NewBackoffs(), routing.NewDepartures()
 	return f
 }
 
--- a/daemon/routes/catalog.go
+++ b/daemon/routes/catalog.go
@@ -210,7 +210,7 @@
 
 // view builds the view of the documents. Replicas that leave by their own word are draining,
 // whatever their entries say.
-func (c *catalog) view(leavings *routing.Leavings, now time.Time) *routing.View {
+func (c *catalog) view(leavings *routing.Departures, now time.Time) *routing.View {
 	v := &routing.View{Table: c.table, Position: c.feed.Position(), Pools: make(map[routing.ServiceName]*routing.Pool)}
 	for name, list := range c.lists {
 		if c.isService(name) {
@@ -222,7 +222,7 @@
 
 // pool returns the pool of a service with what is known besides the entries. It is the pool of
 // the entries where that is nothing.
-func (c *catalog) pool(name routing.ServiceName, entries *routing.Pool, leavings *routing.Leavings, now time.Time) *routing.Pool {
+func (c *catalog) pool(name routing.ServiceName, entries *routing.Pool, leavings *routing.Departures, now time.Time) *routing.Pool {
 	p := entries.Overlay()
 	if restored := c.expired.Restore(name, p, now); len(restored) > 0 {
 		c.log.Restored(name, len(restored), len(entries.Ready))
--- a/daemon/routes/control.go
+++ b/daemon/routes/control.go
@@ -51,7 +51,7 @@
 	budgets *routing.RetryBudgets
 	rests   *routing.Backoffs
 	// leavings are applied to each view that is built.
-	leavings *routing.Leavings
+	leavings *routing.Departures
 }
 
 // newTables returns empty tables of a daemon, which shares its retry budget with others.
@@ -59,7 +59,7 @@
 	return tables{
 		loads: routing.NewLoads(), health: routing.NewHealth(), cache: routing.NewCacheTable(), crowds: routing.NewCrowds(),
 		crashes: routing.NewCrashes(), cold: routing.NewColdRates(daemon), budgets: routing.NewRetryBudgets(rule, daemons),
-		rests: routing.NewBackoffs(), leavings: routing.NewLeavings(),
+		rests: routing.NewBackoffs(), leavings: routing.NewDepartures(),
 	}
 }
 
--- a/daemon/routes/events.go
+++ b/daemon/routes/events.go
@@ -56,7 +56,7 @@
 	// livesDue says that such reports are to be sent.
 	livesDue struct{}
 	// leavingsReceived are a peer's reports of replicas that leave by their own word.
-	leavingsReceived struct{ reports []routing.LeavingReport }
+	leavingsReceived struct{ reports []routing.DepartureReport }
 	// leavingsDue says that such reports are to be sent.
 	leavingsDue struct{}
 	// loanWanted says that a request lacks a retry at a service, or a part of one. The reply
--- a/daemon/routes/reports.go
+++ b/daemon/routes/reports.go
@@ -128,7 +128,7 @@
 }
 
 // receiveLeavings takes in a peer's reports of replicas that leave.
-func (c *control) receiveLeavings(reports []routing.LeavingReport, now time.Time) {
+func (c *control) receiveLeavings(reports []routing.DepartureReport, now time.Time) {
 	c.logReplicas(c.leavings.Observe(reports, now), c.log.LeavesByReport)
 }
 
@@ -140,7 +140,7 @@
 		return
 	}
 	if c.leavings.Known() {
-		c.leavings.Named(c.catalog.allReplicas(), now)
+		c.leavings.ObserveEntries(c.catalog.allReplicas(), now)
 	}
 	targets := c.targets(false, now)
 	if len(targets) == 0 {
--- a/daemon/routes/statements_test.go
+++ b/daemon/routes/statements_test.go
@@ -31,7 +31,7 @@
 	now := time.Unix(1_000_000, 0)
 	entries(c, 2, now, map[string]string{"replica-1": "born=1", "replica-2": "born=1"})
 	r := c.view.Load().Pool("s").Ready[0]
-	c.leavings.Say(&r, now)
+	c.leavings.RecordAnnounced(&r, now)
 	<-c.leavings.Waiting()
 	c.publish(now)
 	check := func(when string, ready int) {
@@ -78,7 +78,7 @@
 	peer := testMember(1)
 	here.receiveHeartbeat(context.Background(), &gossip.Heartbeat{Sender: peer, Partial: true}, now)
 	r := here.view.Load().Pool("s").Ready[0]
-	here.leavings.Say(&r, now)
+	here.leavings.RecordAnnounced(&r, now)
 	here.handle(context.Background(), leavingsDue{}, now)
 	if len(sent) != 1 {
 		t.Fatalf("%d datagrams, want 1 at once", len(sent))
--- a/daemon/routes/sync_test.go
+++ b/daemon/routes/sync_test.go
@@ -259,7 +259,7 @@
 				before := heldBytes()
 				c := newCatalog(versionedDocuments{}, l)
 				c.apply(c.feed.ApplyList(fleetEntries(replicas), feed.Revision(replicas+1)), sourceStore, false, time.Unix(1, 0))
-				v := c.view(routing.NewLeavings(), time.Unix(1, 0))
+				v := c.view(routing.NewDepartures(), time.Unix(1, 0))
 				b.ReportMetric(float64(heldBytes()-before)/float64(replicas), "B/replica")
 				runtime.KeepAlive(v)
 				runtime.KeepAlive(c)
--- a/protocol/gossip/gossip_test.go
+++ b/protocol/gossip/gossip_test.go
@@ -263,7 +263,7 @@
 	write("crowds", payload, err)
 	payload, err = EncodeCrashes([]routing.CrashReport{{Content: 1 << 40, Caller: 1 << 31, Replica: 5, Age: 250 * time.Millisecond}, {Content: 7, Acquits: true}})
 	write("crashes", payload, err)
-	payload, err = EncodeLeavings([]routing.LeavingReport{{Replica: 5, Age: 250 * time.Millisecond}, {Replica: 1 << 31}})
+	payload, err = EncodeLeavings([]routing.DepartureReport{{Replica: 5, Age: 250 * time.Millisecond}, {Replica: 1 << 31}})
 	write("leavings", payload, err)
 	payload, err = EncodeLives([]routing.LifeReport{{Replica: 5, Since: time.Hour, Age: 250 * time.Millisecond}})
 	write("lives", payload, err)
--- a/protocol/gossip/leavings.go
+++ b/protocol/gossip/leavings.go
@@ -19,8 +19,8 @@
 }
 
 // EncodeLeavings encodes up to [MaxLeavings] reports.
-func EncodeLeavings(reports []routing.LeavingReport) ([]byte, error) {
-	return encodeReports(kindLeavings, MaxLeavings, reports, func(r routing.LeavingReport) leavingMessage {
+func EncodeLeavings(reports []routing.DepartureReport) ([]byte, error) {
+	return encodeReports(kindLeavings, MaxLeavings, reports, func(r routing.DepartureReport) leavingMessage {
 		return leavingMessage{Replica: r.Replica, Age: milliseconds(r.Age)}
 	})
 }
@@ -29,8 +29,8 @@
 func IsLeavings(payload []byte) bool { return isReports(payload, kindLeavings) }
 
 // DecodeLeavings is the reverse of [EncodeLeavings].
-func DecodeLeavings(payload []byte) ([]routing.LeavingReport, error) {
-	return decodeReports(payload, kindLeavings, func(m leavingMessage) routing.LeavingReport {
-		return routing.LeavingReport{Replica: m.Replica, Age: time.Duration(m.Age) * time.Millisecond}
+func DecodeLeavings(payload []byte) ([]routing.DepartureReport, error) {
+	return decodeReports(payload, kindLeavings, func(m leavingMessage) routing.DepartureReport {
+		return routing.DepartureReport{Replica: m.Replica, Age: time.Duration(m.Age) * time.Millisecond}
 	})
 }
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -165,7 +165,7 @@
 func (s *serving) noteReplaced(r *routing.Replica) {
 	now := clock.Now()
 	s.Placer.Health.ReportEnd(r, now)
-	if s.Placer.Leavings.Say(r, now) {
+	if s.Placer.Departures.RecordAnnounced(r, now) {
 		s.Observer.Replaced(r, s.call)
 	}
 }
@@ -263,7 +263,7 @@
 	if left, isNew := s.Placer.Backoffs.Record(r, says.Rest, s.call.ID, now); isNew {
 		s.Observer.Rests(r, s.call, left)
 	}
-	if says.Leaving && s.Placer.Leavings.Say(r, now) {
+	if says.Leaving && s.Placer.Departures.RecordAnnounced(r, now) {
 		s.Observer.Leaves(r, s.call)
 	}
 }
--- a/transport/relay/replica_test.go
+++ b/transport/relay/replica_test.go
@@ -276,7 +276,7 @@
 	w.relay = relay.New(relay.Options{
 		View: func() *routing.View { return w.view },
 		Placer: &routing.Placer{
-			Loads: routing.NewLoads(), Health: routing.NewHealth(), Backoffs: routing.NewBackoffs(), Leavings: routing.NewLeavings(),
+			Loads: routing.NewLoads(), Health: routing.NewHealth(), Backoffs: routing.NewBackoffs(), Departures: routing.NewDepartures(),
 		},
 		Budgets: routing.NewRetryBudgets(routing.RetryRule{Ratio: 0.2, Extra: 1000, Window: 10 * time.Second}, 1),
 		Borrow:  func(context.Context, routing.ServiceName, routing.Retries) routing.Retries { return 0 },
--- a/transport/relay/statement_test.go
+++ b/transport/relay/statement_test.go
@@ -38,12 +38,12 @@
 			if n := former.count(); n > 1 {
 				t.Errorf("%d requests went to the address of the replica that has gone, want one", n)
 			}
-			reports := w.relay.Placer.Leavings.TakeReports(10, time.Now())
+			reports := w.relay.Placer.Departures.TakeReports(10, time.Now())
 			if len(reports) != 1 {
 				t.Fatalf("%d reports to other daemons, want one", len(reports))
 			}
 			other := newWorld(route, former, living)
-			other.relay.Placer.Leavings.Observe(reports, time.Now())
+			other.relay.Placer.Departures.Observe(reports, time.Now())
 			for i := range 40 {
 				other.serve(other.call(fmt.Sprint("other ", i), "POST", "x"))
 			}
@@ -112,7 +112,7 @@
 		"rest": func(w *world, r *replica) {
 			w.relay.Placer.Backoffs.Record(&r.Replica, time.Minute, "other", time.Now())
 		},
-		"leaving": func(w *world, r *replica) { w.relay.Placer.Leavings.Say(&r.Replica, time.Now()) },
+		"leaving": func(w *world, r *replica) { w.relay.Placer.Departures.RecordAnnounced(&r.Replica, time.Now()) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			RegisterTestingT(t)
