--- a/coordination/routing/crash.go
+++ b/coordination/routing/crash.go
@@ -56,7 +56,7 @@
 	Caller  CallerKey
 	// Replica is the incarnation that crashed; unset if the request is cleared.
 	Replica    LoadKey
-	Acquits    bool
+	Clears     bool
 	Age        time.Duration // since the crash or the complete response
 	crashCount int           // crashes known of the content; sorts pending reports
 }
@@ -126,9 +126,9 @@
 // [Crashes.TakeReports].
 func (c *Crashes) Waiting() <-chan struct{} { return c.outbox.notify }
 
-// ReportEnd records that a replica crashed while serving a request of a workspace. It returns
+// ReportCrash records that a replica crashed while serving a request of a workspace. It returns
 // true if the content of the request is quarantined from now on and was not before.
-func (c *Crashes) ReportEnd(content ContentKey, w WorkspaceName, r *Replica, now time.Time) bool {
+func (c *Crashes) ReportCrash(content ContentKey, w WorkspaceName, r *Replica, now time.Time) bool {
 	if c == nil || content == 0 {
 		return false
 	}
@@ -136,10 +136,10 @@
 	return len(c.Observe([]CrashReport{report}, now)) > 0
 }
 
-// Acquit clears a content, after a complete response or a release by an operator, so that it may
+// Clear clears a content, after a complete response or a release by an operator, so that it may
 // be sent again. It returns false, and records nothing, if no crash has been reported for the
 // content since it was last cleared.
-func (c *Crashes) Acquit(content ContentKey, now time.Time) bool {
+func (c *Crashes) Clear(content ContentKey, now time.Time) bool {
 	if c == nil || c.known.Load() == 0 {
 		return false
 	}
@@ -148,7 +148,7 @@
 	crashed := s != nil && len(s.crashes) > 0
 	c.mu.RUnlock()
 	if crashed {
-		c.Observe([]CrashReport{{Content: content, Caller: s.caller, Acquits: true}}, now)
+		c.Observe([]CrashReport{{Content: content, Caller: s.caller, Clears: true}}, now)
 	}
 	return crashed
 }
@@ -179,7 +179,7 @@
 // is new if it is the first one known or if it removes crashes; times alone can't tell, because
 // the time of one clearance differs from daemon to daemon by the network delay.
 func (s *suspect) apply(r CrashReport, at time.Time) bool {
-	if r.Acquits {
+	if r.Clears {
 		isNew, before := s.clearedAt.IsZero(), len(s.crashes)
 		s.clearedAt = latest(s.clearedAt, at)
 		s.crashes = slices.DeleteFunc(s.crashes, func(e replicaCrash) bool { return !e.at.After(at) })
@@ -238,8 +238,8 @@
 	return s.lastUsed.Before(than.lastUsed)
 }
 
-// Held reports whether requests of a content must not be sent, and if so counts a refusal.
-func (c *Crashes) Held(content ContentKey, now time.Time) bool {
+// Quarantined reports whether requests of a content must not be sent, and if so counts a refusal.
+func (c *Crashes) Quarantined(content ContentKey, now time.Time) bool {
 	if c == nil || c.known.Load() == 0 {
 		return false
 	}
@@ -300,7 +300,7 @@
 func (s *suspect) reports(content ContentKey, now time.Time) []CrashReport {
 	var out []CrashReport
 	if !s.clearedAt.IsZero() {
-		out = append(out, CrashReport{Content: content, Caller: s.caller, Acquits: true, Age: max(0, now.Sub(s.clearedAt))})
+		out = append(out, CrashReport{Content: content, Caller: s.caller, Clears: true, Age: max(0, now.Sub(s.clearedAt))})
 	}
 	for _, e := range s.crashes {
 		out = append(out, CrashReport{Content: content, Caller: s.caller, Replica: e.replica, Age: max(0, now.Sub(e.at))})
@@ -332,8 +332,8 @@
 	c.known.Store(int64(len(c.suspects)))
 }
 
-// HeldContent describes a content that is quarantined.
-type HeldContent struct {
+// QuarantinedContent describes a content that is quarantined.
+type QuarantinedContent struct {
 	Content  ContentKey
 	Caller   CallerKey
 	Replicas []LoadKey     // that crashed while serving it
@@ -341,21 +341,21 @@
 	Refused  int           // requests refused by this daemon
 }
 
-// AllHeld returns the contents that are quarantined, the most recent crash first.
-func (c *Crashes) AllHeld(now time.Time) []HeldContent {
+// AllQuarantined returns the contents that are quarantined, the most recent crash first.
+func (c *Crashes) AllQuarantined(now time.Time) []QuarantinedContent {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	var out []HeldContent
+	var out []QuarantinedContent
 	for content, s := range c.suspects {
 		if !s.isQuarantined() {
 			continue
 		}
-		h := HeldContent{Content: content, Caller: s.caller, For: now.Sub(s.crashes[len(s.crashes)-1].at), Refused: s.refused}
+		h := QuarantinedContent{Content: content, Caller: s.caller, For: now.Sub(s.crashes[len(s.crashes)-1].at), Refused: s.refused}
 		for _, e := range s.crashes {
 			h.Replicas = append(h.Replicas, e.replica)
 		}
 		out = append(out, h)
 	}
-	slices.SortFunc(out, func(a, b HeldContent) int { return int(a.For - b.For) })
+	slices.SortFunc(out, func(a, b QuarantinedContent) int { return int(a.For - b.For) })
 	return out
 }
--- a/coordination/routing/crash_bench_test.go
+++ b/coordination/routing/crash_bench_test.go
@@ -31,7 +31,7 @@
 		b.Run(name, func(b *testing.B) {
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					c.Held(5, now)
+					c.Quarantined(5, now)
 				}
 			})
 		})
@@ -58,7 +58,7 @@
 	c := routing.NewCrashes()
 	for i := range contents {
 		for r := range 3 {
-			c.ReportEnd(routing.ContentKey(1000+i), "w", numberedReplica(r), now)
+			c.ReportCrash(routing.ContentKey(1000+i), "w", numberedReplica(r), now)
 		}
 	}
 	return c
--- a/coordination/routing/crash_fleet_test.go
+++ b/coordination/routing/crash_fleet_test.go
@@ -143,7 +143,7 @@
 	const content = 99
 	d := w.daemons[at]
 	for range crashAttempts {
-		if d.Held(content, w.now) {
+		if d.Quarantined(content, w.now) {
 			return
 		}
 		if len(w.crashes) >= 3 && w.now.Sub(w.crashes[2]) > crashSettleTime && w.now.Sub(d.started) > crashSettleTime {
@@ -151,7 +151,7 @@
 		}
 		w.incarnations++
 		r := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint(w.incarnations))})
-		d.ReportEnd(content, "w", &r, w.now)
+		d.ReportCrash(content, "w", &r, w.now)
 		w.crashes = append(w.crashes, w.now)
 		if w.killOnCrash && len(w.crashes) <= 3 && d.killAt.IsZero() {
 			d.killAt = w.now.Add(crashStep)
@@ -275,17 +275,17 @@
 		now = now.Add(4 * time.Millisecond)
 		met := 0
 		for range 4 {
-			if c.Held(content, now) {
+			if c.Quarantined(content, now) {
 				refused++
 				break
 			}
 			if rng.Float64() >= meets {
-				c.Acquit(content, now)
+				c.Clear(content, now)
 				break
 			}
 			incarnations++
 			r := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint(incarnations))})
-			c.ReportEnd(content, routing.WorkspaceName(fmt.Sprint(i%10)), &r, now)
+			c.ReportCrash(content, routing.WorkspaceName(fmt.Sprint(i%10)), &r, now)
 			met++
 		}
 		for n := 1; n <= min(met, 3); n++ {
--- a/coordination/routing/crash_test.go
+++ b/coordination/routing/crash_test.go
@@ -24,20 +24,20 @@
 	var c *routing.Crashes
 	BeforeEach(func() { c = routing.NewCrashes() })
 	crash := func(of routing.ContentKey, replica int, at time.Time) bool {
-		return c.ReportEnd(of, workspace, numberedReplica(replica), at)
+		return c.ReportCrash(of, workspace, numberedReplica(replica), at)
 	}
 	takeAll := func(now time.Time) []routing.CrashReport { return c.TakeReports(1000, now) }
 
 	It("quarantines a content permanently after the third crash", func() {
 		Expect(crash(content, 0, epoch)).To(BeFalse())
 		Expect(crash(content, 1, epoch)).To(BeFalse())
-		Expect(c.Held(content, epoch)).To(BeFalse())
+		Expect(c.Quarantined(content, epoch)).To(BeFalse())
 		Expect(crash(content, 2, epoch)).To(BeTrue())
 		for _, after := range []time.Duration{0, time.Minute, 1000 * time.Hour} {
 			c.Forget(epoch.Add(after))
-			Expect(c.Held(content, epoch.Add(after))).To(BeTrue())
+			Expect(c.Quarantined(content, epoch.Add(after))).To(BeTrue())
 		}
-		Expect(c.Held(content+1, epoch)).To(BeFalse())
+		Expect(c.Quarantined(content+1, epoch)).To(BeFalse())
 	})
 
 	It("counts the crash of one replica once, whichever daemon saw it and whenever the report arrives", func() {
@@ -45,42 +45,42 @@
 			crash(content, 0, epoch.Add(time.Duration(i)*time.Second))
 		}
 		crash(content, 1, epoch)
-		Expect(c.Held(content, epoch)).To(BeFalse())
+		Expect(c.Quarantined(content, epoch)).To(BeFalse())
 	})
 
 	It("clears a content of earlier crashes, but not of later ones, after a complete response", func() {
 		for i := range 4 {
 			crash(content, i, epoch)
 		}
-		c.Acquit(content, epoch.Add(time.Second))
-		Expect(c.Held(content, epoch.Add(time.Second))).To(BeFalse())
+		c.Clear(content, epoch.Add(time.Second))
+		Expect(c.Quarantined(content, epoch.Add(time.Second))).To(BeFalse())
 		Expect(crash(content, 5, epoch.Add(500*time.Millisecond))).To(BeFalse(), "reported late")
 		for i := range 3 {
 			crash(content, 6+i, epoch.Add(2*time.Second))
 		}
-		Expect(c.Held(content, epoch.Add(2*time.Second))).To(BeTrue())
+		Expect(c.Quarantined(content, epoch.Add(2*time.Second))).To(BeTrue())
 	})
 
 	It("records nothing for contents without a crash", func() {
-		c.Acquit(content, epoch)
+		c.Clear(content, epoch)
 		crash(content+1, 0, epoch)
-		c.Acquit(content, epoch)
+		c.Clear(content, epoch)
 		reports, _ := c.All(0, 100, epoch)
 		Expect(reports).To(HaveLen(1))
-		Expect(c.Acquit(content, epoch)).To(BeFalse())
+		Expect(c.Clear(content, epoch)).To(BeFalse())
 	})
 
 	It("clears a content that an operator releases, and quarantines it again after three more crashes", func() {
 		for i := range 3 {
 			crash(content, i, epoch)
 		}
-		Expect(c.Acquit(content, epoch.Add(time.Hour))).To(BeTrue())
-		Expect(c.Held(content, epoch.Add(time.Hour))).To(BeFalse())
-		Expect(c.AllHeld(epoch)).To(BeEmpty())
+		Expect(c.Clear(content, epoch.Add(time.Hour))).To(BeTrue())
+		Expect(c.Quarantined(content, epoch.Add(time.Hour))).To(BeFalse())
+		Expect(c.AllQuarantined(epoch)).To(BeEmpty())
 		for i := range 3 {
 			crash(content, 10+i, epoch.Add(2*time.Hour))
 		}
-		Expect(c.Held(content, epoch.Add(2*time.Hour))).To(BeTrue())
+		Expect(c.Quarantined(content, epoch.Add(2*time.Hour))).To(BeTrue())
 	})
 
 	It("lists quarantined contents with their replicas and refusals", func() {
@@ -89,9 +89,9 @@
 		}
 		crash(content+1, 0, epoch)
 		later := epoch.Add(12 * time.Second)
-		c.Held(content, later)
-		c.Held(content, later)
-		Expect(c.AllHeld(later)).To(ConsistOf(routing.HeldContent{
+		c.Quarantined(content, later)
+		c.Quarantined(content, later)
+		Expect(c.AllQuarantined(later)).To(ConsistOf(routing.QuarantinedContent{
 			Content: content, Caller: routing.NewCallerKey(workspace), For: 10 * time.Second, Refused: 2,
 			Replicas: []routing.LoadKey{numberedReplica(0).LoadKey(), numberedReplica(1).LoadKey(), numberedReplica(2).LoadKey()},
 		}))
@@ -107,9 +107,9 @@
 		c.Observe(reports, now)
 		Expect(c.Waiting()).NotTo(Receive())
 		Expect(takeAll(now)).To(BeEmpty())
-		c.Acquit(content, now)
+		c.Clear(content, now)
 		Expect(takeAll(now)).To(ConsistOf(HaveField("Acquits", true)))
-		c.Observe([]routing.CrashReport{{Content: content, Acquits: true}}, now.Add(20*time.Millisecond))
+		c.Observe([]routing.CrashReport{{Content: content, Clears: true}}, now.Add(20*time.Millisecond))
 		Expect(takeAll(now)).To(BeEmpty(), "the same clearance through another daemon")
 	})
 
@@ -131,7 +131,7 @@
 
 	It("stays bounded, and evicts a caller's own contents and not another's", func() {
 		for i := range 3 {
-			c.ReportEnd(content, "another", numberedReplica(i), epoch)
+			c.ReportCrash(content, "another", numberedReplica(i), epoch)
 		}
 		for i := range 5000 {
 			now := epoch.Add(time.Duration(i) * time.Millisecond)
@@ -139,16 +139,16 @@
 				crash(routing.ContentKey(1000+i), r, now)
 			}
 		}
-		Expect(c.AllHeld(epoch)).To(HaveLen(2000))
-		Expect(c.Held(content, epoch.Add(time.Hour))).To(BeTrue())
-		Expect(c.Held(1000, epoch.Add(time.Hour))).To(BeFalse(), "the oldest was evicted")
-		Expect(c.Held(5999, epoch.Add(time.Hour))).To(BeTrue())
+		Expect(c.AllQuarantined(epoch)).To(HaveLen(2000))
+		Expect(c.Quarantined(content, epoch.Add(time.Hour))).To(BeTrue())
+		Expect(c.Quarantined(1000, epoch.Add(time.Hour))).To(BeFalse(), "the oldest was evicted")
+		Expect(c.Quarantined(5999, epoch.Add(time.Hour))).To(BeTrue())
 	})
 
 	It("removes only contents that were cleared long ago", func() {
 		crash(content, 0, epoch)
 		crash(content+1, 0, epoch)
-		c.Acquit(content, epoch)
+		c.Clear(content, epoch)
 		c.Forget(epoch.Add(time.Hour))
 		reports, _ := c.All(0, 100, epoch)
 		Expect(reports).To(ConsistOf(HaveField("Content", content+1)))
@@ -194,9 +194,9 @@
 
 	It("does nothing if nil, or for the zero content", func() {
 		var none *routing.Crashes
-		Expect(none.ReportEnd(content, workspace, numberedReplica(0), epoch)).To(BeFalse())
-		Expect(none.Held(content, epoch)).To(BeFalse())
-		none.Acquit(content, epoch)
+		Expect(none.ReportCrash(content, workspace, numberedReplica(0), epoch)).To(BeFalse())
+		Expect(none.Quarantined(content, epoch)).To(BeFalse())
+		none.Clear(content, epoch)
 		Expect(crash(0, 0, epoch)).To(BeFalse(), "the zero content")
 		Expect(crash(0, 1, epoch)).To(BeFalse())
 		Expect(crash(0, 2, epoch)).To(BeFalse())
@@ -213,7 +213,7 @@
 				Content: routing.ContentKey(rapid.IntRange(1, 3).Draw(t, "content")), Caller: 1,
 				Age: time.Duration(rapid.IntRange(0, 20).Draw(t, "age")) * time.Second,
 			}
-			if r.Acquits = rapid.IntRange(0, 4).Draw(t, "acquits") == 0; !r.Acquits {
+			if r.Clears = rapid.IntRange(0, 4).Draw(t, "acquits") == 0; !r.Clears {
 				r.Replica = routing.LoadKey(rapid.IntRange(1, 5).Draw(t, "replica"))
 				r.Age = time.Duration(r.Replica) * 3 * time.Second // a replica crashes once
 			}
@@ -228,8 +228,8 @@
 			b.Observe([]routing.CrashReport{r}, epoch)
 		}
 		for content := routing.ContentKey(1); content <= 3; content++ {
-			if a.Held(content, epoch) != b.Held(content, epoch) {
-				t.Fatalf("content %d: held %t and %t", content, a.Held(content, epoch), b.Held(content, epoch))
+			if a.Quarantined(content, epoch) != b.Quarantined(content, epoch) {
+				t.Fatalf("content %d: held %t and %t", content, a.Quarantined(content, epoch), b.Quarantined(content, epoch))
 			}
 		}
 	})
--- a/coordination/routing/ended.go
+++ b/coordination/routing/ended.go
@@ -48,7 +48,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, r := range reports {
-		if !r.Acquits && r.Age < terminatedHoldStale {
+		if !r.Clears && r.Age < terminatedHoldStale {
 			h.terminated[r.Replica] = latest(h.terminated[r.Replica], now.Add(-r.Age))
 		}
 	}
--- a/coordination/routing/ended_test.go
+++ b/coordination/routing/ended_test.go
@@ -119,7 +119,7 @@
 
 	It("are not affected by a clearance", func() {
 		other, _ := choose(0)
-		f.placer.Health.ReportEnds([]routing.CrashReport{{Replica: other.Replica.LoadKey(), Acquits: true}}, epoch)
+		f.placer.Health.ReportEnds([]routing.CrashReport{{Replica: other.Replica.LoadKey(), Clears: true}}, epoch)
 		again, _ := choose(0)
 		Expect(again.Replica.ID).To(Equal(other.Replica.ID))
 	})
--- a/coordination/routing/lives.go
+++ b/coordination/routing/lives.go
@@ -127,7 +127,7 @@
 	out := make([]CrashReport, 0, len(reports))
 	for _, r := range reports {
 		l := h.liveness[r.Replica]
-		if r.Acquits || !l.covers(now.Add(-r.Age)) {
+		if r.Clears || !l.covers(now.Add(-r.Age)) {
 			out = append(out, r)
 			continue
 		}
--- a/coordination/routing/lives_test.go
+++ b/coordination/routing/lives_test.go
@@ -48,11 +48,11 @@
 	crashes := routing.NewCrashes()
 	r := routing.NewReplica(routing.Replica{ID: "r"})
 	there.ReportEnd(&r, epoch)
-	reports := []routing.CrashReport{{Content: 5, Replica: r.LoadKey(), Age: 2 * time.Second}, {Content: 6, Acquits: true}}
+	reports := []routing.CrashReport{{Content: 5, Replica: r.LoadKey(), Age: 2 * time.Second}, {Content: 6, Clears: true}}
 	crashes.Observe([]routing.CrashReport{{Content: 5, Replica: r.LoadKey()}}, epoch)
 	now := epoch.Add(2 * time.Second)
 	here.Lived(&r, epoch.Add(-time.Minute), now)
-	if got := here.Believable(reports, now); len(got) != 1 || !got[0].Acquits {
+	if got := here.Believable(reports, now); len(got) != 1 || !got[0].Clears {
 		t.Fatalf("got %+v, want only the clearance", got)
 	}
 	lives := here.TakeLives(10, now)
@@ -75,9 +75,9 @@
 	crashes.Disprove(there.Disproves)
 	for _, replica := range []string{"a", "b"} {
 		other := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(replica)})
-		crashes.ReportEnd(5, "w", &other, now)
+		crashes.ReportCrash(5, "w", &other, now)
 	}
-	if crashes.Held(5, now) {
+	if crashes.Quarantined(5, now) {
 		t.Error("a request is quarantined after three crashes, one of which is disproved")
 	}
 }
--- a/daemon/routes/operator.go
+++ b/daemon/routes/operator.go
@@ -211,7 +211,7 @@
 // heldAnswers lists what is held back.
 func (c *control) heldAnswers(now time.Time) []HeldAnswer {
 	out := []HeldAnswer{}
-	for _, h := range c.crashes.AllHeld(now) {
+	for _, h := range c.crashes.AllQuarantined(now) {
 		a := HeldAnswer{Content: h.Content.String(), Workspace: c.workspace(h.Caller), EndedMS: h.For.Milliseconds(), Refused: h.Refused}
 		for _, key := range h.Replicas {
 			a.Replicas = append(a.Replicas, c.replicaName(key))
@@ -240,7 +240,7 @@
 
 // release lets a content be sent again, here and, by the report that goes out, at all daemons.
 func (c *control) release(content routing.ContentKey, now time.Time) bool {
-	known := c.crashes.Acquit(content, now)
+	known := c.crashes.Clear(content, now)
 	if known {
 		c.log.Released(content)
 	}
--- a/daemon/routes/replicas_test.go
+++ b/daemon/routes/replicas_test.go
@@ -39,7 +39,7 @@
 	c.heartbeats.send = func(_ membership.Address, payload []byte) { kinds = append(kinds, gossip.IsCrashes(payload)) }
 	for i := range 3 {
 		r := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint(i))})
-		c.crashes.ReportEnd(5, "w", &r, now)
+		c.crashes.ReportCrash(5, "w", &r, now)
 	}
 	peer := testMember(1)
 	receive := func() int {
--- a/internal/soak/plants_test.go
+++ b/internal/soak/plants_test.go
@@ -60,7 +60,7 @@
 	{name: "leaves daemons that start without what replicas end under", promise: "BUDGET", file: "coordination/routing/crash.go",
 		text: "if content > after && mustRepeat {", instead: "if content > after && mustRepeat && content == 0 {", faults: restartsInSeries},
 	{name: "asks for a retry only whether replicas end under it", promise: "BUDGET", file: "transport/relay/relay.go",
-		text: "if !s.Crashes.Held(", instead: "if s.attempts.Sent == 0 || !s.Crashes.Held("},
+		text: "if !s.Crashes.Quarantined(", instead: "if s.attempts.Sent == 0 || !s.Crashes.Quarantined("},
 	{name: "takes entries of other writers for replicas", promise: "ENTRY", file: "platform/replica.go",
 		text: "case d.State != stateReady && d.State != stateDraining:", instead: "case d.State == \"x\":"},
 	{name: "keeps a replica whose entry was overwritten", promise: "DRAIN", file: "daemon/routes/catalog.go",
--- a/protocol/gossip/crashes.go
+++ b/protocol/gossip/crashes.go
@@ -24,7 +24,7 @@
 // EncodeCrashes encodes up to [MaxCrashes] reports.
 func EncodeCrashes(reports []routing.CrashReport) ([]byte, error) {
 	return encodeReports(kindCrashes, MaxCrashes, reports, func(r routing.CrashReport) crashMessage {
-		return crashMessage{Content: r.Content, Caller: r.Caller, Replica: r.Replica, Acquits: r.Acquits, Age: milliseconds(r.Age)}
+		return crashMessage{Content: r.Content, Caller: r.Caller, Replica: r.Replica, Acquits: r.Clears, Age: milliseconds(r.Age)}
 	})
 }
 
@@ -35,7 +35,7 @@
 func DecodeCrashes(payload []byte) ([]routing.CrashReport, error) {
 	return decodeReports(payload, kindCrashes, func(m crashMessage) routing.CrashReport {
 		return routing.CrashReport{
-			Content: m.Content, Caller: m.Caller, Replica: m.Replica, Acquits: m.Acquits, Age: time.Duration(m.Age) * time.Millisecond,
+			Content: m.Content, Caller: m.Caller, Replica: m.Replica, Clears: m.Acquits, Age: time.Duration(m.Age) * time.Millisecond,
 		}
 	})
 }
--- a/protocol/gossip/gossip_test.go
+++ b/protocol/gossip/gossip_test.go
@@ -192,7 +192,7 @@
 	for i := range MaxCrashes {
 		reports = append(reports, routing.CrashReport{
 			Content: routing.ContentKey(1<<62 + i), Caller: routing.CallerKey(1<<31 + i), Replica: routing.LoadKey(1<<31 + i),
-			Acquits: i%2 == 0, Age: time.Duration(1<<31+i) * time.Millisecond,
+			Clears: i%2 == 0, Age: time.Duration(1<<31+i) * time.Millisecond,
 		})
 	}
 	payload, err := EncodeCrashes(reports)
@@ -261,7 +261,7 @@
 	write("silences", payload, err)
 	payload, err = EncodeCrowds([]routing.CrowdReport{{Replica: 5, Prompt: 1 << 31, Homes: 300, Age: 250 * time.Millisecond}})
 	write("crowds", payload, err)
-	payload, err = EncodeCrashes([]routing.CrashReport{{Content: 1 << 40, Caller: 1 << 31, Replica: 5, Age: 250 * time.Millisecond}, {Content: 7, Acquits: true}})
+	payload, err = EncodeCrashes([]routing.CrashReport{{Content: 1 << 40, Caller: 1 << 31, Replica: 5, Age: 250 * time.Millisecond}, {Content: 7, Clears: true}})
 	write("crashes", payload, err)
 	payload, err = EncodeLeavings([]routing.DepartureReport{{Replica: 5, Age: 250 * time.Millisecond}, {Replica: 1 << 31}})
 	write("leavings", payload, err)
--- a/transport/relay/crash_test.go
+++ b/transport/relay/crash_test.go
@@ -19,7 +19,7 @@
 		for range ends {
 			gone++
 			r := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint("gone", gone))})
-			w.relay.Crashes.ReportEnd(c.Content, c.Workspace, &r, time.Now())
+			w.relay.Crashes.ReportCrash(c.Content, c.Workspace, &r, time.Now())
 		}
 	}
 
@@ -108,8 +108,8 @@
 		crashed(w, c, 2)
 		w.serve(c)
 		late := routing.NewReplica(routing.Replica{ID: "late"})
-		w.relay.Crashes.ReportEnd(c.Content, c.Workspace, &late, time.Now())
-		Expect(w.relay.Crashes.Held(c.Content, time.Now())).To(BeTrue())
+		w.relay.Crashes.ReportCrash(c.Content, c.Workspace, &late, time.Now())
+		Expect(w.relay.Crashes.Quarantined(c.Content, time.Now())).To(BeTrue())
 	})
 })
 
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -138,7 +138,7 @@
 
 // heldBack reports whether the call may not be sent because replicas end under it.
 func (s *serving) heldBack(now time.Time) bool {
-	if !s.Crashes.Held(s.call.Content, now) {
+	if !s.Crashes.Quarantined(s.call.Content, now) {
 		return false
 	}
 	s.attempts.HeldBack()
@@ -154,7 +154,7 @@
 	}
 	s.Observer.EndedUnder(r, s.call)
 	s.Placer.Health.ReportEnd(r, now)
-	if s.Crashes.ReportEnd(s.call.Content, s.call.Workspace, r, now) {
+	if s.Crashes.ReportCrash(s.call.Content, s.call.Workspace, r, now) {
 		s.Observer.HeldBack(s.call.Content)
 	}
 }
@@ -174,7 +174,7 @@
 // were asked before against them.
 func (s *serving) praise(r *routing.Replica, now time.Time) {
 	s.Placer.Health.Report(r, routing.ResultGood, now)
-	s.Crashes.Acquit(s.call.Content, now)
+	s.Crashes.Clear(s.call.Content, now)
 	s.blameFailed()
 }
 
