--- a/coordination/routing/eject.go
+++ b/coordination/routing/eject.go
@@ -133,16 +133,17 @@
 // isNoResponse reports whether a result means that nothing was received from the replica.
 func isNoResponse(r Result) bool { return r == ResultUnreachable || r == ResultSilent }
 
-// Observe records a peer's counts, which are used for the given time. The caller must not change
-// them afterwards.
-func (h *Health) Observe(p PeerID, counts []Evidence, now time.Time, age time.Duration) {
+// ObserveEvidence records a peer's counts, which are used for the given time. The caller must not
+// change them afterwards.
+func (h *Health) ObserveEvidence(p PeerID, counts []Evidence, now time.Time, age time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.peers[p] = &peerEvidence{until: now.Add(age), counts: counts}
 }
 
-// Own returns this daemon's counts of the replicas at which requests failed, for its peers.
-func (h *Health) Own(now time.Time) []Evidence {
+// LocalEvidence returns this daemon's counts of the replicas at which requests failed, for its
+// peers.
+func (h *Health) LocalEvidence(now time.Time) []Evidence {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []Evidence
--- a/coordination/routing/ended.go
+++ b/coordination/routing/ended.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// ReportEnds records terminations of replicas from crash reports.
-func (h *Health) ReportEnds(reports []CrashReport, now time.Time) {
+// ReportTerminations records terminations of replicas from crash reports.
+func (h *Health) ReportTerminations(reports []CrashReport, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, r := range reports {
@@ -54,9 +54,9 @@
 	}
 }
 
-// ReportEnd records that a replica has just terminated.
-func (h *Health) ReportEnd(r *Replica, now time.Time) {
-	h.ReportEnds([]CrashReport{{Replica: r.LoadKey()}}, now)
+// ReportTermination records that a replica has just terminated.
+func (h *Health) ReportTermination(r *Replica, now time.Time) {
+	h.ReportTerminations([]CrashReport{{Replica: r.LoadKey()}}, now)
 }
 
 // isTerminated reports whether an incarnation has terminated and gets no requests. h.mu must be
@@ -85,8 +85,8 @@
 	return out
 }
 
-// Ended returns the incarnations known to have terminated.
-func (h *Health) Ended(now time.Time) []LoadKey {
+// Terminated returns the incarnations known to have terminated.
+func (h *Health) Terminated(now time.Time) []LoadKey {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []LoadKey
--- a/coordination/routing/ended_test.go
+++ b/coordination/routing/ended_test.go
@@ -20,7 +20,7 @@
 	BeforeEach(func() {
 		f = newFleet("llm", sameDomain(3)...)
 		gone = f.choose(chat("s")).Replica
-		f.placer.Health.ReportEnd(&gone, epoch)
+		f.placer.Health.ReportTermination(&gone, epoch)
 	})
 	choose := func(after time.Duration) (routing.Target, bool) {
 		f.pool.Sort()
@@ -53,7 +53,7 @@
 		Expect(ok).To(BeTrue())
 		Expect(t.Replica.ID).NotTo(Equal(gone.ID), "an ejected one is better")
 		for i := range f.pool.Ready {
-			f.placer.Health.ReportEnd(&f.pool.Ready[i], epoch)
+			f.placer.Health.ReportTermination(&f.pool.Ready[i], epoch)
 		}
 		f.view.Table, _ = routing.NewTable(&routing.Config{Services: []routing.Service{{Name: "llm", Generates: true, ColdPerSecond: coldPerSecond}}})
 		f.placer.Cold = routing.NewColdRates("10.0.0.1:1")
@@ -82,7 +82,7 @@
 		f.placer.Cold.SetDaemons(2)
 		ended := f.pool.Ready[:5]
 		for i := range ended {
-			f.placer.Health.ReportEnd(&ended[i], epoch)
+			f.placer.Health.ReportTermination(&ended[i], epoch)
 		}
 		f.placer.Health.Report(&ended[0], routing.ResultUnreachable, epoch)
 		taken := make(map[routing.ReplicaID]int)
@@ -119,7 +119,7 @@
 
 	It("are not affected by a clearance", func() {
 		other, _ := choose(0)
-		f.placer.Health.ReportEnds([]routing.CrashReport{{Replica: other.Replica.LoadKey(), Clears: true}}, epoch)
+		f.placer.Health.ReportTerminations([]routing.CrashReport{{Replica: other.Replica.LoadKey(), Clears: true}}, epoch)
 		again, _ := choose(0)
 		Expect(again.Replica.ID).To(Equal(other.Replica.ID))
 	})
@@ -127,7 +127,7 @@
 	It("are known from reports of others, from the time of their termination", func() {
 		f.placer.Health.SetEntriesStale(true)
 		for i := range f.pool.Ready {
-			f.placer.Health.ReportEnds([]routing.CrashReport{{Replica: f.pool.Ready[i].LoadKey(), Age: 4 * time.Second}}, epoch)
+			f.placer.Health.ReportTerminations([]routing.CrashReport{{Replica: f.pool.Ready[i].LoadKey(), Age: 4 * time.Second}}, epoch)
 		}
 		t, ok := choose(5 * time.Second)
 		Expect(ok).To(BeTrue())
--- a/coordination/routing/lives_fleet_test.go
+++ b/coordination/routing/lives_fleet_test.go
@@ -63,7 +63,7 @@
 		if w.isPartitioned && w.domainOf(i) != d.domain {
 			// The connection broke, and a new one is refused.
 			delete(d.opened, t.Replica.ID)
-			d.placer.Health.ReportEnd(&w.pool.Ready[i], w.now)
+			d.placer.Health.ReportTermination(&w.pool.Ready[i], w.now)
 			d.crashes = append(d.crashes, routing.CrashReport{Content: 5, Replica: w.pool.Ready[i].LoadKey(), Age: -w.now.Sub(epoch)})
 			tried.Replicas = append(tried.Replicas, t.Replica.ID)
 			continue
@@ -91,7 +91,7 @@
 			if to == from || w.isPartitioned && to.domain != from.domain {
 				continue
 			}
-			to.placer.Health.ReportEnds(to.placer.Health.Believable(crashes, w.now), w.now)
+			to.placer.Health.ReportTerminations(to.placer.Health.Believable(crashes, w.now), w.now)
 			to.placer.Health.ObserveLives(lives, w.now)
 		}
 	}
--- a/coordination/routing/lives_test.go
+++ b/coordination/routing/lives_test.go
@@ -47,7 +47,7 @@
 	here, there := routing.NewHealth(), routing.NewHealth()
 	crashes := routing.NewCrashes()
 	r := routing.NewReplica(routing.Replica{ID: "r"})
-	there.ReportEnd(&r, epoch)
+	there.ReportTermination(&r, epoch)
 	reports := []routing.CrashReport{{Content: 5, Replica: r.LoadKey(), Age: 2 * time.Second}, {Content: 6, Clears: true}}
 	crashes.Observe([]routing.CrashReport{{Content: 5, Replica: r.LoadKey()}}, epoch)
 	now := epoch.Add(2 * time.Second)
--- a/coordination/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -466,7 +466,7 @@
 	It("finds a grey replica on the sum of what daemons saw, earlier than one daemon could", func() {
 		Expect(h.Report(&r, routing.ResultFailed, epoch)).To(BeFalse())
 		for i := range 3 {
-			h.Observe(routing.PeerID(fmt.Sprint(i)), []routing.Evidence{{Replica: r.LoadKey(), Good: 1, Bad: 1}}, epoch, routing.PeerEvidenceAge)
+			h.ObserveEvidence(routing.PeerID(fmt.Sprint(i)), []routing.Evidence{{Replica: r.LoadKey(), Good: 1, Bad: 1}}, epoch, routing.PeerEvidenceAge)
 		}
 		Expect(h.Report(&r, routing.ResultFailed, epoch)).To(BeTrue())
 		Expect(h.Reachable(&r, epoch)).To(BeTrue(), "prompts can still be copied from it")
--- a/daemon/routes/heartbeat.go
+++ b/daemon/routes/heartbeat.go
@@ -72,7 +72,7 @@
 func (c *control) sendHeartbeat(now time.Time) {
 	b := &c.heartbeats
 	h := c.newHeartbeat(now)
-	h.Loads, h.Evidence, h.Locations = c.loads.Own(), c.health.Own(now), c.pendingLocations()
+	h.Loads, h.Evidence, h.Locations = c.loads.Own(), c.health.LocalEvidence(now), c.pendingLocations()
 	if b.sent++; b.sampleDue || c.largeFleet() || b.sent%sampleInterval == 0 {
 		h.Members, b.sampleDue = c.roster.Sample(now, b.rng), false
 	}
@@ -202,7 +202,7 @@
 	}
 	peer := routing.PeerID(h.Sender.Address)
 	c.loads.Observe(peer, h.Loads, now, loadAge)
-	c.health.Observe(peer, h.Evidence, now, evidenceAge)
+	c.health.ObserveEvidence(peer, h.Evidence, now, evidenceAge)
 }
 
 // observeDomains passes on when daemons of the other domains were last seen.
--- a/daemon/routes/reports.go
+++ b/daemon/routes/reports.go
@@ -93,7 +93,7 @@
 // receiveCrashes takes in a peer's reports of ends.
 func (c *control) receiveCrashes(reports []routing.CrashReport, now time.Time) {
 	reports = c.health.Believable(reports, now)
-	c.health.ReportEnds(reports, now)
+	c.health.ReportTerminations(reports, now)
 	for _, content := range c.crashes.Observe(reports, now) {
 		c.log.HeldBack(content)
 	}
@@ -101,7 +101,7 @@
 
 // disproveEnds looks for open connections to replicas that are held to have ended.
 func (c *control) disproveEnds(now time.Time) {
-	for _, key := range c.health.Ended(now) {
+	for _, key := range c.health.Terminated(now) {
 		r := c.view.Load().Replica(key)
 		if r == nil {
 			continue
--- a/transport/relay/lives_test.go
+++ b/transport/relay/lives_test.go
@@ -35,7 +35,7 @@
 	var slow sync.WaitGroup
 	slow.Go(func() { w.serve(w.call("slow", "POST", "slow")) })
 	Eventually(r.count).Should(Equal(2))
-	w.relay.Placer.Health.ReportEnds([]routing.CrashReport{{Content: 5, Replica: r.LoadKey(), Age: 100 * time.Millisecond}}, time.Now())
+	w.relay.Placer.Health.ReportTerminations([]routing.CrashReport{{Content: 5, Replica: r.LoadKey(), Age: 100 * time.Millisecond}}, time.Now())
 	close(answered)
 	slow.Wait()
 	for _, id := range []string{"a", "b", "c"} {
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -153,7 +153,7 @@
 		return
 	}
 	s.Observer.EndedUnder(r, s.call)
-	s.Placer.Health.ReportEnd(r, now)
+	s.Placer.Health.ReportTermination(r, now)
 	if s.Crashes.ReportCrash(s.call.Content, s.call.Workspace, r, now) {
 		s.Observer.HeldBack(s.call.Content)
 	}
@@ -164,7 +164,7 @@
 // requests of its own, and a caller that comes back by one of them would be turned away again.
 func (s *serving) noteReplaced(r *routing.Replica) {
 	now := clock.Now()
-	s.Placer.Health.ReportEnd(r, now)
+	s.Placer.Health.ReportTermination(r, now)
 	if s.Placer.Departures.RecordAnnounced(r, now) {
 		s.Observer.Replaced(r, s.call)
 	}
