--- a/coordination/routing/crash_test.go
+++ b/coordination/routing/crash_test.go
@@ -108,7 +108,7 @@
 		Expect(c.Waiting()).NotTo(Receive())
 		Expect(takeAll(now)).To(BeEmpty())
 		c.Clear(content, now)
-		Expect(takeAll(now)).To(ConsistOf(HaveField("Acquits", true)))
+		Expect(takeAll(now)).To(ConsistOf(HaveField("Clears", true)))
 		c.Observe([]routing.CrashReport{{Content: content, Clears: true}}, now.Add(20*time.Millisecond))
 		Expect(takeAll(now)).To(BeEmpty(), "the same clearance through another daemon")
 	})
@@ -213,7 +213,7 @@
 				Content: routing.ContentKey(rapid.IntRange(1, 3).Draw(t, "content")), Caller: 1,
 				Age: time.Duration(rapid.IntRange(0, 20).Draw(t, "age")) * time.Second,
 			}
-			if r.Clears = rapid.IntRange(0, 4).Draw(t, "acquits") == 0; !r.Clears {
+			if r.Clears = rapid.IntRange(0, 4).Draw(t, "clears") == 0; !r.Clears {
 				r.Replica = routing.LoadKey(rapid.IntRange(1, 5).Draw(t, "replica"))
 				r.Age = time.Duration(r.Replica) * 3 * time.Second // a replica crashes once
 			}
