--- a/coordination/routing/eject.go
+++ b/coordination/routing/eject.go
@@ -69,7 +69,7 @@
 	// liveness is the time through which each incarnation is known to have lived. It disproves
 	// terminations.
 	liveness        map[LoadKey]*liveInterval
-	livenessReports outbox[LifeReport]
+	livenessReports outbox[LivenessReport]
 }
 
 // NewHealth returns an empty Health.
@@ -79,9 +79,9 @@
 		domainSeen: make(map[state.FailureDomain]time.Time), domainTimeout: DomainTimeout,
 		unreachable: make(map[state.FailureDomain]time.Time), silences: newSilenceTable(),
 		terminated: make(map[LoadKey]time.Time), terminatedHold: terminatedHold, liveness: make(map[LoadKey]*liveInterval),
-		livenessReports: outbox[LifeReport]{
+		livenessReports: outbox[LivenessReport]{
 			notify: make(chan struct{}, 1), capacity: maxLivenessReports, keepUnsent: true,
-			compare: func(a, b pendingReport[LifeReport]) int { return a.at.Compare(b.at) },
+			compare: func(a, b pendingReport[LivenessReport]) int { return a.at.Compare(b.at) },
 		},
 	}
 }
--- a/coordination/routing/ended_test.go
+++ b/coordination/routing/ended_test.go
@@ -96,7 +96,7 @@
 			Expect(taken[r.ID]).To(And(BeNumerically(">", 0), Equal(f.placer.Cold.Part(&r, coldPerSecond))))
 		}
 		for i := range ended {
-			f.placer.Health.Lived(&ended[i], epoch.Add(-time.Minute), epoch.Add(time.Second))
+			f.placer.Health.RecordAlive(&ended[i], epoch.Add(-time.Minute), epoch.Add(time.Second))
 		}
 		taken = make(map[routing.ReplicaID]int)
 		for i := range 200 {
--- a/coordination/routing/lives.go
+++ b/coordination/routing/lives.go
@@ -22,8 +22,8 @@
 
 import "time"
 
-// LifeReport says that an incarnation of a replica lived throughout an interval.
-type LifeReport struct {
+// LivenessReport says that an incarnation of a replica lived throughout an interval.
+type LivenessReport struct {
 	Replica LoadKey
 	Since   time.Duration // how long ago the interval began
 	Age     time.Duration // how long ago the interval ended
@@ -67,10 +67,10 @@
 	l.to = latest(l.to, to)
 }
 
-// Lived records that a replica responded to a request of this daemon that was sent at the time
-// sent on a connection opened at the time opened, or that such an idle connection was found open
-// at the time sent.
-func (h *Health) Lived(r *Replica, opened, sent time.Time) {
+// RecordAlive records that a replica responded to a request of this daemon that was sent at the
+// time sent on a connection opened at the time opened, or that such an idle connection was found
+// open at the time sent.
+func (h *Health) RecordAlive(r *Replica, opened, sent time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.livenessOf(r.LoadKey()).extend(opened, sent)
@@ -108,7 +108,7 @@
 		return
 	}
 	l.reportedAt = now
-	h.livenessReports.add(LifeReport{Replica: key}, now)
+	h.livenessReports.add(LivenessReport{Replica: key}, now)
 }
 
 // Disproves reports whether a termination of an incarnation at the given time is known to be
@@ -119,9 +119,9 @@
 	return h.liveness[key].covers(at)
 }
 
-// Believable returns the crash reports that are not disproved, including clearances. For those
-// that are disproved, it queues reports for other daemons.
-func (h *Health) Believable(reports []CrashReport, now time.Time) []CrashReport {
+// FilterDisproved returns the crash reports that are not disproved, including clearances. For
+// those that are disproved, it queues reports for other daemons.
+func (h *Health) FilterDisproved(reports []CrashReport, now time.Time) []CrashReport {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	out := make([]CrashReport, 0, len(reports))
@@ -136,9 +136,9 @@
 	return out
 }
 
-// ObserveLives applies the reports of another daemon. It returns the incarnations whose
+// ObserveLiveness applies the reports of another daemon. It returns the incarnations whose
 // termination they disprove.
-func (h *Health) ObserveLives(reports []LifeReport, now time.Time) []LoadKey {
+func (h *Health) ObserveLiveness(reports []LivenessReport, now time.Time) []LoadKey {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var found []LoadKey
@@ -151,15 +151,15 @@
 	return found
 }
 
-// LivesWaiting returns a channel that receives a value when reports are available from
-// [Health.TakeLives].
-func (h *Health) LivesWaiting() <-chan struct{} { return h.livenessReports.notify }
+// LivenessWaiting returns a channel that receives a value when reports are available from
+// [Health.TakeLivenessReports].
+func (h *Health) LivenessWaiting() <-chan struct{} { return h.livenessReports.notify }
 
-// TakeLives returns up to n reports to send to other daemons. The others stay queued.
-func (h *Health) TakeLives(n int, now time.Time) []LifeReport {
+// TakeLivenessReports returns up to n reports to send to other daemons. The others stay queued.
+func (h *Health) TakeLivenessReports(n int, now time.Time) []LivenessReport {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.livenessReports.take(n, now, func(r LifeReport, _ time.Duration) LifeReport {
+	return h.livenessReports.take(n, now, func(r LivenessReport, _ time.Duration) LivenessReport {
 		l := h.livenessOf(r.Replica)
 		r.Since, r.Age = now.Sub(l.from), now.Sub(l.to)
 		return r
--- a/coordination/routing/lives_fleet_test.go
+++ b/coordination/routing/lives_fleet_test.go
@@ -71,7 +71,7 @@
 		if _, ok := d.opened[t.Replica.ID]; !ok {
 			d.opened[t.Replica.ID] = w.now
 		}
-		d.placer.Health.Lived(&w.pool.Ready[i], d.opened[t.Replica.ID], w.now)
+		d.placer.Health.RecordAlive(&w.pool.Ready[i], d.opened[t.Replica.ID], w.now)
 		return true
 	}
 	return true // connections were refused, but replicas were available
@@ -81,7 +81,7 @@
 // allows.
 func (w *partitionSim) gossip() {
 	for _, from := range w.daemons {
-		lives := from.placer.Health.TakeLives(100, w.now)
+		lives := from.placer.Health.TakeLivenessReports(100, w.now)
 		crashes := make([]routing.CrashReport, len(from.crashes))
 		for i, r := range from.crashes {
 			r.Age += w.now.Sub(epoch)
@@ -91,8 +91,8 @@
 			if to == from || w.isPartitioned && to.domain != from.domain {
 				continue
 			}
-			to.placer.Health.ReportTerminations(to.placer.Health.Believable(crashes, w.now), w.now)
-			to.placer.Health.ObserveLives(lives, w.now)
+			to.placer.Health.ReportTerminations(to.placer.Health.FilterDisproved(crashes, w.now), w.now)
+			to.placer.Health.ObserveLiveness(lives, w.now)
 		}
 	}
 }
--- a/coordination/routing/lives_test.go
+++ b/coordination/routing/lives_test.go
@@ -32,7 +32,7 @@
 		h := routing.NewHealth()
 		r := routing.NewReplica(routing.Replica{ID: "r"})
 		for _, a := range c.answers {
-			h.Lived(&r, at(a.opened), at(a.at))
+			h.RecordAlive(&r, at(a.opened), at(a.at))
 		}
 		if got := h.Disproves(r.LoadKey(), at(100)); got != c.disproved {
 			t.Errorf("%s: disproved %t, want %t", c.name, got, c.disproved)
@@ -51,25 +51,25 @@
 	reports := []routing.CrashReport{{Content: 5, Replica: r.LoadKey(), Age: 2 * time.Second}, {Content: 6, Clears: true}}
 	crashes.Observe([]routing.CrashReport{{Content: 5, Replica: r.LoadKey()}}, epoch)
 	now := epoch.Add(2 * time.Second)
-	here.Lived(&r, epoch.Add(-time.Minute), now)
-	if got := here.Believable(reports, now); len(got) != 1 || !got[0].Clears {
+	here.RecordAlive(&r, epoch.Add(-time.Minute), now)
+	if got := here.FilterDisproved(reports, now); len(got) != 1 || !got[0].Clears {
 		t.Fatalf("got %+v, want only the clearance", got)
 	}
-	lives := here.TakeLives(10, now)
+	lives := here.TakeLivenessReports(10, now)
 	if len(lives) != 1 || lives[0].Since < time.Minute {
 		t.Fatalf("reports are %+v, want one interval", lives)
 	}
-	if here.Believable(reports, now); len(here.TakeLives(10, now)) != 0 {
+	if here.FilterDisproved(reports, now); len(here.TakeLivenessReports(10, now)) != 0 {
 		t.Error("the same report is queued again at once")
 	}
-	found := there.ObserveLives(lives, now)
+	found := there.ObserveLiveness(lives, now)
 	if _, why := there.Explain(&r, now); len(found) != 1 || why != "" {
 		t.Errorf("disproved are %v; the replica gets no requests because %q", found, why)
 	}
-	if len(there.TakeLives(10, now)) != 1 {
+	if len(there.TakeLivenessReports(10, now)) != 1 {
 		t.Error("the report that disproves a termination is not forwarded")
 	}
-	if there.ObserveLives(lives, now); len(there.TakeLives(10, now)) != 0 {
+	if there.ObserveLiveness(lives, now); len(there.TakeLivenessReports(10, now)) != 0 {
 		t.Error("the report is forwarded twice")
 	}
 	crashes.Disprove(there.Disproves)
@@ -101,12 +101,12 @@
 			for range rapid.IntRange(0, 6).Draw(t, "answers") {
 				opened := started.Add(time.Duration(rapid.Float64Range(0, 1).Draw(t, "opened") * float64(terminated.Sub(started))))
 				sent := opened.Add(time.Duration(rapid.Float64Range(0, 1).Draw(t, "sent") * float64(terminated.Sub(opened))))
-				rapid.SampledFrom(daemons).Draw(t, "daemon").Lived(&r, opened, sent)
+				rapid.SampledFrom(daemons).Draw(t, "daemon").RecordAlive(&r, opened, sent)
 			}
 			terminations = append(terminations, terminated)
 			now = now.Add(draw("down", 2000) + time.Millisecond)
 			for _, d := range daemons {
-				d.ObserveLives(rapid.SampledFrom(daemons).Draw(t, "sender").TakeLives(10, now), now.Add(draw("delay", 100)))
+				d.ObserveLiveness(rapid.SampledFrom(daemons).Draw(t, "sender").TakeLivenessReports(10, now), now.Add(draw("delay", 100)))
 			}
 		}
 		for i, d := range daemons {
--- a/daemon/routes/control.go
+++ b/daemon/routes/control.go
@@ -129,7 +129,7 @@
 			c.awaitMoreReports(ctx, crowdsDue{})
 		case <-c.crashes.Waiting():
 			c.awaitMoreReports(ctx, crashesDue{})
-		case <-c.health.LivesWaiting():
+		case <-c.health.LivenessWaiting():
 			c.awaitMoreReports(ctx, livesDue{})
 		case <-c.leavings.Waiting():
 			c.viewIsOld = true
--- a/daemon/routes/events.go
+++ b/daemon/routes/events.go
@@ -52,7 +52,7 @@
 	// crashesDue says that such reports are to be sent.
 	crashesDue struct{}
 	// livesReceived are a peer's reports of replicas that are said to have ended and live.
-	livesReceived struct{ reports []routing.LifeReport }
+	livesReceived struct{ reports []routing.LivenessReport }
 	// livesDue says that such reports are to be sent.
 	livesDue struct{}
 	// leavingsReceived are a peer's reports of replicas that leave by their own word.
--- a/daemon/routes/reports.go
+++ b/daemon/routes/reports.go
@@ -92,7 +92,7 @@
 
 // receiveCrashes takes in a peer's reports of ends.
 func (c *control) receiveCrashes(reports []routing.CrashReport, now time.Time) {
-	reports = c.health.Believable(reports, now)
+	reports = c.health.FilterDisproved(reports, now)
 	c.health.ReportTerminations(reports, now)
 	for _, content := range c.crashes.Observe(reports, now) {
 		c.log.HeldBack(content)
@@ -107,19 +107,19 @@
 			continue
 		}
 		if opened, ok := c.openSince(r.Incarnation()); ok {
-			c.health.Lived(r, opened, now.Add(-closeDelay))
+			c.health.RecordAlive(r, opened, now.Add(-closeDelay))
 		}
 	}
 }
 
 // sendLives passes reports of replicas that live on, if any wait.
 func (c *control) sendLives(now time.Time) {
-	spreadReports(c, c.health.TakeLives(gossip.MaxLives, now), gossip.EncodeLives, now)
+	spreadReports(c, c.health.TakeLivenessReports(gossip.MaxLives, now), gossip.EncodeLives, now)
 }
 
 // receiveLives takes in a peer's reports of replicas that live.
-func (c *control) receiveLives(reports []routing.LifeReport, now time.Time) {
-	c.logReplicas(c.health.ObserveLives(reports, now), c.log.Lives)
+func (c *control) receiveLives(reports []routing.LivenessReport, now time.Time) {
+	c.logReplicas(c.health.ObserveLiveness(reports, now), c.log.Lives)
 }
 
 // sendLeavings passes reports of replicas that leave on, if any wait.
--- a/protocol/gossip/gossip_test.go
+++ b/protocol/gossip/gossip_test.go
@@ -265,7 +265,7 @@
 	write("crashes", payload, err)
 	payload, err = EncodeLeavings([]routing.DepartureReport{{Replica: 5, Age: 250 * time.Millisecond}, {Replica: 1 << 31}})
 	write("leavings", payload, err)
-	payload, err = EncodeLives([]routing.LifeReport{{Replica: 5, Since: time.Hour, Age: 250 * time.Millisecond}})
+	payload, err = EncodeLives([]routing.LivenessReport{{Replica: 5, Since: time.Hour, Age: 250 * time.Millisecond}})
 	write("lives", payload, err)
 	payload, err = EncodeLoanAsks([]LoanAsk{{ID: 3, From: "10.0.0.1:1", Service: "s", Missing: 0.25}})
 	write("loan asks", payload, err)
--- a/protocol/gossip/lives.go
+++ b/protocol/gossip/lives.go
@@ -20,8 +20,8 @@
 }
 
 // EncodeLives encodes up to [MaxLives] reports.
-func EncodeLives(reports []routing.LifeReport) ([]byte, error) {
-	return encodeReports(kindLives, MaxLives, reports, func(r routing.LifeReport) lifeMessage {
+func EncodeLives(reports []routing.LivenessReport) ([]byte, error) {
+	return encodeReports(kindLives, MaxLives, reports, func(r routing.LivenessReport) lifeMessage {
 		return lifeMessage{Replica: r.Replica, Since: milliseconds(r.Since), Age: milliseconds(r.Age)}
 	})
 }
@@ -30,8 +30,8 @@
 func IsLives(payload []byte) bool { return isReports(payload, kindLives) }
 
 // DecodeLives is the reverse of [EncodeLives].
-func DecodeLives(payload []byte) ([]routing.LifeReport, error) {
-	return decodeReports(payload, kindLives, func(m lifeMessage) routing.LifeReport {
-		return routing.LifeReport{Replica: m.Replica, Since: time.Duration(m.Since) * time.Millisecond, Age: time.Duration(m.Age) * time.Millisecond}
+func DecodeLives(payload []byte) ([]routing.LivenessReport, error) {
+	return decodeReports(payload, kindLives, func(m lifeMessage) routing.LivenessReport {
+		return routing.LivenessReport{Replica: m.Replica, Since: time.Duration(m.Since) * time.Millisecond, Age: time.Duration(m.Age) * time.Millisecond}
 	})
 }
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -238,7 +238,7 @@
 	}
 	f := x.readHead(ctx)
 	if x.isAnswered() {
-		s.Placer.Health.Lived(&t.Replica, x.conn.opened, x.sent)
+		s.Placer.Health.RecordAlive(&t.Replica, x.conn.opened, x.sent)
 	}
 	if f != nil {
 		return f
