--- a/coordination/routing/doubt.go
+++ b/coordination/routing/doubt.go
@@ -22,15 +22,15 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// LinkDoubts records when connections to failure domains broke. It is safe for concurrent use.
+// BrokenLinks records when connections to failure domains broke. It is safe for concurrent use.
 // The zero value is ready to use.
-type LinkDoubts struct {
+type BrokenLinks struct {
 	mu       sync.Mutex
 	brokenAt map[state.FailureDomain]time.Time
 }
 
-// Broke records that a connection to a replica of a domain broke before the response began.
-func (l *LinkDoubts) Broke(d state.FailureDomain, now time.Time) {
+// Record records that a connection to a replica of a domain broke before the response began.
+func (l *BrokenLinks) Record(d state.FailureDomain, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.brokenAt == nil {
@@ -39,9 +39,9 @@
 	l.brokenAt[d] = now
 }
 
-// Trusts reports whether a connection to a domain that has been idle since the given time may be
-// reused.
-func (l *LinkDoubts) Trusts(d state.FailureDomain, idleSince time.Time) bool {
+// MayReuse reports whether a connection to a domain that has been idle since the given time may
+// be reused.
+func (l *BrokenLinks) MayReuse(d state.FailureDomain, idleSince time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return idleSince.After(l.brokenAt[d])
--- a/coordination/routing/doubt_test.go
+++ b/coordination/routing/doubt_test.go
@@ -19,7 +19,7 @@
 		lost   int
 		tracks bool
 	}{{"without tracking", requests, false}, {"with tracking", 1, true}} {
-		var l routing.LinkDoubts
+		var l routing.BrokenLinks
 		idleSince := make([]time.Time, replicas)
 		for i := range idleSince {
 			idleSince[i] = epoch.Add(-time.Duration(i) * 50 * time.Millisecond)
@@ -27,12 +27,12 @@
 		lost := 0
 		for i := range requests {
 			now := epoch.Add(time.Duration(i+1) * 250 * time.Millisecond)
-			if !l.Trusts("z1", idleSince[i]) {
+			if !l.MayReuse("z1", idleSince[i]) {
 				continue // a new connection fails, and the request goes elsewhere
 			}
 			lost++
 			if c.tracks {
-				l.Broke("z1", now)
+				l.Record("z1", now)
 			}
 		}
 		if lost != c.lost {
@@ -41,9 +41,9 @@
 	}
 }
 
-func TestLinkDoubts(t *testing.T) {
-	var l routing.LinkDoubts
-	l.Broke("z1", epoch)
+func TestBrokenLinks(t *testing.T) {
+	var l routing.BrokenLinks
+	l.Record("z1", epoch)
 	for _, c := range []struct {
 		name   string
 		domain state.FailureDomain
@@ -55,7 +55,7 @@
 		{"opened after the break", "z1", time.Millisecond, true},
 		{"another domain", "z2", -time.Second, true},
 	} {
-		if got := l.Trusts(c.domain, epoch.Add(c.idle)); got != c.trusts {
+		if got := l.MayReuse(c.domain, epoch.Add(c.idle)); got != c.trusts {
 			t.Errorf("%s: reusable %t, want %t", c.name, got, c.trusts)
 		}
 	}
--- a/transport/relay/pool.go
+++ b/transport/relay/pool.go
@@ -69,7 +69,7 @@
 type Pool struct {
 	dialer    net.Dialer
 	dialTimes routing.DialTimes
-	doubts    routing.LinkDoubts
+	doubts    routing.BrokenLinks
 	checks    endChecks
 
 	mu    sync.Mutex
@@ -96,7 +96,7 @@
 		if c == nil {
 			break
 		}
-		if p.doubts.Trusts(r.Domain, c.idleSince) && c.clean() {
+		if p.doubts.MayReuse(r.Domain, c.idleSince) && c.clean() {
 			c.reused = true
 			return c, nil
 		}
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -215,7 +215,7 @@
 		f = s.receive(ctx, x, t, a)
 	}
 	if f != nil && f.result == routing.ResultBroken && f.blame && !x.arrived {
-		s.Pool.doubts.Broke(t.Replica.Domain, clock.Now())
+		s.Pool.doubts.Record(t.Replica.Domain, clock.Now())
 	}
 	if f != nil && !x.ended {
 		x.abandon()
