--- a/coordination/routing/cold.go
+++ b/coordination/routing/cold.go
@@ -16,7 +16,7 @@
 //     coordination.
 //  3. The rate is divided by the largest fleet size ever known, because daemons that are cut off
 //     go on using their parts. A daemon that has just started assumes assumedFleetSize until it
-//     has learned the fleet's size (FleetKnownAfter). Daemons that all start at once, each of
+//     has learned the fleet's size (FleetSizeKnownAfter). Daemons that all start at once, each of
 //     which knows only itself, therefore send next to nothing.
 //  4. A request that exceeds this daemon's quota goes to a warm replica if there is one;
 //     otherwise it is refused at once as not run.
@@ -47,17 +47,17 @@
 	// assumedFleetSize is the number of daemons assumed by a daemon that knows no others yet. Up
 	// to three times as many daemons, none of which knows another, still keep the limit.
 	assumedFleetSize = 1000
-	// FleetKnownAfter is how long after its start a daemon assumes assumedFleetSize: about twelve
-	// heartbeats of a large fleet, each of which carries the fleet's size.
-	FleetKnownAfter = 5 * time.Second
+	// FleetSizeKnownAfter is how long after its start a daemon assumes assumedFleetSize: about
+	// twelve heartbeats of a large fleet, each of which carries the fleet's size.
+	FleetSizeKnownAfter = 5 * time.Second
 	// maxTracked is the number of replicas above which those without recent requests are removed.
 	// By its quotas a daemon sends to at most a hundred cold replicas.
 	maxTracked = 1000
 )
 
-// ColdRates limits the requests that this daemon sends to cold replicas. It is safe for
-// concurrent use. A nil *ColdRates sets no limit.
-type ColdRates struct {
+// ColdLimiter limits the requests that this daemon sends to cold replicas. It is safe for
+// concurrent use. A nil *ColdLimiter sets no limit.
+type ColdLimiter struct {
 	daemon PeerID
 
 	mu        sync.Mutex
@@ -65,14 +65,14 @@
 	sent      map[LoadKey][]time.Time
 }
 
-// NewColdRates returns the limiter of the daemon with the given id.
-func NewColdRates(daemon PeerID) *ColdRates {
-	return &ColdRates{daemon: daemon, sent: make(map[LoadKey][]time.Time)}
+// NewColdLimiter returns the limiter of the daemon with the given id.
+func NewColdLimiter(daemon PeerID) *ColdLimiter {
+	return &ColdLimiter{daemon: daemon, sent: make(map[LoadKey][]time.Time)}
 }
 
-// SetDaemons sets the number of daemons that share a replica's rate. A smaller number than before
-// is ignored.
-func (c *ColdRates) SetDaemons(n int) {
+// SetFleetSize sets the number of daemons that share a replica's rate. A smaller number than
+// before is ignored.
+func (c *ColdLimiter) SetFleetSize(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.fleetSize = max(c.fleetSize, n)
@@ -87,7 +87,7 @@
 }
 
 // allows reports whether this daemon may send a request to a replica of service s now.
-func (c *ColdRates) allows(r *Replica, s *Service, now time.Time) bool {
+func (c *ColdLimiter) allows(r *Replica, s *Service, now time.Time) bool {
 	if !c.isLimited(r, s, now) {
 		return true
 	}
@@ -98,7 +98,7 @@
 
 // reserve counts a request that is about to be sent to a replica of service s. It returns false
 // if the quota is used up.
-func (c *ColdRates) reserve(r *Replica, s *Service, now time.Time) bool {
+func (c *ColdLimiter) reserve(r *Replica, s *Service, now time.Time) bool {
 	if !c.isLimited(r, s, now) {
 		return true
 	}
@@ -117,20 +117,20 @@
 }
 
 // forget removes the replicas without a request in the last coldWindow. c.mu must be held.
-func (c *ColdRates) forget(now time.Time) {
+func (c *ColdLimiter) forget(now time.Time) {
 	for key := range c.sent {
 		c.recent(key, now)
 	}
 }
 
 // isLimited reports whether the rate of a replica is limited.
-func (c *ColdRates) isLimited(r *Replica, s *Service, now time.Time) bool {
+func (c *ColdLimiter) isLimited(r *Replica, s *Service, now time.Time) bool {
 	return c != nil && s != nil && s.ColdPerSecond > 0 && r.IsCold(now)
 }
 
 // recent returns the times of the requests sent to a replica within the last coldWindow, and
 // removes older ones. c.mu must be held.
-func (c *ColdRates) recent(key LoadKey, now time.Time) []time.Time {
+func (c *ColdLimiter) recent(key LoadKey, now time.Time) []time.Time {
 	sent := c.sent[key]
 	for len(sent) > 0 && now.Sub(sent[0]) > coldWindow {
 		sent = sent[1:]
@@ -145,7 +145,7 @@
 
 // quota returns how many requests this daemon may send to a cold replica in any coldWindow, by
 // rule 2. c.mu must be held.
-func (c *ColdRates) quota(r *Replica, s *Service) int {
+func (c *ColdLimiter) quota(r *Replica, s *Service) int {
 	fleetSize := c.fleetSize
 	if fleetSize == 0 {
 		fleetSize = assumedFleetSize
--- a/coordination/routing/cold_test.go
+++ b/coordination/routing/cold_test.go
@@ -56,7 +56,7 @@
 	for i := range daemons {
 		w.daemons = append(w.daemons, &coldDaemon{
 			domain: state.FailureDomain(fmt.Sprint("z", i%domains)),
-			placer: &routing.Placer{Loads: routing.NewLoads(), Health: routing.NewHealth(), Cold: routing.NewColdRates(routing.PeerID(fmt.Sprintf("10.%d.%d.%d:7020", seed%250, i/250, i%250)))},
+			placer: &routing.Placer{Loads: routing.NewLoads(), Health: routing.NewHealth(), Cold: routing.NewColdLimiter(routing.PeerID(fmt.Sprintf("10.%d.%d.%d:7020", seed%250, i/250, i%250)))},
 		})
 	}
 	return w
@@ -136,7 +136,7 @@
 			if isCut && d.domain == "z0" {
 				known = n / 4
 			}
-			d.placer.Cold.SetDaemons(known)
+			d.placer.Cold.SetFleetSize(known)
 		}
 		w.run(0, 1500*time.Millisecond)
 		if most := w.most(); most > maxWhileCold {
@@ -152,7 +152,7 @@
 	RegisterTestingT(t)
 	for name, naive := range map[string]func(*routing.Placer){
 		"no rate":                      func(p *routing.Placer) { p.Cold = nil },
-		"quota from the known daemons": func(p *routing.Placer) { p.Cold.SetDaemons(1) },
+		"quota from the known daemons": func(p *routing.Placer) { p.Cold.SetFleetSize(1) },
 	} {
 		for _, n := range fleetSizes {
 			w := newColdFleetSim(n, 8, 4, 1)
@@ -174,16 +174,16 @@
 	RegisterTestingT(t)
 	const daemons, replicas = 930, 4500
 	w := newColdFleetSim(daemons, 1, 1, 3)
-	parts := make([]int, replicas)
+	quotas := make([]int, replicas)
 	for _, d := range w.daemons {
-		d.placer.Cold.SetDaemons(daemons)
-		for i := range parts {
+		d.placer.Cold.SetFleetSize(daemons)
+		for i := range quotas {
 			r := routing.Replica{ID: routing.ReplicaID(fmt.Sprint("i-", i))}
-			parts[i] += d.placer.Cold.Part(&r, coldPerSecond)
+			quotas[i] += d.placer.Cold.Quota(&r, coldPerSecond)
 		}
 	}
 	sum, most := 0, 0
-	for _, n := range parts {
+	for _, n := range quotas {
 		sum, most = sum+n, max(most, n)
 	}
 	if most > maxWhileCold {
@@ -198,8 +198,8 @@
 	coldFleet := func(domains ...string) *fleet {
 		f := newFleet("llm", domains...)
 		f.view.Table, _ = routing.NewTable(&routing.Config{Services: []routing.Service{{Name: "llm", Generates: true, CopiesPrompts: true, ColdPerSecond: coldPerSecond}}})
-		f.placer.Cold = routing.NewColdRates("d")
-		f.placer.Cold.SetDaemons(8)
+		f.placer.Cold = routing.NewColdLimiter("d")
+		f.placer.Cold.SetFleetSize(8)
 		return f
 	}
 	turnCold := func(f *fleet, n int) {
@@ -280,7 +280,7 @@
 	RegisterTestingT(t)
 	f := newFleet("llm", sameDomain(3)...)
 	f.view.Table, _ = routing.NewTable(&routing.Config{Services: []routing.Service{{Name: "llm", Generates: true, ColdPerSecond: coldPerSecond}}})
-	f.placer.Cold = routing.NewColdRates("10.0.0.1:1") // it does not know the fleet's size
+	f.placer.Cold = routing.NewColdLimiter("10.0.0.1:1") // it does not know the fleet's size
 	f.pool.Sort()
 	warm := f.pool.Ready[0]
 	for i := range f.pool.Ready[1:] {
--- a/coordination/routing/doc.go
+++ b/coordination/routing/doc.go
@@ -31,7 +31,7 @@
 // what the relay reports of each attempt.
 //
 // A [View] is immutable and replaced as a whole. [Loads], [Health], [CacheTable],
-// [Crowds], [ColdRates], [BrokenLinks] and [RetryBudgets] are shared by the traffic goroutines
+// [Crowds], [ColdLimiter], [BrokenLinks] and [RetryBudgets] are shared by the traffic goroutines
 // and guard themselves.
 // [ExpiredEntries] and [Evacuations] belong to the control loop.
 //
--- a/coordination/routing/ended_test.go
+++ b/coordination/routing/ended_test.go
@@ -56,8 +56,8 @@
 			f.placer.Health.ReportTermination(&f.pool.Ready[i], epoch)
 		}
 		f.view.Table, _ = routing.NewTable(&routing.Config{Services: []routing.Service{{Name: "llm", Generates: true, ColdPerSecond: coldPerSecond}}})
-		f.placer.Cold = routing.NewColdRates("10.0.0.1:1")
-		f.placer.Cold.SetDaemons(8)
+		f.placer.Cold = routing.NewColdLimiter("10.0.0.1:1")
+		f.placer.Cold.SetFleetSize(8)
 		taken := make(map[routing.ReplicaID]int)
 		for range 50 {
 			if t, ok := choose(0); ok {
@@ -67,9 +67,9 @@
 		}
 		for i := range f.pool.Ready {
 			r := &f.pool.Ready[i]
-			Expect(taken[r.ID]).To(Equal(f.placer.Cold.Part(r, coldPerSecond)))
+			Expect(taken[r.ID]).To(Equal(f.placer.Cold.Quota(r, coldPerSecond)))
 		}
-		f.placer.Cold = routing.NewColdRates("10.0.0.1:1") // it does not know the fleet's size
+		f.placer.Cold = routing.NewColdLimiter("10.0.0.1:1") // it does not know the fleet's size
 		_, ok = choose(0)
 		Expect(ok).To(BeFalse())
 	})
@@ -78,8 +78,8 @@
 		f := newFleet("llm", sameDomain(7)...)
 		f.pool.Sort()
 		f.view.Table, _ = routing.NewTable(&routing.Config{Services: []routing.Service{{Name: "llm", Generates: true, ColdPerSecond: coldPerSecond}}})
-		f.placer.Cold = routing.NewColdRates("10.0.0.1:1")
-		f.placer.Cold.SetDaemons(2)
+		f.placer.Cold = routing.NewColdLimiter("10.0.0.1:1")
+		f.placer.Cold.SetFleetSize(2)
 		ended := f.pool.Ready[:5]
 		for i := range ended {
 			f.placer.Health.ReportTermination(&ended[i], epoch)
@@ -93,7 +93,7 @@
 		}
 		Expect(taken[ended[0].ID]).To(BeZero(), "it refused a connection")
 		for _, r := range ended[1:] {
-			Expect(taken[r.ID]).To(And(BeNumerically(">", 0), Equal(f.placer.Cold.Part(&r, coldPerSecond))))
+			Expect(taken[r.ID]).To(And(BeNumerically(">", 0), Equal(f.placer.Cold.Quota(&r, coldPerSecond))))
 		}
 		for i := range ended {
 			f.placer.Health.RecordAlive(&ended[i], epoch.Add(-time.Minute), epoch.Add(time.Second))
--- a/coordination/routing/export_test.go
+++ b/coordination/routing/export_test.go
@@ -29,8 +29,8 @@
 	return len(c.needs)
 }
 
-// Part returns how many requests the daemon may send to a cold replica in any second.
-func (c *ColdRates) Part(r *Replica, perSecond float64) int {
+// Quota returns how many requests the daemon may send to a cold replica in any second.
+func (c *ColdLimiter) Quota(r *Replica, perSecond float64) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.quota(r, &Service{ColdPerSecond: perSecond})
--- a/coordination/routing/lives_fleet_test.go
+++ b/coordination/routing/lives_fleet_test.go
@@ -35,8 +35,8 @@
 	w := &partitionSim{pool: f.pool, view: f.view, now: epoch}
 	for i := range daemons {
 		d := &partitionDaemon{domain: i % 2, opened: make(map[routing.ReplicaID]time.Time)}
-		d.placer = &routing.Placer{Loads: routing.NewLoads(), Health: routing.NewHealth(), Cold: routing.NewColdRates(routing.PeerID(fmt.Sprint(i)))}
-		d.placer.Cold.SetDaemons(daemons)
+		d.placer = &routing.Placer{Loads: routing.NewLoads(), Health: routing.NewHealth(), Cold: routing.NewColdLimiter(routing.PeerID(fmt.Sprint(i)))}
+		d.placer.Cold.SetFleetSize(daemons)
 		w.daemons = append(w.daemons, d)
 	}
 	return w
--- a/coordination/routing/place.go
+++ b/coordination/routing/place.go
@@ -90,10 +90,10 @@
 type Placer struct {
 	Loads    *Loads
 	Health   *Health
-	Cache    *CacheTable // nil: nothing is known to be cached
-	Crowds   *Crowds     // nil: no replica is crowded
-	Cold     *ColdRates  // nil: cold replicas get as much as warm ones
-	Backoffs *Backoffs   // nil: no replica rests
+	Cache    *CacheTable  // nil: nothing is known to be cached
+	Crowds   *Crowds      // nil: no replica is crowded
+	Cold     *ColdLimiter // nil: cold replicas get as much as warm ones
+	Backoffs *Backoffs    // nil: no replica rests
 	// Departures are nil where no replica leaves by its own word.
 	Departures *Departures
 }
--- a/coordination/routing/usable.go
+++ b/coordination/routing/usable.go
@@ -69,7 +69,7 @@
 }
 
 // excludeCold unmarks cold replicas, by rules 1 and 4 of cold.go.
-func (c *candidates) excludeCold(rates *ColdRates, s *Service, now time.Time) {
+func (c *candidates) excludeCold(rates *ColdLimiter, s *Service, now time.Time) {
 	if !now.Before(c.coldUntil) {
 		return
 	}
--- a/daemon/routes/control.go
+++ b/daemon/routes/control.go
@@ -47,7 +47,7 @@
 	cache   *routing.CacheTable
 	crowds  *routing.Crowds
 	crashes *routing.Crashes
-	cold    *routing.ColdRates
+	cold    *routing.ColdLimiter
 	budgets *routing.RetryBudgets
 	rests   *routing.Backoffs
 	// leavings are applied to each view that is built.
@@ -58,7 +58,7 @@
 func newTables(daemon routing.PeerID, rule routing.RetryRule, daemons int) tables {
 	return tables{
 		loads: routing.NewLoads(), health: routing.NewHealth(), cache: routing.NewCacheTable(), crowds: routing.NewCrowds(),
-		crashes: routing.NewCrashes(), cold: routing.NewColdRates(daemon), budgets: routing.NewRetryBudgets(rule, daemons),
+		crashes: routing.NewCrashes(), cold: routing.NewColdLimiter(daemon), budgets: routing.NewRetryBudgets(rule, daemons),
 		rests: routing.NewBackoffs(), leavings: routing.NewDepartures(),
 	}
 }
@@ -230,8 +230,8 @@
 	c.settleFormer(now)
 	c.loans.forget(now)
 	c.syncIfBehind(ctx, now)
-	if now.Sub(c.startedAt) >= routing.FleetKnownAfter {
-		c.cold.SetDaemons(c.roster.Largest())
+	if now.Sub(c.startedAt) >= routing.FleetSizeKnownAfter {
+		c.cold.SetFleetSize(c.roster.Largest())
 	}
 	expired := c.catalog.expired.Expire(now)
 	if n := c.roster.Size(now); c.sizeChanged(n) || expired || c.viewIsOld {
