--- a/coordination/routing/barred.go
+++ b/coordination/routing/barred.go
@@ -46,14 +46,14 @@
 	return excluded
 }
 
-// Bars reports whether a replica must not get any request.
-func (p *Placer) Bars(r *Replica, now time.Time) bool {
+// IsIneligible reports whether a replica must not get any request.
+func (p *Placer) IsIneligible(r *Replica, now time.Time) bool {
 	return p.Backoffs.Remaining(r, now) > 0 || p.Departures.IsLeaving(r)
 }
 
-// WhyNone returns the reason why no replica can be chosen for a request, and the time after which
-// its caller should retry.
-func (p *Placer) WhyNone(v *View, r *Request, now time.Time) coordination.NotRun {
+// NoReplicaReason returns the reason why no replica can be chosen for a request, and the time
+// after which its caller should retry.
+func (p *Placer) NoReplicaReason(v *View, r *Request, now time.Time) coordination.NotRun {
 	pool := v.Pool(r.Service)
 	retryAfter, backingOff := p.Backoffs.retryAfter(pool, r.ID, now)
 	switch {
--- a/coordination/routing/retry_test.go
+++ b/coordination/routing/retry_test.go
@@ -114,12 +114,12 @@
 	} {
 		v := &routing.View{Pools: map[routing.ServiceName]*routing.Pool{"s": &c.pool}}
 		a := routing.NewAttempts(&routing.Route{MaxAttempts: 1})
-		a.NoReplica(placer.WhyNone(v, &routing.Request{Service: "s"}, epoch))
+		a.NoReplica(placer.NoReplicaReason(v, &routing.Request{Service: "s"}, epoch))
 		if got, ok := a.Outcome.(coordination.NotRun); !ok || got.Reason != c.want || got.RetryAfter <= 0 {
 			t.Errorf("%s: %s, want %s", c.name, outcomeText(a.Outcome), c.want)
 		}
 		a.Outcome = answerBroken
-		a.NoReplica(placer.WhyNone(v, &routing.Request{Service: "s"}, epoch))
+		a.NoReplica(placer.NoReplicaReason(v, &routing.Request{Service: "s"}, epoch))
 		if a.Outcome != coordination.Outcome(answerBroken) {
 			t.Errorf("%s: a request that may have run ends as %s", c.name, outcomeText(a.Outcome))
 		}
--- a/internal/soak/plants_test.go
+++ b/internal/soak/plants_test.go
@@ -75,7 +75,7 @@
 		text: "\tc.cache.Forget(", instead: "\tfor _, it := range changed {\n\t\tif id, ok := c.catalog.documents.ReplicaID(it.Key); ok && it.Gone {\n\t\t\tc.rests.Lift(id, now)\n\t\t}\n\t}\n\tc.cache.Forget("},
 	{name: "sends to replicas at rest where nothing else is left", promise: "BUDGET", subject: restSubject, file: "coordination/routing/usable.go",
 		text: "markDespiteEjections(c.usable, c.skip, pool, now)", instead: "markDespiteEjections(c.usable, nil, pool, now)",
-		also: []edit{{"transport/relay/relay.go", "s.Placer.Bars(&t.Replica, now)", "s.Placer.Departures.IsLeaving(&t.Replica)"}}},
+		also: []edit{{"transport/relay/relay.go", "s.Placer.IsIneligible(&t.Replica, now)", "s.Placer.Departures.IsLeaving(&t.Replica)"}}},
 	{name: "believes that replicas have ended which answer it", promise: "SERVES", file: "daemon/routes/reports.go",
 		text: "\treports = c.health.FilterDisproved(reports, now)\n", instead: "",
 		also: []edit{
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -84,7 +84,7 @@
 	s.summary.Position = view.Position
 	target, ok := s.Placer.Choose(view, &s.call.Request, s.tried, now)
 	if !ok {
-		s.attempts.NoReplica(s.Placer.WhyNone(view, &s.call.Request, now))
+		s.attempts.NoReplica(s.Placer.NoReplicaReason(view, &s.call.Request, now))
 		return false
 	}
 	if !s.attempts.MaySend(s.Budgets, s.call.Service, now) && !s.borrowRetry(ctx) {
@@ -192,9 +192,9 @@
 		s.Pool.discard(c)
 		return &failure{outcome: coordination.NotRun{Reason: coordination.ReasonConnect, RetryAfter: routing.RetryAfter}, err: errDrained}
 	}
-	if now := clock.Now(); s.Placer.Bars(&t.Replica, now) {
+	if now := clock.Now(); s.Placer.IsIneligible(&t.Replica, now) {
 		s.Pool.put(c, now)
-		return &failure{outcome: s.Placer.WhyNone(s.View(), &s.call.Request, now), err: errBarred}
+		return &failure{outcome: s.Placer.NoReplicaReason(s.View(), &s.call.Request, now), err: errBarred}
 	}
 	if s.heldBack(clock.Now()) {
 		s.Pool.put(c, clock.Now())
