--- a/coordination/routing/cold_test.go
+++ b/coordination/routing/cold_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// most returns the largest number of requests that reached one replica within any second.
-func (w *coldFleetSim) most() int {
+// maxPerSecond returns the largest number of requests that reached one replica within any second.
+func (w *coldFleetSim) maxPerSecond() int {
 	most := 0
 	for _, list := range w.arrived {
 		for i := range list {
@@ -114,11 +114,11 @@
 
 var fleetSizes = []int{8, 65, 300, 930}
 
-// TestAColdReplicaKeepsItsRate checks the rate limit under the heaviest load: all replicas of the
-// fleet came back cold, and each daemon has ten times the requests that they can serve. Daemons
-// know different fleet sizes, some or all have just started, and one domain may be cut off, whose
-// daemons know only each other.
-func TestAColdReplicaKeepsItsRate(t *testing.T) {
+// TestColdReplicasStayWithinRate checks the rate limit under the heaviest load: all replicas of
+// the fleet came back cold, and each daemon has ten times the requests that they can serve.
+// Daemons know different fleet sizes, some or all have just started, and one domain may be cut
+// off, whose daemons know only each other.
+func TestColdReplicasStayWithinRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		RegisterTestingT(t)
 		n := rapid.SampledFrom(fleetSizes).Draw(t, "daemons")
@@ -139,7 +139,7 @@
 			d.placer.Cold.SetFleetSize(known)
 		}
 		w.run(0, 1500*time.Millisecond)
-		if most := w.most(); most > maxWhileCold {
+		if most := w.maxPerSecond(); most > maxWhileCold {
 			t.Fatalf("%d requests reached a cold replica within a second, want at most %d", most, maxWhileCold)
 		}
 	})
@@ -160,17 +160,17 @@
 				naive(d.placer)
 			}
 			w.run(0, 1500*time.Millisecond)
-			if most := w.most(); most <= maxWhileCold {
+			if most := w.maxPerSecond(); most <= maxWhileCold {
 				t.Errorf("%s, %d daemons: %d in a second; the load is too light to exceed the limit", name, n, most)
 			}
 		}
 	}
 }
 
-// TestPartsOfARateAreSpreadEvenly adds up the quotas of 930 daemons at 4,500 replicas: rounding
+// TestColdQuotasAreSpreadEvenly adds up the quotas of 930 daemons at 4,500 replicas: rounding
 // must give no replica more senders than it can serve, and the mean must be coldFraction of the
 // rate.
-func TestPartsOfARateAreSpreadEvenly(t *testing.T) {
+func TestColdQuotasAreSpreadEvenly(t *testing.T) {
 	RegisterTestingT(t)
 	const daemons, replicas = 930, 4500
 	w := newColdFleetSim(daemons, 1, 1, 3)
--- a/coordination/routing/crash.go
+++ b/coordination/routing/crash.go
@@ -30,8 +30,8 @@
 // Memory is bounded by maxContents; contents of the caller that has the most are evicted first.
 // If all daemons are killed at once the knowledge is lost, and three more replicas may crash. A
 // caller with many different crashing requests crashes three replicas with each. Quarantining
-// everything that a caller sends would also affect its valid requests, so that this is left to
-// operators, who see it.
+// everything that a caller sends would cost its valid requests their retries, so that this is
+// left to operators, who see it.
 
 package routing
 
--- a/coordination/routing/crash_bench_test.go
+++ b/coordination/routing/crash_bench_test.go
@@ -22,9 +22,9 @@
 	}
 }
 
-// BenchmarkHeld looks up a content as each request does: with no content recorded, and with the
-// maximum number.
-func BenchmarkHeld(b *testing.B) {
+// BenchmarkQuarantined looks up a content as each request does: with no content recorded, and
+// with the maximum number.
+func BenchmarkQuarantined(b *testing.B) {
 	now := time.Now()
 	for name, contents := range map[string]int{"nothing_known": 0, "all_known": 2000} {
 		c := newQuarantinedCrashes(contents, now)
@@ -38,8 +38,8 @@
 	}
 }
 
-// BenchmarkMemoryOfCrashes reports the largest memory use, in bytes.
-func BenchmarkMemoryOfCrashes(b *testing.B) {
+// BenchmarkCrashesMemory reports the largest memory use, in bytes.
+func BenchmarkCrashesMemory(b *testing.B) {
 	var before, after runtime.MemStats
 	for b.Loop() {
 		runtime.GC()
--- a/coordination/routing/crash_fleet_test.go
+++ b/coordination/routing/crash_fleet_test.go
@@ -11,11 +11,11 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// TestCrashingRequestReachesThreeReplicasMore simulates the incident of internal/soak's
+// TestCrashingRequestReachesFewReplicas simulates the incident of internal/soak's
 // TestCrashingRequestsReachFewReplicas in virtual time, in fleets of several sizes, with packet
 // loss, restarts and partitions. A naive fleet that shares nothing, or loses its knowledge at
 // restarts, must exceed the limit.
-func TestCrashingRequestReachesThreeReplicasMore(t *testing.T) {
+func TestCrashingRequestReachesFewReplicas(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		faults crashFaults
@@ -238,11 +238,11 @@
 	})
 }
 
-// TestInnocentRequestsAreRarelyHeldBack simulates requests that were in flight by coincidence
+// TestInnocentRequestsAreRarelyQuarantined simulates requests that were in flight by coincidence
 // when a replica crashed: 18 replicas, of which some crash each second and are back 3 s later,
 // and requests that last half a second, each with two attempts at its daemon and one retry by its
 // caller. It bounds how many are quarantined, and compares with quarantining after two crashes.
-func TestInnocentRequestsAreRarelyHeldBack(t *testing.T) {
+func TestInnocentRequestsAreRarelyQuarantined(t *testing.T) {
 	for _, c := range []struct {
 		crashesPerSecond float64
 		most             float64 // fraction of the requests that are quarantined
--- a/coordination/routing/crash_test.go
+++ b/coordination/routing/crash_test.go
@@ -203,9 +203,9 @@
 	})
 })
 
-// TestReportsOfCrashesMergeAlike checks that the state of a daemon depends only on the set of
+// TestCrashReportsMergeInAnyOrder checks that the state of a daemon depends only on the set of
 // reports received, not on their order or number of copies.
-func TestReportsOfCrashesMergeAlike(t *testing.T) {
+func TestCrashReportsMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var reports []routing.CrashReport
 		for range rapid.IntRange(0, 20).Draw(t, "reports") {
@@ -229,7 +229,7 @@
 		}
 		for content := routing.ContentKey(1); content <= 3; content++ {
 			if a.Quarantined(content, epoch) != b.Quarantined(content, epoch) {
-				t.Fatalf("content %d: held %t and %t", content, a.Quarantined(content, epoch), b.Quarantined(content, epoch))
+				t.Fatalf("content %d: quarantined %t and %t", content, a.Quarantined(content, epoch), b.Quarantined(content, epoch))
 			}
 		}
 	})
--- a/coordination/routing/ended_test.go
+++ b/coordination/routing/ended_test.go
@@ -16,11 +16,11 @@
 // the connections meant for it.
 var _ = Describe("Terminated replicas", func() {
 	var f *fleet
-	var gone routing.Replica
+	var terminated routing.Replica
 	BeforeEach(func() {
 		f = newFleet("llm", sameDomain(3)...)
-		gone = f.choose(chat("s")).Replica
-		f.placer.Health.ReportTermination(&gone, epoch)
+		terminated = f.choose(chat("s")).Replica
+		f.placer.Health.ReportTermination(&terminated, epoch)
 	})
 	choose := func(after time.Duration) (routing.Target, bool) {
 		f.pool.Sort()
@@ -31,27 +31,27 @@
 		f.placer.Health.SetEntriesStale(true)
 		t, ok := choose(9 * time.Second)
 		Expect(ok).To(BeTrue())
-		Expect(t.Replica.ID).NotTo(Equal(gone.ID))
-		_, why := f.placer.Health.Explain(&gone, epoch.Add(9*time.Second))
+		Expect(t.Replica.ID).NotTo(Equal(terminated.ID))
+		_, why := f.placer.Health.Explain(&terminated, epoch.Add(9*time.Second))
 		Expect(why).To(ContainSubstring("ended"))
 		t, _ = choose(10 * time.Second)
-		Expect(t.Replica.ID).To(Equal(gone.ID))
+		Expect(t.Replica.ID).To(Equal(terminated.ID))
 		f.placer.Health.SetEntriesStale(false)
 		t, _ = choose(2999 * time.Millisecond)
-		Expect(t.Replica.ID).NotTo(Equal(gone.ID))
+		Expect(t.Replica.ID).NotTo(Equal(terminated.ID))
 		t, _ = choose(3 * time.Second)
-		Expect(t.Replica.ID).To(Equal(gone.ID), "a working store would have announced another incarnation")
+		Expect(t.Replica.ID).To(Equal(terminated.ID), "a working store would have announced another incarnation")
 	})
 
 	It("get nothing while others are merely ejected, and the quota of cold ones if all have terminated", func() {
 		for i := range f.pool.Ready {
-			if r := &f.pool.Ready[i]; r.ID != gone.ID {
+			if r := &f.pool.Ready[i]; r.ID != terminated.ID {
 				f.placer.Health.Report(r, routing.ResultUnreachable, epoch)
 			}
 		}
 		t, ok := choose(0)
 		Expect(ok).To(BeTrue())
-		Expect(t.Replica.ID).NotTo(Equal(gone.ID), "an ejected one is better")
+		Expect(t.Replica.ID).NotTo(Equal(terminated.ID), "an ejected one is better")
 		for i := range f.pool.Ready {
 			f.placer.Health.ReportTermination(&f.pool.Ready[i], epoch)
 		}
@@ -108,13 +108,13 @@
 
 	It("get requests again at once when a new incarnation has an entry", func() {
 		for i := range f.pool.Ready {
-			if r := &f.pool.Ready[i]; r.ID == gone.ID {
+			if r := &f.pool.Ready[i]; r.ID == terminated.ID {
 				r.Born = 7
 				*r = routing.NewReplica(*r)
 			}
 		}
 		t, _ := choose(time.Second)
-		Expect(t.Replica.ID).To(Equal(gone.ID))
+		Expect(t.Replica.ID).To(Equal(terminated.ID))
 	})
 
 	It("are not affected by a clearance", func() {
@@ -134,6 +134,6 @@
 		Expect(t.Replica.IsCold(epoch.Add(5*time.Second))).To(BeTrue(), "all have terminated")
 		t, _ = choose(6 * time.Second)
 		Expect(t.Replica.IsCold(epoch.Add(6 * time.Second))).To(BeFalse())
-		Expect(t.Replica.ID).NotTo(BeElementOf(gone.ID, ""), "the one whose termination was seen later is still skipped")
+		Expect(t.Replica.ID).NotTo(BeElementOf(terminated.ID, ""), "the one whose termination was seen later is still skipped")
 	})
 })
--- a/coordination/routing/evacuate_test.go
+++ b/coordination/routing/evacuate_test.go
@@ -141,10 +141,10 @@
 	return wrong
 }
 
-// TestAnEvacuationReachesTheFleet evacuates a domain and ends the evacuation in quick succession,
+// TestEvacuationReachesFleet evacuates a domain and ends the evacuation in quick succession,
 // while a tenth of the messages between daemons is lost and some arrive two seconds late. After
 // the bound every daemon must have applied the newest document.
-func TestAnEvacuationReachesTheFleet(t *testing.T) {
+func TestEvacuationReachesFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom(fleetSizes).Draw(t, "daemons")
 		w := newEvacuationSim(n, rapid.Uint64().Draw(t, "seed"))
--- a/coordination/routing/leaving.go
+++ b/coordination/routing/leaving.go
@@ -52,7 +52,7 @@
 	known atomic.Int64
 
 	mu           sync.RWMutex
-	announced    map[ReplicaID]time.Time // when replicas told this daemon, in any incarnation
+	announced    map[ReplicaID]time.Time // when replicas announced it to this daemon, in any incarnation
 	incarnations map[LoadKey]*departure
 	outbox       outbox[DepartureReport] // its capacity is that of incarnations
 }
@@ -79,8 +79,8 @@
 // rebuilt, and reports are available from [Departures.TakeReports].
 func (l *Departures) Waiting() <-chan struct{} { return l.outbox.notify }
 
-// RecordAnnounced records that a replica told this daemon that it is leaving. It returns true if
-// that is new.
+// RecordAnnounced records that a replica announced to this daemon that it is leaving. It returns
+// true if that is new.
 func (l *Departures) RecordAnnounced(r *Replica, now time.Time) bool {
 	if l == nil {
 		return false
--- a/coordination/routing/lives_fleet_test.go
+++ b/coordination/routing/lives_fleet_test.go
@@ -81,7 +81,7 @@
 // allows.
 func (w *partitionSim) gossip() {
 	for _, from := range w.daemons {
-		lives := from.placer.Health.TakeLivenessReports(100, w.now)
+		liveness := from.placer.Health.TakeLivenessReports(100, w.now)
 		crashes := make([]routing.CrashReport, len(from.crashes))
 		for i, r := range from.crashes {
 			r.Age += w.now.Sub(epoch)
@@ -92,16 +92,16 @@
 				continue
 			}
 			to.placer.Health.ReportTerminations(to.placer.Health.FilterDisproved(crashes, w.now), w.now)
-			to.placer.Health.ObserveLiveness(lives, w.now)
+			to.placer.Health.ObserveLiveness(liveness, w.now)
 		}
 	}
 }
 
-// TestACutThatRefusesLeavesNoReplicaOut simulates partitions of several lengths in which links
+// TestRefusingLinksExcludeNoLiveReplica simulates partitions of several lengths in which links
 // refuse connections, and counts the requests that daemons refuse for lack of a replica in the
 // seconds after the partition, although all replicas live. Entries are taken for stale, which is
 // the worst case.
-func TestACutThatRefusesLeavesNoReplicaOut(t *testing.T) {
+func TestRefusingLinksExcludeNoLiveReplica(t *testing.T) {
 	RegisterTestingT(t)
 	const step = 20 * time.Millisecond
 	for _, daemons := range []int{8, 64} {
--- a/coordination/routing/lives_test.go
+++ b/coordination/routing/lives_test.go
@@ -11,27 +11,27 @@
 
 // TestLivenessDisprovesTerminations checks which responses disprove a termination at second 100.
 func TestLivenessDisprovesTerminations(t *testing.T) {
-	type answer struct{ opened, at float64 }
+	type response struct{ opened, at float64 }
 	at := func(s float64) time.Time { return epoch.Add(time.Duration(s * float64(time.Second))) }
 	for _, c := range []struct {
 		name      string
-		answers   []answer
+		responses []response
 		disproved bool
 	}{
 		{"nothing", nil, false},
-		{"an answer on a connection from before", []answer{{50, 101}}, true},
-		{"an answer before it", []answer{{50, 99.9}}, false},
-		{"an answer at the same time, as far as ages can tell", []answer{{50, 100.01}}, false},
-		{"an answer to a request that was sent right after it", []answer{{50, 100.02}}, true},
-		{"an answer on a connection that was opened right before it", []answer{{99.8, 101}}, false},
-		{"an answer on a connection that was opened after it", []answer{{100.5, 101}}, false},
-		{"the same after one on a connection from before", []answer{{50, 99.9}, {100.5, 101}}, false},
-		{"two connections that overlap", []answer{{50, 99}, {98, 101}}, true},
-		{"the newer answer first", []answer{{98, 101}, {50, 99}}, true},
+		{"a response on a connection from before", []response{{50, 101}}, true},
+		{"a response before it", []response{{50, 99.9}}, false},
+		{"a response at the same time, as far as ages can tell", []response{{50, 100.01}}, false},
+		{"a response to a request that was sent right after it", []response{{50, 100.02}}, true},
+		{"a response on a connection that was opened right before it", []response{{99.8, 101}}, false},
+		{"a response on a connection that was opened after it", []response{{100.5, 101}}, false},
+		{"the same after one on a connection from before", []response{{50, 99.9}, {100.5, 101}}, false},
+		{"two connections that overlap", []response{{50, 99}, {98, 101}}, true},
+		{"the newer response first", []response{{98, 101}, {50, 99}}, true},
 	} {
 		h := routing.NewHealth()
 		r := routing.NewReplica(routing.Replica{ID: "r"})
-		for _, a := range c.answers {
+		for _, a := range c.responses {
 			h.RecordAlive(&r, at(a.opened), at(a.at))
 		}
 		if got := h.Disproves(r.LoadKey(), at(100)); got != c.disproved {
@@ -41,7 +41,7 @@
 }
 
 // TestDaemonsForwardDisprovedTerminations checks that a daemon that can disprove a termination
-// replies to the report of one that believes it, so that both use the replica again, and that the
+// replies to the report of one that accepted it, so that both use the replica again, and that the
 // crash no longer counts against requests.
 func TestDaemonsForwardDisprovedTerminations(t *testing.T) {
 	here, there := routing.NewHealth(), routing.NewHealth()
@@ -55,21 +55,21 @@
 	if got := here.FilterDisproved(reports, now); len(got) != 1 || !got[0].Clears {
 		t.Fatalf("got %+v, want only the clearance", got)
 	}
-	lives := here.TakeLivenessReports(10, now)
-	if len(lives) != 1 || lives[0].Since < time.Minute {
-		t.Fatalf("reports are %+v, want one interval", lives)
+	intervals := here.TakeLivenessReports(10, now)
+	if len(intervals) != 1 || intervals[0].Since < time.Minute {
+		t.Fatalf("reports are %+v, want one interval", intervals)
 	}
 	if here.FilterDisproved(reports, now); len(here.TakeLivenessReports(10, now)) != 0 {
 		t.Error("the same report is queued again at once")
 	}
-	found := there.ObserveLiveness(lives, now)
+	found := there.ObserveLiveness(intervals, now)
 	if _, why := there.Explain(&r, now); len(found) != 1 || why != "" {
 		t.Errorf("disproved are %v; the replica gets no requests because %q", found, why)
 	}
 	if len(there.TakeLivenessReports(10, now)) != 1 {
 		t.Error("the report that disproves a termination is not forwarded")
 	}
-	if there.ObserveLiveness(lives, now); len(there.TakeLivenessReports(10, now)) != 0 {
+	if there.ObserveLiveness(intervals, now); len(there.TakeLivenessReports(10, now)) != 0 {
 		t.Error("the report is forwarded twice")
 	}
 	crashes.Disprove(there.Disproves)
@@ -82,10 +82,10 @@
 	}
 }
 
-// TestRealEndsAreNeverDisproved simulates in virtual time a replica that restarts again and
-// again, any number of connections that are opened and used at any time while an incarnation
+// TestRealTerminationsAreNeverDisproved simulates in virtual time a replica that restarts again
+// and again, any number of connections that are opened and used at any time while an incarnation
 // lives, and reports that arrive late. No real termination may be disproved.
-func TestRealEndsAreNeverDisproved(t *testing.T) {
+func TestRealTerminationsAreNeverDisproved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		daemons := []*routing.Health{routing.NewHealth(), routing.NewHealth(), routing.NewHealth()}
 		r := routing.NewReplica(routing.Replica{ID: "r"}) // one key for all incarnations
@@ -94,11 +94,11 @@
 		}
 		now := epoch
 		var terminations []time.Time
-		for range rapid.IntRange(1, 8).Draw(t, "starts") {
+		for range rapid.IntRange(1, 8).Draw(t, "incarnations") {
 			started := now
-			now = now.Add(draw("lives", 3000))
+			now = now.Add(draw("uptime", 3000))
 			terminated := now
-			for range rapid.IntRange(0, 6).Draw(t, "answers") {
+			for range rapid.IntRange(0, 6).Draw(t, "responses") {
 				opened := started.Add(time.Duration(rapid.Float64Range(0, 1).Draw(t, "opened") * float64(terminated.Sub(started))))
 				sent := opened.Add(time.Duration(rapid.Float64Range(0, 1).Draw(t, "sent") * float64(terminated.Sub(opened))))
 				rapid.SampledFrom(daemons).Draw(t, "daemon").RecordAlive(&r, opened, sent)
--- a/coordination/routing/resting.go
+++ b/coordination/routing/resting.go
@@ -1,5 +1,5 @@
 // This file decides which replicas get no requests because they requested a backoff from this
-// daemon: they refused a request and said for how long they want no more.
+// daemon: they refused a request and specified how long they want no more.
 //
 // Inputs: the backoffs that replicas requested in their responses (from transport/relay), and
 // requests of operators to lift one. The rule:
--- a/coordination/routing/silence_test.go
+++ b/coordination/routing/silence_test.go
@@ -88,9 +88,9 @@
 	})
 })
 
-// TestReportsOfSilenceMergeAlike checks that the state of a daemon depends only on the set of
+// TestSilenceReportsMergeInAnyOrder checks that the state of a daemon depends only on the set of
 // reports received, not on their order or number of copies.
-func TestReportsOfSilenceMergeAlike(t *testing.T) {
+func TestSilenceReportsMergeInAnyOrder(t *testing.T) {
 	RegisterTestingT(t)
 	rapid.Check(t, func(t *rapid.T) {
 		f, g := newFleet("llm", sameDomain(6)...), newFleet("llm", sameDomain(6)...)
@@ -121,10 +121,10 @@
 	})
 }
 
-// TestAFleetLearnsOfASilentReplicaSoon simulates daemons in virtual time, three of which met
-// silence. Each forwards new reports to five others every 200 ms, and one message in ten is lost.
-// Nine daemons in ten must know within 1.6 s in a fleet of 930.
-func TestAFleetLearnsOfASilentReplicaSoon(t *testing.T) {
+// TestSilenceReportsSpreadQuickly simulates daemons in virtual time, three of which met silence.
+// Each forwards new reports to five others every 200 ms, and one message in ten is lost. Nine
+// daemons in ten must know within 1.6 s in a fleet of 930.
+func TestSilenceReportsSpreadQuickly(t *testing.T) {
 	RegisterTestingT(t)
 	for _, daemons := range []int{62, 300, 930} {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
