--- a/coordination/routing/doc.go
+++ b/coordination/routing/doc.go
@@ -36,7 +36,7 @@
 // the relay reports about each attempt.
 //
 // A [View] is immutable and replaced as a whole. [Loads], [Health], [CacheTable], [Crowds],
-// [ColdRates], [LinkDoubts] and [RetryBudgets] are shared by the goroutines that serve requests
+// [ColdLimiter], [BrokenLinks] and [RetryBudgets] are shared by the goroutines that serve requests
 // and synchronize access themselves. [ExpiredEntries] and [Evacuations] belong to the control
 // loop.
 //
--- a/coordination/routing/ended_test.go
+++ b/coordination/routing/ended_test.go
@@ -16,11 +16,11 @@
 // the connections meant for it.
 var _ = Describe("Terminated replicas", func() {
 	var f *fleet
-	var gone routing.Replica
+	var terminated routing.Replica
 	BeforeEach(func() {
 		f = newFleet("llm", sameDomain(3)...)
-		gone = f.choose(chat("s")).Replica
-		f.placer.Health.ReportEnd(&gone, epoch)
+		terminated = f.choose(chat("s")).Replica
+		f.placer.Health.ReportTermination(&terminated, epoch)
 	})
 	choose := func(after time.Duration) (routing.Target, bool) {
 		f.pool.Sort()
@@ -31,33 +31,33 @@
 		f.placer.Health.SetEntriesStale(true)
 		t, ok := choose(9 * time.Second)
 		Expect(ok).To(BeTrue())
-		Expect(t.Replica.ID).NotTo(Equal(gone.ID))
-		_, why := f.placer.Health.Explain(&gone, epoch.Add(9*time.Second))
+		Expect(t.Replica.ID).NotTo(Equal(terminated.ID))
+		_, why := f.placer.Health.Explain(&terminated, epoch.Add(9*time.Second))
 		Expect(why).To(ContainSubstring("ended"))
 		t, _ = choose(10 * time.Second)
-		Expect(t.Replica.ID).To(Equal(gone.ID))
+		Expect(t.Replica.ID).To(Equal(terminated.ID))
 		f.placer.Health.SetEntriesStale(false)
 		t, _ = choose(2999 * time.Millisecond)
-		Expect(t.Replica.ID).NotTo(Equal(gone.ID))
+		Expect(t.Replica.ID).NotTo(Equal(terminated.ID))
 		t, _ = choose(3 * time.Second)
-		Expect(t.Replica.ID).To(Equal(gone.ID), "a working store would have announced another incarnation")
+		Expect(t.Replica.ID).To(Equal(terminated.ID), "a working store would have announced another incarnation")
 	})
 
 	It("get nothing while others are merely ejected, and the quota of cold ones if all have terminated", func() {
 		for i := range f.pool.Ready {
-			if r := &f.pool.Ready[i]; r.ID != gone.ID {
+			if r := &f.pool.Ready[i]; r.ID != terminated.ID {
 				f.placer.Health.Report(r, routing.ResultUnreachable, epoch)
 			}
 		}
 		t, ok := choose(0)
 		Expect(ok).To(BeTrue())
-		Expect(t.Replica.ID).NotTo(Equal(gone.ID), "an ejected one is better")
+		Expect(t.Replica.ID).NotTo(Equal(terminated.ID), "an ejected one is better")
 		for i := range f.pool.Ready {
-			f.placer.Health.ReportEnd(&f.pool.Ready[i], epoch)
+			f.placer.Health.ReportTermination(&f.pool.Ready[i], epoch)
 		}
 		f.view.Table, _ = routing.NewTable(&routing.Config{Services: []routing.Service{{Name: "llm", Generates: true, ColdPerSecond: coldPerSecond}}})
-		f.placer.Cold = routing.NewColdRates("10.0.0.1:1")
-		f.placer.Cold.SetDaemons(8)
+		f.placer.Cold = routing.NewColdLimiter("10.0.0.1:1")
+		f.placer.Cold.SetFleetSize(8)
 		taken := make(map[routing.ReplicaID]int)
 		for range 50 {
 			if t, ok := choose(0); ok {
@@ -67,9 +67,9 @@
 		}
 		for i := range f.pool.Ready {
 			r := &f.pool.Ready[i]
-			Expect(taken[r.ID]).To(Equal(f.placer.Cold.Part(r, coldPerSecond)))
+			Expect(taken[r.ID]).To(Equal(f.placer.Cold.Quota(r, coldPerSecond)))
 		}
-		f.placer.Cold = routing.NewColdRates("10.0.0.1:1") // it does not know the fleet's size
+		f.placer.Cold = routing.NewColdLimiter("10.0.0.1:1") // it does not know the fleet's size
 		_, ok = choose(0)
 		Expect(ok).To(BeFalse())
 	})
@@ -78,11 +78,11 @@
 		f := newFleet("llm", sameDomain(7)...)
 		f.pool.Sort()
 		f.view.Table, _ = routing.NewTable(&routing.Config{Services: []routing.Service{{Name: "llm", Generates: true, ColdPerSecond: coldPerSecond}}})
-		f.placer.Cold = routing.NewColdRates("10.0.0.1:1")
-		f.placer.Cold.SetDaemons(2)
+		f.placer.Cold = routing.NewColdLimiter("10.0.0.1:1")
+		f.placer.Cold.SetFleetSize(2)
 		ended := f.pool.Ready[:5]
 		for i := range ended {
-			f.placer.Health.ReportEnd(&ended[i], epoch)
+			f.placer.Health.ReportTermination(&ended[i], epoch)
 		}
 		f.placer.Health.Report(&ended[0], routing.ResultUnreachable, epoch)
 		taken := make(map[routing.ReplicaID]int)
@@ -93,10 +93,10 @@
 		}
 		Expect(taken[ended[0].ID]).To(BeZero(), "it refused a connection")
 		for _, r := range ended[1:] {
-			Expect(taken[r.ID]).To(And(BeNumerically(">", 0), Equal(f.placer.Cold.Part(&r, coldPerSecond))))
+			Expect(taken[r.ID]).To(And(BeNumerically(">", 0), Equal(f.placer.Cold.Quota(&r, coldPerSecond))))
 		}
 		for i := range ended {
-			f.placer.Health.Lived(&ended[i], epoch.Add(-time.Minute), epoch.Add(time.Second))
+			f.placer.Health.RecordAlive(&ended[i], epoch.Add(-time.Minute), epoch.Add(time.Second))
 		}
 		taken = make(map[routing.ReplicaID]int)
 		for i := range 200 {
@@ -108,18 +108,18 @@
 
 	It("get requests again at once when a new incarnation has an entry", func() {
 		for i := range f.pool.Ready {
-			if r := &f.pool.Ready[i]; r.ID == gone.ID {
+			if r := &f.pool.Ready[i]; r.ID == terminated.ID {
 				r.Born = 7
 				*r = routing.NewReplica(*r)
 			}
 		}
 		t, _ := choose(time.Second)
-		Expect(t.Replica.ID).To(Equal(gone.ID))
+		Expect(t.Replica.ID).To(Equal(terminated.ID))
 	})
 
 	It("are not affected by a clearance", func() {
 		other, _ := choose(0)
-		f.placer.Health.ReportEnds([]routing.CrashReport{{Replica: other.Replica.LoadKey(), Acquits: true}}, epoch)
+		f.placer.Health.ReportTerminations([]routing.CrashReport{{Replica: other.Replica.LoadKey(), Clears: true}}, epoch)
 		again, _ := choose(0)
 		Expect(again.Replica.ID).To(Equal(other.Replica.ID))
 	})
@@ -127,13 +127,13 @@
 	It("are known from reports of others, from the time of their termination", func() {
 		f.placer.Health.SetEntriesStale(true)
 		for i := range f.pool.Ready {
-			f.placer.Health.ReportEnds([]routing.CrashReport{{Replica: f.pool.Ready[i].LoadKey(), Age: 4 * time.Second}}, epoch)
+			f.placer.Health.ReportTerminations([]routing.CrashReport{{Replica: f.pool.Ready[i].LoadKey(), Age: 4 * time.Second}}, epoch)
 		}
 		t, ok := choose(5 * time.Second)
 		Expect(ok).To(BeTrue())
 		Expect(t.Replica.IsCold(epoch.Add(5*time.Second))).To(BeTrue(), "all have terminated")
 		t, _ = choose(6 * time.Second)
 		Expect(t.Replica.IsCold(epoch.Add(6 * time.Second))).To(BeFalse())
-		Expect(t.Replica.ID).NotTo(BeElementOf(gone.ID, ""), "the one whose termination was seen later is still skipped")
+		Expect(t.Replica.ID).NotTo(BeElementOf(terminated.ID, ""), "the one whose termination was seen later is still skipped")
 	})
 })
--- a/coordination/routing/export_test.go
+++ b/coordination/routing/export_test.go
@@ -29,19 +29,19 @@
 	return len(c.needs)
 }
 
-// Part returns how many requests this daemon may send to a cold replica in any second.
-func (c *ColdRates) Part(r *Replica, perSecond float64) int {
+// Quota returns how many requests this daemon may send to a cold replica in any second.
+func (c *ColdLimiter) Quota(r *Replica, perSecond float64) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.part(r, &Service{ColdPerSecond: perSecond})
+	return c.quota(r, &Service{ColdPerSecond: perSecond})
 }
 
 // Len returns how many backoffs are recorded.
-func (s *Rests) Len() int { return int(s.known.Load()) }
+func (s *Backoffs) Len() int { return int(s.known.Load()) }
 
-// Starts returns how many starts are recorded.
-func (l *Leavings) Starts() int {
+// Incarnations returns the number of incarnations recorded.
+func (l *Departures) Incarnations() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.starts)
+	return len(l.incarnations)
 }
--- a/coordination/routing/place.go
+++ b/coordination/routing/place.go
@@ -93,14 +93,14 @@
 
 // Placer chooses replicas. It is safe for concurrent use.
 type Placer struct {
-	Loads  *Loads
-	Health *Health
-	Cache  *CacheTable // nil: no cache locations are known
-	Crowds *Crowds     // nil: no replica is overloaded
-	Cold   *ColdRates  // nil: cold replicas are not limited
-	Rests  *Rests      // nil: no replica has requested a backoff
-	// Leavings is nil where replicas don't announce their departure in responses.
-	Leavings *Leavings
+	Loads    *Loads
+	Health   *Health
+	Cache    *CacheTable  // nil: no cache locations are known
+	Crowds   *Crowds      // nil: no replica is overloaded
+	Cold     *ColdLimiter // nil: cold replicas are not limited
+	Backoffs *Backoffs    // nil: no replica has requested a backoff
+	// Departures is nil where replicas don't announce their departure in responses.
+	Departures *Departures
 }
 
 // Choose returns the target of a request among the ready replicas of its service that were not
@@ -127,7 +127,7 @@
 	c.excludeCold(p.Cold, s, now)
 	for c.usableCount > 0 {
 		t := p.chooseUsable(c, pool, v, r, s, now)
-		if p.Cold.take(&t.Replica, s, now) {
+		if p.Cold.reserve(&t.Replica, s, now) {
 			return t, true
 		}
 		c.exclude(func(r *Replica) bool { return r.ID == t.Replica.ID })
--- a/coordination/routing/resting_test.go
+++ b/coordination/routing/resting_test.go
@@ -14,9 +14,9 @@
 )
 
 // newBackoffFleet returns a fleet whose daemon records backoffs and departures.
-func restingFleet(replicas int) *fleet {
+func newBackoffFleet(replicas int) *fleet {
 	f := newFleet("llm", sameDomain(replicas)...)
-	f.placer.Rests, f.placer.Leavings = routing.NewRests(), routing.NewLeavings()
+	f.placer.Backoffs, f.placer.Departures = routing.NewBackoffs(), routing.NewDepartures()
 	return f
 }
 
@@ -34,18 +34,18 @@
 
 var _ = Describe("Replicas that requested a backoff", func() {
 	It("get nothing until it is over, and then their share", func() {
-		f := restingFleet(4)
+		f := newBackoffFleet(4)
 		r := f.pool.Ready[0]
-		f.placer.Rests.Ask(&r, 3*time.Second, "q", epoch)
+		f.placer.Backoffs.Record(&r, 3*time.Second, "q", epoch)
 		Expect(f.chosen(0)).NotTo(HaveKey(r.ID))
 		Expect(f.chosen(2999 * time.Millisecond)).NotTo(HaveKey(r.ID))
 		Expect(f.chosen(3 * time.Second)).To(HaveKey(r.ID))
 	})
 
 	It("get nothing even if all others are ejected or far more loaded", func() {
-		f := restingFleet(4)
+		f := newBackoffFleet(4)
 		r := f.pool.Ready[0]
-		f.placer.Rests.Ask(&r, 3*time.Second, "q", epoch)
+		f.placer.Backoffs.Record(&r, 3*time.Second, "q", epoch)
 		for i := range f.pool.Ready {
 			other := &f.pool.Ready[i]
 			if other.ID == r.ID {
@@ -61,14 +61,14 @@
 	})
 
 	It("lead to an immediate refusal if all are backing off, with the time until the first is back", func() {
-		f := restingFleet(3)
+		f := newBackoffFleet(3)
 		for i := range f.pool.Ready {
-			f.placer.Rests.Ask(&f.pool.Ready[i], time.Duration(2+i)*time.Second, "q", epoch)
+			f.placer.Backoffs.Record(&f.pool.Ready[i], time.Duration(2+i)*time.Second, "q", epoch)
 		}
 		Expect(f.chosen(0)).To(BeEmpty())
 		seen := make(map[time.Duration]bool)
 		for i := range 50 {
-			why := f.placer.WhyNone(f.view, &routing.Request{ID: routing.RequestID(fmt.Sprint(i)), Service: "llm"}, epoch)
+			why := f.placer.NoReplicaReason(f.view, &routing.Request{ID: routing.RequestID(fmt.Sprint(i)), Service: "llm"}, epoch)
 			Expect(why.Reason).To(Equal(coordination.ReasonResting))
 			Expect(why.RetryAfter).To(And(BeNumerically(">=", 2*time.Second), BeNumerically("<", 2500*time.Millisecond)))
 			seen[why.RetryAfter] = true
@@ -77,59 +77,59 @@
 	})
 
 	It("are still sources of prompt copies", func() {
-		f := restingFleet(3)
+		f := newBackoffFleet(3)
 		t := f.choose(chat("s"))
 		f.placer.RecordRead(chat("s"), &t, epoch)
-		f.placer.Rests.Ask(&t.Replica, time.Second, "q", epoch)
+		f.placer.Backoffs.Record(&t.Replica, time.Second, "q", epoch)
 		next, _ := f.placer.Choose(f.view, chat("s"), routing.Tried{}, epoch)
 		Expect(next.Source.ID).To(Equal(t.Replica.ID))
 	})
 
 	It("back off for an hour at most, and until an operator lifts it", func() {
 		r := routing.NewReplica(routing.Replica{ID: "r"})
-		rests := routing.NewRests()
-		left, isNew := rests.Ask(&r, 10*365*24*time.Hour, "q", epoch)
+		backoffs := routing.NewBackoffs()
+		left, isNew := backoffs.Record(&r, 10*365*24*time.Hour, "q", epoch)
 		Expect(left).To(Equal(time.Hour))
 		Expect(isNew).To(BeTrue())
-		Expect(rests.AskedBy(&r, epoch)).To(Equal(routing.RequestID("q")))
-		Expect(rests.Lift("r", epoch)).To(BeTrue())
-		Expect(rests.Left(&r, epoch)).To(BeZero())
-		Expect(rests.Lift("r", epoch)).To(BeFalse())
+		Expect(backoffs.RequestedBy(&r, epoch)).To(Equal(routing.RequestID("q")))
+		Expect(backoffs.Lift("r", epoch)).To(BeTrue())
+		Expect(backoffs.Remaining(&r, epoch)).To(BeZero())
+		Expect(backoffs.Lift("r", epoch)).To(BeFalse())
 	})
 
 	It("are removed when the backoff is over, and bounded in number", func() {
-		rests := routing.NewRests()
+		backoffs := routing.NewBackoffs()
 		last := routing.NewReplica(routing.Replica{ID: "last"})
 		for i := range 10_001 {
 			r := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint(i))})
-			rests.Ask(&r, time.Duration(i+1)*time.Millisecond, "q", epoch)
+			backoffs.Record(&r, time.Duration(i+1)*time.Millisecond, "q", epoch)
 		}
-		rests.Ask(&last, time.Minute, "q", epoch)
-		Expect(rests.Len()).To(Equal(10_000))
-		Expect(rests.Left(&last, epoch)).To(Equal(time.Minute))
-		rests.Forget(epoch.Add(30 * time.Second))
-		Expect(rests.Len()).To(Equal(1))
+		backoffs.Record(&last, time.Minute, "q", epoch)
+		Expect(backoffs.Len()).To(Equal(10_000))
+		Expect(backoffs.Remaining(&last, epoch)).To(Equal(time.Minute))
+		backoffs.Forget(epoch.Add(30 * time.Second))
+		Expect(backoffs.Len()).To(Equal(1))
 	})
 })
 
 // TestBackoffAppliesToIncarnation checks rule 3.
-func TestStartsThatARestBinds(t *testing.T) {
+func TestBackoffAppliesToIncarnation(t *testing.T) {
 	for _, c := range []struct {
-		name         string
-		asked, other routing.Born
-		bound        bool
+		name             string
+		requested, other routing.Born
+		backsOff         bool
 	}{
 		{"the incarnation that requested it", 7, 7, true},
 		{"another incarnation", 7, 8, false},
 		{"an entry without an incarnation time", 7, 0, true},
 		{"an incarnation that requested it under such an entry", 0, 8, true},
 	} {
-		rests := routing.NewRests()
-		r := routing.NewReplica(routing.Replica{ID: "r", Born: c.asked})
-		rests.Ask(&r, 10*time.Second, "q", epoch)
+		backoffs := routing.NewBackoffs()
+		r := routing.NewReplica(routing.Replica{ID: "r", Born: c.requested})
+		backoffs.Record(&r, 10*time.Second, "q", epoch)
 		other := routing.NewReplica(routing.Replica{ID: "r", Born: c.other})
-		if got := rests.Left(&other, epoch) > 0; got != c.bound {
-			t.Errorf("%s: backs off %t, want %t", c.name, got, c.bound)
+		if got := backoffs.Remaining(&other, epoch) > 0; got != c.backsOff {
+			t.Errorf("%s: backs off %t, want %t", c.name, got, c.backsOff)
 		}
 	}
 }
@@ -138,11 +138,11 @@
 // ejections, entries that come and go, and restarts, with any number of replicas. No request of
 // the daemon may reach a replica between the response that requested a backoff and the end of the
 // backoff. Two would be allowed, half a second later.
-func TestRestsAreKeptWhateverComesAfter(t *testing.T) {
+func TestBackoffsAreKept(t *testing.T) {
 	RegisterTestingT(t)
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "replicas")
-		f := restingFleet(n)
+		f := newBackoffFleet(n)
 		for i := range f.pool.Ready {
 			f.pool.Ready[i].Born = 1
 			f.pool.Ready[i] = routing.NewReplica(f.pool.Ready[i])
@@ -157,9 +157,9 @@
 			case 0:
 				now = now.Add(time.Duration(rapid.IntRange(1, 2500).Draw(t, "ms")) * time.Millisecond)
 			case 1: // refused, with or without a backoff
-				rest := time.Duration(rapid.IntRange(0, 4000).Draw(t, "rest")) * time.Millisecond
-				f.placer.Rests.Ask(r, rest, "q", now)
-				if end := now.Add(rest); end.After(until[r.ID]) {
+				backoff := time.Duration(rapid.IntRange(0, 4000).Draw(t, "rest")) * time.Millisecond
+				f.placer.Backoffs.Record(r, backoff, "q", now)
+				if end := now.Add(backoff); end.After(until[r.ID]) {
 					until[r.ID] = end
 				}
 			case 2:
@@ -174,7 +174,7 @@
 				delete(until, r.ID)
 				f.pool.Ready = append(withoutReplica(f.pool.Ready, r.ID), *r)
 			case 6:
-				f.placer.Rests.Forget(now)
+				f.placer.Backoffs.Forget(now)
 			}
 			f.pool.Sort()
 			for q := range 6 {
@@ -182,7 +182,7 @@
 				if ok && now.Before(until[target.Replica.ID]) {
 					t.Fatalf("%s got a request %v before the end of its backoff", target.Replica.ID, until[target.Replica.ID].Sub(now))
 				}
-				if !ok && someServes(f, until, now) {
+				if !ok && anyServing(f, until, now) {
 					t.Fatalf("a request was refused although a replica is not backing off")
 				}
 			}
@@ -201,7 +201,7 @@
 }
 
 // anyServing reports whether a replica of the fleet is not backing off.
-func someServes(f *fleet, until map[routing.ReplicaID]time.Time, now time.Time) bool {
+func anyServing(f *fleet, until map[routing.ReplicaID]time.Time, now time.Time) bool {
 	for i := range f.pool.Ready {
 		if !now.Before(until[f.pool.Ready[i].ID]) {
 			return true
--- a/coordination/routing/retry.go
+++ b/coordination/routing/retry.go
@@ -77,7 +77,7 @@
 // replace the outcome of an attempt that may have run the request.
 func (a *Attempts) HeldBack() {
 	if _, ok := a.Outcome.(coordination.NotRun); ok {
-		a.Outcome = coordination.NotRun{Reason: coordination.ReasonHeldBack, RetryAfter: retryAfterHeld}
+		a.Outcome = coordination.NotRun{Reason: coordination.ReasonHeldBack, RetryAfter: retryAfterQuarantined}
 	}
 }
 
--- a/coordination/routing/retry_test.go
+++ b/coordination/routing/retry_test.go
@@ -100,8 +100,8 @@
 func TestARefusalSaysWhyThereIsNoReplica(t *testing.T) {
 	warm := routing.Replica{ID: "w"}
 	cold, resting := routing.Replica{ID: "c", ColdUntil: epoch.Add(time.Second)}, routing.Replica{ID: "r"}
-	placer := &routing.Placer{Rests: routing.NewRests()}
-	placer.Rests.Ask(&resting, time.Second, "q", epoch)
+	placer := &routing.Placer{Backoffs: routing.NewBackoffs()}
+	placer.Backoffs.Record(&resting, time.Second, "q", epoch)
 	for _, c := range []struct {
 		name string
 		pool routing.Pool
@@ -115,12 +115,12 @@
 	} {
 		v := &routing.View{Pools: map[routing.ServiceName]*routing.Pool{"s": &c.pool}}
 		a := routing.NewAttempts(&routing.Route{MaxAttempts: 1})
-		a.NoReplica(placer.WhyNone(v, &routing.Request{Service: "s"}, epoch))
+		a.NoReplica(placer.NoReplicaReason(v, &routing.Request{Service: "s"}, epoch))
 		if got, ok := a.Outcome.(coordination.NotRun); !ok || got.Reason != c.want || got.RetryAfter <= 0 {
 			t.Errorf("%s: outcome %s, want %s", c.name, outcomeText(a.Outcome), c.want)
 		}
 		a.Outcome = answerBroken
-		a.NoReplica(placer.WhyNone(v, &routing.Request{Service: "s"}, epoch))
+		a.NoReplica(placer.NoReplicaReason(v, &routing.Request{Service: "s"}, epoch))
 		if a.Outcome != coordination.Outcome(answerBroken) {
 			t.Errorf("%s: outcome of a request that may have run changed to %s", c.name, outcomeText(a.Outcome))
 		}
--- a/daemon/routes/catalog.go
+++ b/daemon/routes/catalog.go
@@ -214,7 +214,7 @@
 
 // view builds a view from the documents. Replicas that announced their departure in a response
 // are draining in the view, whatever their entries say.
-func (c *catalog) view(leavings *routing.Leavings, now time.Time) *routing.View {
+func (c *catalog) view(leavings *routing.Departures, now time.Time) *routing.View {
 	v := &routing.View{Table: c.table, Position: c.feed.Position(), Pools: make(map[routing.ServiceName]*routing.Pool)}
 	for name, list := range c.lists {
 		if c.isService(name) {
@@ -227,7 +227,7 @@
 // pool returns the pool of a service: the replicas of the entries, adjusted for expired entries,
 // departures and evacuated failure domains. It returns entries itself if there is
 // nothing to adjust.
-func (c *catalog) pool(name routing.ServiceName, entries *routing.Pool, leavings *routing.Leavings, now time.Time) *routing.Pool {
+func (c *catalog) pool(name routing.ServiceName, entries *routing.Pool, leavings *routing.Departures, now time.Time) *routing.Pool {
 	p := entries.Overlay()
 	if restored := c.expired.Restore(name, p, now); len(restored) > 0 {
 		c.log.Restored(name, len(restored), len(entries.Ready))
--- a/daemon/routes/control.go
+++ b/daemon/routes/control.go
@@ -47,11 +47,11 @@
 	cache   *routing.CacheTable
 	crowds  *routing.Crowds
 	crashes *routing.Crashes
-	cold    *routing.ColdRates
+	cold    *routing.ColdLimiter
 	budgets *routing.RetryBudgets
-	rests   *routing.Rests
+	rests   *routing.Backoffs
 	// leavings is applied to each view that is built.
-	leavings *routing.Leavings
+	leavings *routing.Departures
 }
 
 // newTables returns empty tables for a daemon of a fleet that is assumed to have at least the
@@ -59,8 +59,8 @@
 func newTables(daemon routing.PeerID, rule routing.RetryRule, daemons int) tables {
 	return tables{
 		loads: routing.NewLoads(), health: routing.NewHealth(), cache: routing.NewCacheTable(), crowds: routing.NewCrowds(),
-		crashes: routing.NewCrashes(), cold: routing.NewColdRates(daemon), budgets: routing.NewRetryBudgets(rule, daemons),
-		rests: routing.NewRests(), leavings: routing.NewLeavings(),
+		crashes: routing.NewCrashes(), cold: routing.NewColdLimiter(daemon), budgets: routing.NewRetryBudgets(rule, daemons),
+		rests: routing.NewBackoffs(), leavings: routing.NewDepartures(),
 	}
 }
 
@@ -131,7 +131,7 @@
 			c.awaitMoreReports(ctx, crowdsDue{})
 		case <-c.crashes.Waiting():
 			c.awaitMoreReports(ctx, crashesDue{})
-		case <-c.health.LivesWaiting():
+		case <-c.health.LivenessWaiting():
 			c.awaitMoreReports(ctx, livesDue{})
 		case <-c.leavings.Waiting():
 			c.viewIsOld = true
@@ -232,8 +232,8 @@
 	c.settleFormer(now)
 	c.loans.forget(now)
 	c.syncIfBehind(ctx, now)
-	if now.Sub(c.startedAt) >= routing.FleetKnownAfter {
-		c.cold.SetDaemons(c.roster.PeakSize())
+	if now.Sub(c.startedAt) >= routing.FleetSizeKnownAfter {
+		c.cold.SetFleetSize(c.roster.PeakSize())
 	}
 	expired := c.catalog.expired.Expire(now)
 	if n := c.roster.Size(now); c.sizeChanged(n) || expired || c.viewIsOld {
--- a/daemon/routes/events.go
+++ b/daemon/routes/events.go
@@ -53,11 +53,11 @@
 	crashesDue struct{}
 	// livesReceived carries a peer's reports of replicas that are alive although they were
 	// reported as terminated.
-	livesReceived struct{ reports []routing.LifeReport }
+	livesReceived struct{ reports []routing.LivenessReport }
 	// livesDue says that liveness reports are to be sent.
 	livesDue struct{}
 	// leavingsReceived carries a peer's reports of replicas that announced their departure.
-	leavingsReceived struct{ reports []routing.LeavingReport }
+	leavingsReceived struct{ reports []routing.DepartureReport }
 	// leavingsDue says that reports of departures are to be sent.
 	leavingsDue struct{}
 	// loanWanted requests a budget transfer, because the budget of a service lacks the missing amount for
--- a/daemon/routes/reports.go
+++ b/daemon/routes/reports.go
@@ -94,8 +94,8 @@
 
 // receiveCrashes processes a peer's crash reports.
 func (c *control) receiveCrashes(reports []routing.CrashReport, now time.Time) {
-	reports = c.health.Believable(reports, now)
-	c.health.ReportEnds(reports, now)
+	reports = c.health.FilterDisproved(reports, now)
+	c.health.ReportTerminations(reports, now)
 	for _, content := range c.crashes.Observe(reports, now) {
 		c.log.HeldBack(content)
 	}
@@ -104,25 +104,25 @@
 // disproveEnds looks for open connections to replicas that are considered terminated. An open
 // connection proves that the replica has not terminated since it was opened.
 func (c *control) disproveEnds(now time.Time) {
-	for _, key := range c.health.Ended(now) {
+	for _, key := range c.health.Terminated(now) {
 		r := c.view.Load().Replica(key)
 		if r == nil {
 			continue
 		}
 		if opened, ok := c.openSince(r.Incarnation()); ok {
-			c.health.Lived(r, opened, now.Add(-closeDelay))
+			c.health.RecordAlive(r, opened, now.Add(-closeDelay))
 		}
 	}
 }
 
 // sendLives forwards pending liveness reports.
 func (c *control) sendLives(now time.Time) {
-	spreadReports(c, c.health.TakeLives(gossip.MaxLives, now), gossip.EncodeLives, now)
+	spreadReports(c, c.health.TakeLivenessReports(gossip.MaxLives, now), gossip.EncodeLives, now)
 }
 
 // receiveLives processes a peer's liveness reports.
-func (c *control) receiveLives(reports []routing.LifeReport, now time.Time) {
-	c.logReplicas(c.health.ObserveLives(reports, now), c.log.Lives)
+func (c *control) receiveLives(reports []routing.LivenessReport, now time.Time) {
+	c.logReplicas(c.health.ObserveLiveness(reports, now), c.log.Lives)
 }
 
 // sendLeavings forwards pending reports of departures.
@@ -131,7 +131,7 @@
 }
 
 // receiveLeavings processes a peer's reports of departures.
-func (c *control) receiveLeavings(reports []routing.LeavingReport, now time.Time) {
+func (c *control) receiveLeavings(reports []routing.DepartureReport, now time.Time) {
 	c.logReplicas(c.leavings.Observe(reports, now), c.log.LeavesByReport)
 }
 
@@ -143,7 +143,7 @@
 		return
 	}
 	if c.leavings.Known() {
-		c.leavings.Named(c.catalog.allReplicas(), now)
+		c.leavings.ObserveEntries(c.catalog.allReplicas(), now)
 	}
 	targets := c.targets(false, now)
 	if len(targets) == 0 {
--- a/protocol/gossip/gossip_test.go
+++ b/protocol/gossip/gossip_test.go
@@ -192,7 +192,7 @@
 	for i := range MaxCrashes {
 		reports = append(reports, routing.CrashReport{
 			Content: routing.ContentKey(1<<62 + i), Caller: routing.CallerKey(1<<31 + i), Replica: routing.LoadKey(1<<31 + i),
-			Acquits: i%2 == 0, Age: time.Duration(1<<31+i) * time.Millisecond,
+			Clears: i%2 == 0, Age: time.Duration(1<<31+i) * time.Millisecond,
 		})
 	}
 	payload, err := EncodeCrashes(reports)
@@ -261,11 +261,11 @@
 	write("silences", payload, err)
 	payload, err = EncodeCrowds([]routing.CrowdReport{{Replica: 5, Prompt: 1 << 31, Homes: 300, Age: 250 * time.Millisecond}})
 	write("crowds", payload, err)
-	payload, err = EncodeCrashes([]routing.CrashReport{{Content: 1 << 40, Caller: 1 << 31, Replica: 5, Age: 250 * time.Millisecond}, {Content: 7, Acquits: true}})
+	payload, err = EncodeCrashes([]routing.CrashReport{{Content: 1 << 40, Caller: 1 << 31, Replica: 5, Age: 250 * time.Millisecond}, {Content: 7, Clears: true}})
 	write("crashes", payload, err)
-	payload, err = EncodeLeavings([]routing.LeavingReport{{Replica: 5, Age: 250 * time.Millisecond}, {Replica: 1 << 31}})
+	payload, err = EncodeLeavings([]routing.DepartureReport{{Replica: 5, Age: 250 * time.Millisecond}, {Replica: 1 << 31}})
 	write("leavings", payload, err)
-	payload, err = EncodeLives([]routing.LifeReport{{Replica: 5, Since: time.Hour, Age: 250 * time.Millisecond}})
+	payload, err = EncodeLives([]routing.LivenessReport{{Replica: 5, Since: time.Hour, Age: 250 * time.Millisecond}})
 	write("lives", payload, err)
 	payload, err = EncodeLoanAsks([]LoanAsk{{ID: 3, From: "10.0.0.1:1", Service: "s", Missing: 0.25}})
 	write("loan asks", payload, err)
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -84,7 +84,7 @@
 	s.summary.Position = view.Position
 	target, ok := s.Placer.Choose(view, &s.call.Request, s.tried, now)
 	if !ok {
-		s.attempts.NoReplica(s.Placer.WhyNone(view, &s.call.Request, now))
+		s.attempts.NoReplica(s.Placer.NoReplicaReason(view, &s.call.Request, now))
 		return false
 	}
 	if !s.attempts.MaySend(s.Budgets, s.call.Service, now) && !s.borrowRetry(ctx) {
@@ -138,7 +138,7 @@
 
 // heldBack reports whether the call may not be sent because replicas end under it.
 func (s *serving) heldBack(now time.Time) bool {
-	if !s.Crashes.Held(s.call.Content, now) {
+	if !s.Crashes.Quarantined(s.call.Content, now) {
 		return false
 	}
 	s.attempts.HeldBack()
@@ -153,8 +153,8 @@
 		return
 	}
 	s.Observer.EndedUnder(r, s.call)
-	s.Placer.Health.ReportEnd(r, now)
-	if s.Crashes.ReportEnd(s.call.Content, s.call.Workspace, r, now) {
+	s.Placer.Health.ReportTermination(r, now)
+	if s.Crashes.ReportCrash(s.call.Content, s.call.Workspace, r, now) {
 		s.Observer.HeldBack(s.call.Content)
 	}
 }
@@ -164,8 +164,8 @@
 // requests of its own, and a caller that comes back by one of them would be turned away again.
 func (s *serving) noteReplaced(r *routing.Replica) {
 	now := clock.Now()
-	s.Placer.Health.ReportEnd(r, now)
-	if s.Placer.Leavings.Say(r, now) {
+	s.Placer.Health.ReportTermination(r, now)
+	if s.Placer.Departures.RecordAnnounced(r, now) {
 		s.Observer.Replaced(r, s.call)
 	}
 }
@@ -174,7 +174,7 @@
 // were asked before against them.
 func (s *serving) praise(r *routing.Replica, now time.Time) {
 	s.Placer.Health.Report(r, routing.ResultGood, now)
-	s.Crashes.Acquit(s.call.Content, now)
+	s.Crashes.Clear(s.call.Content, now)
 	s.blameFailed()
 }
 
@@ -192,9 +192,9 @@
 		s.Pool.discard(c)
 		return &failure{outcome: coordination.NotRun{Reason: coordination.ReasonConnect, RetryAfter: routing.RetryAfter}, err: errDrained}
 	}
-	if now := clock.Now(); s.Placer.Bars(&t.Replica, now) {
+	if now := clock.Now(); s.Placer.IsIneligible(&t.Replica, now) {
 		s.Pool.put(c, now)
-		return &failure{outcome: s.Placer.WhyNone(s.View(), &s.call.Request, now), err: errBarred}
+		return &failure{outcome: s.Placer.NoReplicaReason(s.View(), &s.call.Request, now), err: errBarred}
 	}
 	if s.heldBack(clock.Now()) {
 		s.Pool.put(c, clock.Now())
@@ -215,7 +215,7 @@
 		f = s.receive(ctx, x, t, a)
 	}
 	if f != nil && f.result == routing.ResultBroken && f.blame && !x.arrived {
-		s.Pool.doubts.Broke(t.Replica.Domain, clock.Now())
+		s.Pool.doubts.Record(t.Replica.Domain, clock.Now())
 	}
 	if f != nil && !x.ended {
 		x.abandon()
@@ -238,7 +238,7 @@
 	}
 	f := x.readHead(ctx)
 	if x.isAnswered() {
-		s.Placer.Health.Lived(&t.Replica, x.conn.opened, x.sent)
+		s.Placer.Health.RecordAlive(&t.Replica, x.conn.opened, x.sent)
 	}
 	if f != nil {
 		return f
@@ -260,10 +260,10 @@
 	now := clock.Now()
 	a.Rest, a.Leaving = max(a.Rest, says.Rest), a.Leaving || says.Leaving
 	s.Observer.Said(r, s.call, says)
-	if left, isNew := s.Placer.Rests.Ask(r, says.Rest, s.call.ID, now); isNew {
+	if left, isNew := s.Placer.Backoffs.Record(r, says.Rest, s.call.ID, now); isNew {
 		s.Observer.Rests(r, s.call, left)
 	}
-	if says.Leaving && s.Placer.Leavings.Say(r, now) {
+	if says.Leaving && s.Placer.Departures.RecordAnnounced(r, now) {
 		s.Observer.Leaves(r, s.call)
 	}
 }
