--- a/coordination/routing/bound_test.go
+++ b/coordination/routing/bound_test.go
@@ -212,7 +212,7 @@
 	shared := table([]routing.Route{{Name: "r", Host: "h", Prefix: "/", Shares: shares("llm")}})
 	for i := range daemons {
 		d := &simDaemon{domain: i % domains}
-		d.Placer = routing.Placer{Loads: routing.NewLoads(), Health: routing.NewHealth(), Cache: routing.NewCacheTable(), Crowds: routing.NewCrowds()}
+		d.Placer = routing.Placer{Loads: routing.NewLoads(), Health: routing.NewHealth(), Cache: routing.NewCacheTable(), Overloads: routing.NewOverloads()}
 		d.view = &routing.View{
 			Table: shared, Pools: map[routing.ServiceName]*routing.Pool{"llm": pool}, Domain: simDomain(d.domain),
 			Daemons: daemons, LargeFleet: w.large(daemons),
@@ -342,13 +342,13 @@
 	if w.step%steps != from%steps {
 		return
 	}
-	reports := w.daemons[from].Crowds.TakeReports(overloadsPerMessage, w.now)
+	reports := w.daemons[from].Overloads.TakeReports(overloadsPerMessage, w.now)
 	if len(reports) == 0 {
 		return
 	}
 	for _, to := range w.targets(from) {
 		w.reports += len(reports)
-		w.daemons[to].Crowds.Observe(reports, w.now)
+		w.daemons[to].Overloads.Observe(reports, w.now)
 	}
 }
 
--- a/coordination/routing/candidates.go
+++ b/coordination/routing/candidates.go
@@ -33,7 +33,7 @@
 	c := &candidates{ready: pool.Ready, coldUntil: pool.coldUntil, loads: make([]int, n), usable: make([]bool, n), overloaded: make([]bool, n)}
 	c.mean = float64(p.Loads.addTo(c.loads, pool, now)) / float64(n)
 	c.coverage = p.Loads.coverage(v.Daemons, now)
-	p.Crowds.markAvoided(c.overloaded, pool, v.LargeFleet, now)
+	p.Overloads.markAvoided(c.overloaded, pool, v.LargeFleet, now)
 	barred, ended := p.barred(pool, now), p.Health.markEnded(pool, now)
 	c.leftOut = leftOut(barred, ended, n)
 	c.markUsable(p, pool, tried, now)
--- a/coordination/routing/crowd.go
+++ b/coordination/routing/crowd.go
@@ -39,8 +39,8 @@
 	"time"
 )
 
-// CrowdReport is a daemon's report that a replica was found overloaded.
-type CrowdReport struct {
+// OverloadReport is a daemon's report that a replica was found overloaded.
+type OverloadReport struct {
 	Replica LoadKey
 	// Prompt should have this many homes; 0 if the replica was not one of its homes.
 	Prompt PromptKey
@@ -78,14 +78,14 @@
 	overloadsPerSecond = 20
 )
 
-// Crowds tracks the overloaded replicas and the prompts that need additional homes. It is safe
-// for concurrent use. A nil Crowds tracks nothing.
-type Crowds struct {
+// Overloads tracks the overloaded replicas and the prompts that need additional homes. It is safe
+// for concurrent use. A nil Overloads tracks nothing.
+type Overloads struct {
 	mu      sync.Mutex
 	avoided map[LoadKey]time.Time // overloaded replicas, and when they were found so
 	demands map[PromptKey]homesDemand
 	loads   map[ServiceName]reportedLoads
-	outbox  outbox[CrowdReport]
+	outbox  outbox[OverloadReport]
 }
 
 // homesDemand is how many homes a prompt needed at a point in time.
@@ -99,22 +99,22 @@
 	return n.homes * math.Exp2(-float64(now.Sub(n.at))/float64(homesHalfLife))
 }
 
-// NewCrowds returns an empty tracker.
-func NewCrowds() *Crowds {
-	return &Crowds{
+// NewOverloads returns an empty tracker.
+func NewOverloads() *Overloads {
+	return &Overloads{
 		avoided: make(map[LoadKey]time.Time), demands: make(map[PromptKey]homesDemand), loads: make(map[ServiceName]reportedLoads),
-		outbox: outbox[CrowdReport]{
+		outbox: outbox[OverloadReport]{
 			waiting: make(chan struct{}, 1), most: maxPendingOverloads, perSecond: overloadsPerSecond, maxAge: overloadAge,
-			before: func(a, b pendingReport[CrowdReport]) int { return int(b.report.Homes) - int(a.report.Homes) },
+			before: func(a, b pendingReport[OverloadReport]) int { return int(b.report.Homes) - int(a.report.Homes) },
 		},
 	}
 }
 
-// Waiting returns a channel that receives a value when reports wait for [Crowds.TakeReports].
-func (c *Crowds) Waiting() <-chan struct{} { return c.outbox.waiting }
+// Waiting returns a channel that receives a value when reports wait for [Overloads.TakeReports].
+func (c *Overloads) Waiting() <-chan struct{} { return c.outbox.waiting }
 
 // homes returns how many homes a prompt has; base is the usual number for its size.
-func (c *Crowds) homes(prompt uint64, base int, now time.Time) int {
+func (c *Overloads) homes(prompt uint64, base int, now time.Time) int {
 	if c == nil {
 		return base
 	}
@@ -125,7 +125,7 @@
 
 // markAvoided sets the elements of overloaded whose replicas among the ready ones of a pool are
 // overloaded.
-func (c *Crowds) markAvoided(overloaded []bool, pool *Pool, largeFleet bool, now time.Time) {
+func (c *Overloads) markAvoided(overloaded []bool, pool *Pool, largeFleet bool, now time.Time) {
 	if c == nil {
 		return
 	}
@@ -148,7 +148,7 @@
 
 // reportLoad records how many requests the target had in flight when a request reached it, and
 // reports whether it was overloaded.
-func (c *Crowds) reportLoad(r *Request, t *Target, inFlight int, now time.Time) bool {
+func (c *Overloads) reportLoad(r *Request, t *Target, inFlight int, now time.Time) bool {
 	if c == nil || len(r.Prompt) == 0 {
 		return false
 	}
@@ -160,7 +160,7 @@
 }
 
 // detectOverload applies rules 1 and 3.
-func (c *Crowds) detectOverload(r *Request, t *Target, inFlight int, now time.Time) (CrowdReport, bool) {
+func (c *Overloads) detectOverload(r *Request, t *Target, inFlight int, now time.Time) (OverloadReport, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	loads := c.loads[r.Service]
@@ -172,9 +172,9 @@
 	mean, known := loads.mean(now)
 	limit := overloadFactor*mean + overloadSlack
 	if known < min(minReports, t.replicas/2) || float64(inFlight) <= limit {
-		return CrowdReport{}, false
+		return OverloadReport{}, false
 	}
-	report := CrowdReport{Replica: t.Replica.LoadKey()}
+	report := OverloadReport{Replica: t.Replica.LoadKey()}
 	if t.Rank < t.homes {
 		grow := max(minHomesFactor, homesMargin*(float64(inFlight)-mean)/(limit-mean))
 		report.Prompt, report.Homes = PromptKey(r.Key()), saturate(min(t.replicas, int(math.Ceil(grow*float64(t.homes)))))
@@ -183,7 +183,7 @@
 }
 
 // Observe records a peer's reports.
-func (c *Crowds) Observe(reports []CrowdReport, now time.Time) {
+func (c *Overloads) Observe(reports []OverloadReport, now time.Time) {
 	for _, r := range reports {
 		c.record(r, now.Add(-r.Age), now)
 	}
@@ -191,7 +191,7 @@
 
 // record records a report of something that was detected at the given time, and queues it for
 // forwarding if it is new.
-func (c *Crowds) record(r CrowdReport, at, now time.Time) {
+func (c *Overloads) record(r OverloadReport, at, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	isNew := c.markOverloaded(r.Replica, at, now)
@@ -202,7 +202,7 @@
 }
 
 // markOverloaded marks a replica as overloaded. It reports whether that is new enough to forward.
-func (c *Crowds) markOverloaded(replica LoadKey, at, now time.Time) bool {
+func (c *Overloads) markOverloaded(replica LoadKey, at, now time.Time) bool {
 	known := c.avoided[replica]
 	if now.Sub(at) >= overloadAge || !at.After(known) {
 		return false
@@ -213,7 +213,7 @@
 
 // raiseDemand raises the number of homes of a prompt if the report asks for more than are known. It
 // reports whether the increase is large enough to forward.
-func (c *Crowds) raiseDemand(r CrowdReport, at, now time.Time) bool {
+func (c *Overloads) raiseDemand(r OverloadReport, at, now time.Time) bool {
 	need := homesDemand{homes: float64(r.Homes), at: at}
 	asked, known := need.remaining(now), c.demands[r.Prompt].remaining(now)
 	if asked < 1 || asked <= known {
@@ -230,7 +230,7 @@
 }
 
 // pruneDemands drops the prompts that no longer need additional homes.
-func (c *Crowds) pruneDemands(now time.Time) {
+func (c *Overloads) pruneDemands(now time.Time) {
 	for prompt, need := range c.demands {
 		if need.remaining(now) <= 1 {
 			delete(c.demands, prompt)
@@ -240,10 +240,10 @@
 
 // TakeReports returns up to n reports to forward to peers, within overloadsPerSecond. The others
 // are dropped: they would be out of date by the time they could be sent.
-func (c *Crowds) TakeReports(n int, now time.Time) []CrowdReport {
+func (c *Overloads) TakeReports(n int, now time.Time) []OverloadReport {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.outbox.take(n, now, func(r CrowdReport, age time.Duration) CrowdReport {
+	return c.outbox.take(n, now, func(r OverloadReport, age time.Duration) OverloadReport {
 		r.Age = age
 		return r
 	})
--- a/coordination/routing/crowd_test.go
+++ b/coordination/routing/crowd_test.go
@@ -19,7 +19,7 @@
 func overloadFleet() *fleet {
 	f := newFleet("llm", sameDomain(20)...)
 	f.view.Daemons, f.view.LargeFleet = 100, true
-	f.placer.Crowds = routing.NewCrowds()
+	f.placer.Overloads = routing.NewOverloads()
 	f.pool.Sort()
 	for i := range f.pool.Ready {
 		f.placer.ReportLoad(short("other"), &routing.Target{Replica: f.pool.Ready[i]}, 2, epoch)
@@ -28,16 +28,16 @@
 }
 
 // takeAll returns all reports that wait to be sent.
-func takeAll(c *routing.Crowds) []routing.CrowdReport { return c.TakeReports(1<<20, epoch) }
+func takeAll(c *routing.Overloads) []routing.OverloadReport { return c.TakeReports(1<<20, epoch) }
 
-var _ = Describe("Crowds", func() {
+var _ = Describe("Overloads", func() {
 	DescribeTable("detects an overloaded replica by its own report", func(held int, found bool, homes int) {
 		f := overloadFleet()
 		r := short("hot")
 		t := f.choose(r)
 		Expect(f.placer.ReportLoad(r, &t, held, epoch)).To(Equal(found))
-		Expect(f.placer.Crowds.Homes(r, 2, epoch)).To(Equal(homes))
-		Expect(takeAll(f.placer.Crowds)).To(HaveLen(map[bool]int{true: 1}[found]))
+		Expect(f.placer.Overloads.Homes(r, 2, epoch)).To(Equal(homes))
+		Expect(takeAll(f.placer.Overloads)).To(HaveLen(map[bool]int{true: 1}[found]))
 	},
 		Entry("as many requests as others", 2, false, 2),
 		Entry("at the bound", 6, false, 2),
@@ -48,7 +48,7 @@
 
 	It("detects no overload before enough replicas have reported their load", func() {
 		f := newFleet("llm", sameDomain(20)...)
-		f.placer.Crowds = routing.NewCrowds()
+		f.placer.Overloads = routing.NewOverloads()
 		r := short("hot")
 		t := f.choose(r)
 		for i := range 6 {
@@ -81,8 +81,8 @@
 		t := f.choose(r, first.Replica.ID, f.choose(r, first.Replica.ID).Replica.ID)
 		Expect(t.Rank).To(Equal(2))
 		Expect(f.placer.ReportLoad(r, &t, 20, epoch)).To(BeTrue())
-		Expect(f.placer.Crowds.Homes(r, 2, epoch)).To(Equal(2))
-		Expect(takeAll(f.placer.Crowds)).To(ConsistOf(routing.CrowdReport{Replica: t.Replica.LoadKey()}))
+		Expect(f.placer.Overloads.Homes(r, 2, epoch)).To(Equal(2))
+		Expect(takeAll(f.placer.Overloads)).To(ConsistOf(routing.OverloadReport{Replica: t.Replica.LoadKey()}))
 	})
 
 	It("avoids an overloaded replica for a moment, except for long prompts whose home it is", func() {
@@ -92,9 +92,9 @@
 		}{{short("x"), true}, {chat("x"), false}} {
 			f := overloadFleet()
 			home := f.choose(c.request).Replica
-			f.placer.Crowds.Observe([]routing.CrowdReport{{Replica: home.LoadKey()}}, epoch)
+			f.placer.Overloads.Observe([]routing.OverloadReport{{Replica: home.LoadKey()}}, epoch)
 			Expect(f.choose(c.request).Replica.ID != home.ID).To(Equal(c.left))
-			f.placer.Crowds.Observe([]routing.CrowdReport{{Replica: home.LoadKey(), Age: time.Second}}, epoch.Add(time.Second))
+			f.placer.Overloads.Observe([]routing.OverloadReport{{Replica: home.LoadKey(), Age: time.Second}}, epoch.Add(time.Second))
 			t, ok := f.placer.Choose(f.view, c.request, routing.Tried{}, epoch.Add(time.Second))
 			Expect(ok).To(BeTrue())
 			Expect(t.Replica.ID).To(Equal(home.ID))
@@ -104,7 +104,7 @@
 	It("avoids an overloaded replica for as long as the newest report says, even if an older one arrives later", func() {
 		f := overloadFleet()
 		home := f.choose(short("x")).Replica
-		f.placer.Crowds.Observe([]routing.CrowdReport{{Replica: home.LoadKey()}, {Replica: home.LoadKey(), Age: 600 * time.Millisecond}}, epoch)
+		f.placer.Overloads.Observe([]routing.OverloadReport{{Replica: home.LoadKey()}, {Replica: home.LoadKey(), Age: 600 * time.Millisecond}}, epoch)
 		t, ok := f.placer.Choose(f.view, short("x"), routing.Tried{}, epoch.Add(500*time.Millisecond))
 		Expect(ok).To(BeTrue())
 		Expect(t.Replica.ID).NotTo(Equal(home.ID))
@@ -113,9 +113,9 @@
 	It("prefers the home in its own domain if two homes have equally many requests in flight", func() {
 		f := newFleet("llm", manyDomains(22)...)
 		f.view.Daemons, f.view.LargeFleet = 100, true
-		f.placer.Crowds = routing.NewCrowds()
+		f.placer.Overloads = routing.NewOverloads()
 		r := chat("hot")
-		f.placer.Crowds.Observe([]routing.CrowdReport{{Replica: 1, Prompt: routing.PromptKey(r.Key()), Homes: 22}}, epoch)
+		f.placer.Overloads.Observe([]routing.OverloadReport{{Replica: 1, Prompt: routing.PromptKey(r.Key()), Homes: 22}}, epoch)
 		near := 0
 		for i := range 2200 {
 			r.ID = routing.RequestID(fmt.Sprint(i))
@@ -129,7 +129,7 @@
 	It("does not announce that a prompt was read at one of its homes", func() {
 		f := overloadFleet()
 		r := chat("hot")
-		f.placer.Crowds.Observe([]routing.CrowdReport{{Replica: 1, Prompt: routing.PromptKey(r.Key()), Homes: 8}}, epoch)
+		f.placer.Overloads.Observe([]routing.OverloadReport{{Replica: 1, Prompt: routing.PromptKey(r.Key()), Homes: 8}}, epoch)
 		for i := range 50 {
 			r.ID = routing.RequestID(fmt.Sprint(i))
 			f.serve(r)
@@ -140,7 +140,7 @@
 	It("still chooses a replica if all are overloaded", func() {
 		f := overloadFleet()
 		for i := range f.pool.Ready {
-			f.placer.Crowds.Observe([]routing.CrowdReport{{Replica: f.pool.Ready[i].LoadKey()}}, epoch)
+			f.placer.Overloads.Observe([]routing.OverloadReport{{Replica: f.pool.Ready[i].LoadKey()}}, epoch)
 		}
 		f.choose(short("x"))
 	})
@@ -149,7 +149,7 @@
 		const homes, requests = 8, 4000
 		f := overloadFleet()
 		r := chat("hot")
-		f.placer.Crowds.Observe([]routing.CrowdReport{{Replica: 1, Prompt: routing.PromptKey(r.Key()), Homes: homes}}, epoch)
+		f.placer.Overloads.Observe([]routing.OverloadReport{{Replica: 1, Prompt: routing.PromptKey(r.Key()), Homes: homes}}, epoch)
 		counts := make(map[int]int)
 		for i := range requests {
 			r.ID = routing.RequestID(fmt.Sprint(i))
@@ -165,7 +165,7 @@
 		f := overloadFleet()
 		r := chat("hot")
 		home := f.choose(r).Replica
-		f.placer.Crowds.Observe([]routing.CrowdReport{{Replica: 1, Prompt: routing.PromptKey(r.Key()), Homes: 4}}, epoch)
+		f.placer.Overloads.Observe([]routing.OverloadReport{{Replica: 1, Prompt: routing.PromptKey(r.Key()), Homes: 4}}, epoch)
 		f.load(home, 1)
 		n := 0
 		for i := range 400 {
@@ -180,32 +180,32 @@
 	It("halves the homes of a prompt over time, down to the usual number", func() {
 		f := overloadFleet()
 		r := short("hot")
-		f.placer.Crowds.Observe([]routing.CrowdReport{{Replica: 1, Prompt: routing.PromptKey(r.Key()), Homes: 16}}, epoch)
+		f.placer.Overloads.Observe([]routing.OverloadReport{{Replica: 1, Prompt: routing.PromptKey(r.Key()), Homes: 16}}, epoch)
 		for after, want := range map[time.Duration]int{0: 16, 4 * time.Second: 8, 8 * time.Second: 4, 13 * time.Second: 2, time.Minute: 2} {
-			Expect(f.placer.Crowds.Homes(r, 2, epoch.Add(after))).To(Equal(want), "after %s", after)
+			Expect(f.placer.Overloads.Homes(r, 2, epoch.Add(after))).To(Equal(want), "after %s", after)
 		}
 	})
 
 	It("forwards a new report once, and signals that it waits", func() {
-		c := routing.NewCrowds()
-		report := routing.CrowdReport{Replica: 1, Prompt: 2, Homes: 8}
-		c.Observe([]routing.CrowdReport{report}, epoch)
+		c := routing.NewOverloads()
+		report := routing.OverloadReport{Replica: 1, Prompt: 2, Homes: 8}
+		c.Observe([]routing.OverloadReport{report}, epoch)
 		Expect(c.Waiting()).To(Receive())
 		Expect(takeAll(c)).To(ConsistOf(report))
-		c.Observe([]routing.CrowdReport{report, {Replica: 1, Prompt: 2, Homes: 9}}, epoch.Add(100*time.Millisecond))
+		c.Observe([]routing.OverloadReport{report, {Replica: 1, Prompt: 2, Homes: 9}}, epoch.Add(100*time.Millisecond))
 		Expect(c.Waiting()).NotTo(Receive())
 		Expect(takeAll(c)).To(BeEmpty())
-		c.Observe([]routing.CrowdReport{{Replica: 1, Prompt: 2, Homes: 16}}, epoch)
+		c.Observe([]routing.OverloadReport{{Replica: 1, Prompt: 2, Homes: 16}}, epoch)
 		Expect(takeAll(c)).To(HaveLen(1))
 	})
 
 	It("sends a bounded number of reports per second, those of the hottest prompts first", func() {
-		c := routing.NewCrowds()
+		c := routing.NewOverloads()
 		sent := 0
 		for ms := range 10_000 {
 			now := epoch.Add(time.Duration(ms) * time.Millisecond)
-			chance, hot := routing.CrowdReport{Replica: routing.LoadKey(ms)}, routing.CrowdReport{Replica: routing.LoadKey(20_000 + ms), Prompt: 1, Homes: uint16(ms/10 + 2)}
-			c.Observe([]routing.CrowdReport{chance, hot}, now)
+			chance, hot := routing.OverloadReport{Replica: routing.LoadKey(ms)}, routing.OverloadReport{Replica: routing.LoadKey(20_000 + ms), Prompt: 1, Homes: uint16(ms/10 + 2)}
+			c.Observe([]routing.OverloadReport{chance, hot}, now)
 			if ms%100 != 99 {
 				continue
 			}
@@ -219,19 +219,19 @@
 	})
 
 	It("does not forward old reports", func() {
-		c := routing.NewCrowds()
-		c.Observe([]routing.CrowdReport{{Replica: 1, Prompt: 2, Homes: 9}}, epoch)
+		c := routing.NewOverloads()
+		c.Observe([]routing.OverloadReport{{Replica: 1, Prompt: 2, Homes: 9}}, epoch)
 		Expect(c.TakeReports(9, epoch.Add(time.Second))).To(BeEmpty())
 	})
 
 	It("stays bounded in memory", func() {
-		c := routing.NewCrowds()
+		c := routing.NewOverloads()
 		for i := range 20_000 {
-			c.Observe([]routing.CrowdReport{{Replica: routing.LoadKey(i), Prompt: routing.PromptKey(i), Homes: 9}}, epoch)
+			c.Observe([]routing.OverloadReport{{Replica: routing.LoadKey(i), Prompt: routing.PromptKey(i), Homes: 9}}, epoch)
 		}
 		Expect(len(takeAll(c))).To(BeNumerically("<=", 200))
 		Expect(c.Demands()).To(Equal(1000))
-		c.Observe([]routing.CrowdReport{{Replica: 1, Prompt: 50_000, Homes: 9}}, epoch.Add(time.Minute))
+		c.Observe([]routing.OverloadReport{{Replica: 1, Prompt: 50_000, Homes: 9}}, epoch.Add(time.Minute))
 		Expect(c.Demands()).To(Equal(1), "prompts that are no longer hot are dropped")
 	})
 })
@@ -243,23 +243,23 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f, g := overloadFleet(), overloadFleet()
 		r := short("hot")
-		var reports []routing.CrowdReport
+		var reports []routing.OverloadReport
 		for range rapid.IntRange(0, 20).Draw(t, "reports") {
-			reports = append(reports, routing.CrowdReport{
+			reports = append(reports, routing.OverloadReport{
 				Replica: f.pool.Ready[rapid.IntRange(0, 3).Draw(t, "replica")].LoadKey(), Prompt: routing.PromptKey(r.Key()),
 				Homes: uint16(rapid.IntRange(0, 40).Draw(t, "homes")), Age: time.Duration(rapid.IntRange(0, 9000).Draw(t, "age")) * time.Millisecond,
 			})
 		}
-		f.placer.Crowds.Observe(reports, epoch)
+		f.placer.Overloads.Observe(reports, epoch)
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "order"), 1))
 		again := append(slices.Clone(reports), reports...)
 		rng.Shuffle(len(again), func(i, j int) { again[i], again[j] = again[j], again[i] })
 		for _, report := range again {
-			g.placer.Crowds.Observe([]routing.CrowdReport{report}, epoch)
+			g.placer.Overloads.Observe([]routing.OverloadReport{report}, epoch)
 		}
 		for _, after := range []time.Duration{0, 500 * time.Millisecond, 3 * time.Second} {
 			now := epoch.Add(after)
-			if a, b := f.placer.Crowds.Homes(r, 2, now), g.placer.Crowds.Homes(r, 2, now); a != b {
+			if a, b := f.placer.Overloads.Homes(r, 2, now), g.placer.Overloads.Homes(r, 2, now); a != b {
 				t.Fatalf("after %s: %d and %d homes", after, a, b)
 			}
 			for i := range 8 {
--- a/coordination/routing/doc.go
+++ b/coordination/routing/doc.go
@@ -35,7 +35,7 @@
 // Its inputs are a [View], which the control loop builds from the published documents, and what
 // the relay reports about each attempt.
 //
-// A [View] is immutable and replaced as a whole. [Loads], [Health], [CacheTable], [Crowds],
+// A [View] is immutable and replaced as a whole. [Loads], [Health], [CacheTable], [Overloads],
 // [ColdRates], [LinkDoubts] and [RetryBudgets] are shared by the goroutines that serve requests
 // and synchronize access themselves. [ExpiredEntries] and [Evacuations] belong to the control
 // loop.
--- a/coordination/routing/evacuate_test.go
+++ b/coordination/routing/evacuate_test.go
@@ -179,7 +179,7 @@
 		RegisterTestingT(t)
 		f := newFleet("llm", "z0", "z0", "z1", "z1", "z2", "z2")
 		f.view.LargeFleet = rapid.Bool().Draw(t, "large fleet")
-		f.placer.Crowds = routing.NewCrowds()
+		f.placer.Overloads = routing.NewOverloads()
 		all := slices.Clone(f.pool.Ready)
 		for i := range all {
 			if rapid.Bool().Draw(t, "fails") {
--- a/coordination/routing/export_test.go
+++ b/coordination/routing/export_test.go
@@ -20,10 +20,10 @@
 }
 
 // Homes returns how many homes the prompt of a request has; base is the usual number.
-func (c *Crowds) Homes(r *Request, base int, now time.Time) int { return c.homes(r.Key(), base, now) }
+func (c *Overloads) Homes(r *Request, base int, now time.Time) int { return c.homes(r.Key(), base, now) }
 
 // Demands returns how many prompts with additional homes are recorded.
-func (c *Crowds) Demands() int {
+func (c *Overloads) Demands() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.demands)
--- a/coordination/routing/place.go
+++ b/coordination/routing/place.go
@@ -94,12 +94,12 @@
 
 // Placer chooses replicas. It is safe for concurrent use.
 type Placer struct {
-	Loads  *Loads
-	Health *Health
-	Cache  *CacheTable // nil: no cache locations are known
-	Crowds *Crowds     // nil: no replica is overloaded
-	Cold   *ColdRates  // nil: cold replicas are not limited
-	Rests  *Rests      // nil: no replica has requested a backoff
+	Loads     *Loads
+	Health    *Health
+	Cache     *CacheTable // nil: no cache locations are known
+	Overloads *Overloads  // nil: no replica is overloaded
+	Cold      *ColdRates  // nil: cold replicas are not limited
+	Rests     *Rests      // nil: no replica has requested a backoff
 	// Leavings is nil where replicas don't announce their departure in responses.
 	Leavings *Leavings
 }
@@ -151,7 +151,7 @@
 	c.computeRanks(key)
 	short := r.SharedTokens() <= shortPromptTokens
 	base := c.baseHomes(short, v.LargeFleet)
-	homes := p.Crowds.homes(key, base, now)
+	homes := p.Overloads.homes(key, base, now)
 	if !short && homes == base {
 		clear(c.overloaded) // rule 2 of crowd.go
 	}
@@ -240,7 +240,7 @@
 // ReportLoad records how many requests the target of a request had in flight when the request
 // arrived, as reported by the target. It reports whether the target was overloaded.
 func (p *Placer) ReportLoad(r *Request, t *Target, inFlight int, now time.Time) bool {
-	return p.Crowds.reportLoad(r, t, inFlight, now)
+	return p.Overloads.reportLoad(r, t, inFlight, now)
 }
 
 // RecordRead records that the target of a request has read its prompt. Locations at one of
--- a/daemon/routes/control.go
+++ b/daemon/routes/control.go
@@ -45,7 +45,7 @@
 	loads   *routing.Loads
 	health  *routing.Health
 	cache   *routing.CacheTable
-	crowds  *routing.Crowds
+	crowds  *routing.Overloads
 	crashes *routing.Crashes
 	cold    *routing.ColdRates
 	budgets *routing.RetryBudgets
@@ -57,7 +57,7 @@
 // newTables returns empty tables of a daemon, which shares its retry budget with others.
 func newTables(daemon routing.PeerID, rule routing.RetryRule, daemons int) tables {
 	return tables{
-		loads: routing.NewLoads(), health: routing.NewHealth(), cache: routing.NewCacheTable(), crowds: routing.NewCrowds(),
+		loads: routing.NewLoads(), health: routing.NewHealth(), cache: routing.NewCacheTable(), crowds: routing.NewOverloads(),
 		crashes: routing.NewCrashes(), cold: routing.NewColdRates(daemon), budgets: routing.NewRetryBudgets(rule, daemons),
 		rests: routing.NewRests(), leavings: routing.NewLeavings(),
 	}
--- a/daemon/routes/control_test.go
+++ b/daemon/routes/control_test.go
@@ -197,8 +197,8 @@
 		defer close(ended)
 		c.run(ctx)
 	}()
-	report := routing.CrowdReport{Replica: 1, Prompt: 2, Homes: 4}
-	c.post(ctx, crowdsReceived{reports: []routing.CrowdReport{report}})
+	report := routing.OverloadReport{Replica: 1, Prompt: 2, Homes: 4}
+	c.post(ctx, crowdsReceived{reports: []routing.OverloadReport{report}})
 	var payload []byte
 	select {
 	case payload = <-sent:
@@ -209,7 +209,7 @@
 	if err != nil || len(got) != 1 || got[0].Homes != report.Homes {
 		t.Errorf("%+v, %v went out", got, err)
 	}
-	c.post(ctx, crowdsReceived{reports: []routing.CrowdReport{report}})
+	c.post(ctx, crowdsReceived{reports: []routing.OverloadReport{report}})
 	c.post(ctx, crowdsDue{})
 	end()
 	<-ended
@@ -235,7 +235,7 @@
 	if e, err := decodeDatagram(silences); err != nil || len(e.(silencesReceived).reports) != 1 {
 		t.Errorf("reports became %+v, %v", e, err)
 	}
-	crowds, err := gossip.EncodeCrowds([]routing.CrowdReport{{Replica: 5, Prompt: 6, Homes: 7}})
+	crowds, err := gossip.EncodeCrowds([]routing.OverloadReport{{Replica: 5, Prompt: 6, Homes: 7}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/daemon/routes/daemon.go
+++ b/daemon/routes/daemon.go
@@ -128,7 +128,7 @@
 	}
 	d.Relay = relay.New(relay.Options{
 		View: d.View, Placer: &routing.Placer{
-			Loads: t.loads, Health: t.health, Cache: t.cache, Crowds: t.crowds, Cold: t.cold, Rests: t.rests, Leavings: t.leavings,
+			Loads: t.loads, Health: t.health, Cache: t.cache, Overloads: t.crowds, Cold: t.cold, Rests: t.rests, Leavings: t.leavings,
 		},
 		Budgets: t.budgets, Codec: d.outside.Codec, Observer: d.Log, Pool: d.pool, Crashes: t.crashes,
 		Borrow: d.control.borrow,
--- a/daemon/routes/events.go
+++ b/daemon/routes/events.go
@@ -44,7 +44,7 @@
 	// silencesReceived are a peer's reports of silent replicas.
 	silencesReceived struct{ reports []routing.SilenceReport }
 	// crowdsReceived are a peer's reports of crowded replicas.
-	crowdsReceived struct{ reports []routing.CrowdReport }
+	crowdsReceived struct{ reports []routing.OverloadReport }
 	// crowdsDue says that reports of crowded replicas are to be sent.
 	crowdsDue struct{}
 	// crashesReceived are a peer's reports of requests that replicas ended under.
--- a/daemon/routes/export_test.go
+++ b/daemon/routes/export_test.go
@@ -26,7 +26,7 @@
 // SharesCrowds reports whether traffic reports crowded replicas to the control loop, and
 // hears of them from it.
 func (d *Daemon) SharesCrowds() bool {
-	return d.control.crowds != nil && d.Relay.Placer.Crowds == d.control.crowds
+	return d.control.crowds != nil && d.Relay.Placer.Overloads == d.control.crowds
 }
 
 // SharesCrashes reports whether traffic reports the ends of replicas to the control loop, and
--- a/protocol/gossip/crowds.go
+++ b/protocol/gossip/crowds.go
@@ -21,8 +21,8 @@
 }
 
 // EncodeCrowds encodes up to [MaxCrowds] reports.
-func EncodeCrowds(reports []routing.CrowdReport) ([]byte, error) {
-	return encodeReports(kindCrowds, MaxCrowds, reports, func(r routing.CrowdReport) crowdMessage {
+func EncodeCrowds(reports []routing.OverloadReport) ([]byte, error) {
+	return encodeReports(kindCrowds, MaxCrowds, reports, func(r routing.OverloadReport) crowdMessage {
 		return crowdMessage{Replica: r.Replica, Prompt: r.Prompt, Homes: r.Homes, Age: milliseconds(r.Age)}
 	})
 }
@@ -31,8 +31,8 @@
 func IsCrowds(payload []byte) bool { return isReports(payload, kindCrowds) }
 
 // DecodeCrowds is the reverse of [EncodeCrowds].
-func DecodeCrowds(payload []byte) ([]routing.CrowdReport, error) {
-	return decodeReports(payload, kindCrowds, func(m crowdMessage) routing.CrowdReport {
-		return routing.CrowdReport{Replica: m.Replica, Prompt: m.Prompt, Homes: m.Homes, Age: time.Duration(m.Age) * time.Millisecond}
+func DecodeCrowds(payload []byte) ([]routing.OverloadReport, error) {
+	return decodeReports(payload, kindCrowds, func(m crowdMessage) routing.OverloadReport {
+		return routing.OverloadReport{Replica: m.Replica, Prompt: m.Prompt, Homes: m.Homes, Age: time.Duration(m.Age) * time.Millisecond}
 	})
 }
--- a/protocol/gossip/gossip_test.go
+++ b/protocol/gossip/gossip_test.go
@@ -150,9 +150,9 @@
 // taken neither for a heartbeat nor for reports of silence, as which an earlier build would
 // read them, nor the reverse.
 func TestCrowdsComeThroughAsTheyWere(t *testing.T) {
-	var reports []routing.CrowdReport
+	var reports []routing.OverloadReport
 	for i := range MaxCrowds {
-		reports = append(reports, routing.CrowdReport{
+		reports = append(reports, routing.OverloadReport{
 			Replica: routing.LoadKey(1<<31 + i), Prompt: routing.PromptKey(1<<31 + i), Homes: 1<<16 - 1, Age: time.Duration(1<<20+i) * time.Millisecond,
 		})
 	}
@@ -259,7 +259,7 @@
 	write("documents", payload, err)
 	payload, err = EncodeSilences([]routing.SilenceReport{{Replica: 5, Reporter: 1 << 31, Age: 250 * time.Millisecond}})
 	write("silences", payload, err)
-	payload, err = EncodeCrowds([]routing.CrowdReport{{Replica: 5, Prompt: 1 << 31, Homes: 300, Age: 250 * time.Millisecond}})
+	payload, err = EncodeCrowds([]routing.OverloadReport{{Replica: 5, Prompt: 1 << 31, Homes: 300, Age: 250 * time.Millisecond}})
 	write("crowds", payload, err)
 	payload, err = EncodeCrashes([]routing.CrashReport{{Content: 1 << 40, Caller: 1 << 31, Replica: 5, Age: 250 * time.Millisecond}, {Content: 7, Acquits: true}})
 	write("crashes", payload, err)
--- a/transport/relay/relay_test.go
+++ b/transport/relay/relay_test.go
@@ -35,7 +35,7 @@
 			}))
 		}
 		w := newWorld(routing.Route{}, replicas...)
-		w.relay.Placer.Crowds = routing.NewCrowds()
+		w.relay.Placer.Overloads = routing.NewOverloads()
 		c := w.call("a", "POST", "")
 		c.Prompt = []routing.PromptPart{{ID: "p", Tokens: 9}}
 		for _, r := range replicas {
