--- a/coordination/routing/budget.go
+++ b/coordination/routing/budget.go
@@ -74,15 +74,15 @@
 }
 
 // SpendRetry reports whether one retry is allowed, and counts it if so.
-func (b *RetryBudgets) SpendRetry(s ServiceName, now time.Time) bool { return b.SpendWith(s, 0, now) }
+func (b *RetryBudgets) SpendRetry(s ServiceName, now time.Time) bool { return b.SpendWithTransfer(s, 0, now) }
 
-// SpendWith is like [RetryBudgets.SpendRetry], but takes from the budget only what a transfer for
-// this retry doesn't cover.
-func (b *RetryBudgets) SpendWith(s ServiceName, loan Retries, now time.Time) bool {
+// SpendWithTransfer is like [RetryBudgets.SpendRetry], but takes from the budget only what a
+// transfer for this retry doesn't cover.
+func (b *RetryBudgets) SpendWithTransfer(s ServiceName, transfer Retries, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(s, now)
-	own := max(0, 1-loan)
+	own := max(0, 1-transfer)
 	if own > b.remaining(w) {
 		return false
 	}
--- a/coordination/routing/export_test.go
+++ b/coordination/routing/export_test.go
@@ -20,7 +20,9 @@
 }
 
 // Homes returns how many homes the prompt of a request has; base is the usual number.
-func (c *Overloads) Homes(r *Request, base int, now time.Time) int { return c.homes(r.Key(), base, now) }
+func (c *Overloads) Homes(r *Request, base int, now time.Time) int {
+	return c.homes(r.Key(), base, now)
+}
 
 // Demands returns how many prompts with additional homes are recorded.
 func (c *Overloads) Demands() int {
--- a/coordination/routing/loan_test.go
+++ b/coordination/routing/loan_test.go
@@ -27,22 +27,22 @@
 }
 
 // retry requests a retry at a daemon, which requests transfers if it lacks one.
-func (f *transferFleet) retry(daemon int, lends bool, now time.Time) bool {
+func (f *transferFleet) retry(daemon int, transfers bool, now time.Time) bool {
 	b := f.budgets[daemon]
 	if b.SpendRetry("s", now) {
 		return true
 	}
-	loan := routing.Retries(0)
-	for range routing.MaxLenders {
-		missing := b.Missing("s", loan, now)
-		if !lends || missing == 0 {
+	received := routing.Retries(0)
+	for range routing.MaxTransferPeers {
+		missing := b.TransferNeeded("s", received, now)
+		if !transfers || missing == 0 {
 			return false
 		}
-		lent := f.budgets[f.rng.IntN(len(f.budgets))].Lend("s", missing, now)
+		granted := f.budgets[f.rng.IntN(len(f.budgets))].GrantTransfer("s", missing, now)
 		if f.rng.Float64() >= f.lost {
-			loan += lent
+			received += granted
 		}
-		if b.SpendWith("s", loan, now) {
+		if b.SpendWithTransfer("s", received, now) {
 			return true
 		}
 	}
@@ -57,7 +57,7 @@
 		daemons int
 		extra   float64
 	}{{300, 630}, {986, 1040}, {2000, 1400}} {
-		denied := func(lends bool) float64 {
+		denied := func(transfers bool) float64 {
 			f := newTransferFleet(c.daemons, routing.RetryRule{Ratio: 0.2, Extra: c.extra, Window: 10 * time.Second})
 			failed, without := 0, 0
 			const perSecond = 0.27 // requests at each daemon
@@ -70,17 +70,17 @@
 						continue
 					}
 					failed++
-					if !f.retry(daemon, lends, now) {
+					if !f.retry(daemon, transfers, now) {
 						without++
 					}
 				}
 			}
 			return float64(without) / float64(failed)
 		}
-		alone, lending := denied(false), denied(true)
-		t.Logf("%d daemons: %.3f of the failed requests lack a retry, %.3f with transfers", c.daemons, alone, lending)
-		if lending > 0.01 {
-			t.Errorf("%d daemons: %.3f of the failed requests lack a retry (%.3f without transfers)", c.daemons, lending, alone)
+		alone, transferring := denied(false), denied(true)
+		t.Logf("%d daemons: %.3f of the failed requests lack a retry, %.3f with transfers", c.daemons, alone, transferring)
+		if transferring > 0.01 {
+			t.Errorf("%d daemons: %.3f of the failed requests lack a retry (%.3f without transfers)", c.daemons, transferring, alone)
 		}
 	}
 }
@@ -132,10 +132,10 @@
 	b := routing.NewRetryBudgets(routing.RetryRule{Extra: 56, Window: 10 * time.Second}, 8)
 	for b.SpendRetry("s", epoch) {
 	}
-	if missing := b.Missing("s", 0, epoch); missing != 0 {
+	if missing := b.TransferNeeded("s", 0, epoch); missing != 0 {
 		t.Errorf("requests a transfer of %v", missing)
 	}
-	if lent := b.Lend("s", 1, epoch); lent >= 1 {
+	if lent := b.GrantTransfer("s", 1, epoch); lent >= 1 {
 		t.Errorf("transfers %v although its budget is spent", lent)
 	}
 }
--- a/coordination/routing/retry.go
+++ b/coordination/routing/retry.go
@@ -145,22 +145,23 @@
 // ReserveRetry reserves a retry before the current attempt is abandoned: a replica that may only
 // be slow must not be abandoned for a retry that the budget then denies.
 func (a *Attempts) ReserveRetry(b *RetryBudgets, s ServiceName, now time.Time) bool {
-	return a.ReserveWith(b, s, 0, now)
+	return a.ReserveWithTransfer(b, s, 0, now)
 }
 
-// ReserveWith is like [Attempts.ReserveRetry], with a budget transfer for this retry (loan.go).
-func (a *Attempts) ReserveWith(b *RetryBudgets, s ServiceName, loan Retries, now time.Time) bool {
+// ReserveWithTransfer is like [Attempts.ReserveRetry], with a budget transfer for this retry
+// (loan.go).
+func (a *Attempts) ReserveWithTransfer(b *RetryBudgets, s ServiceName, transfer Retries, now time.Time) bool {
 	if !a.reserved {
-		a.reserved = a.attemptsLeft() && b.SpendWith(s, loan, now)
+		a.reserved = a.attemptsLeft() && b.SpendWithTransfer(s, transfer, now)
 	}
 	return a.reserved
 }
 
-// Missing returns how much to request for the next attempt in addition to an existing transfer; 0
-// if the route allows no further attempt.
-func (a *Attempts) Missing(b *RetryBudgets, s ServiceName, loan Retries, now time.Time) Retries {
+// TransferNeeded returns how much to request for the next attempt in addition to an existing
+// transfer; 0 if the route allows no further attempt.
+func (a *Attempts) TransferNeeded(b *RetryBudgets, s ServiceName, transfer Retries, now time.Time) Retries {
 	if !a.attemptsLeft() {
 		return 0
 	}
-	return b.Missing(s, loan, now)
+	return b.TransferNeeded(s, transfer, now)
 }
--- a/daemon/routes/loans.go
+++ b/daemon/routes/loans.go
@@ -37,7 +37,7 @@
 	if l.open == nil {
 		l.open = make(map[gossip.LoanID]openLoan)
 	}
-	l.open[l.last] = openLoan{reply: w.reply, until: now.Add(routing.LoanTimeout)}
+	l.open[l.last] = openLoan{reply: w.reply, until: now.Add(routing.TransferTimeout)}
 	ask := gossip.LoanAsk{ID: l.last, From: c.roster.Self().Address, Service: w.service, Missing: w.missing}
 	sendReports(c, []membership.Address{lender}, []gossip.LoanAsk{ask}, gossip.EncodeLoanAsks)
 }
@@ -45,7 +45,7 @@
 // lend answers requests for loans.
 func (c *control) lend(asks []gossip.LoanAsk, now time.Time) {
 	for _, a := range asks {
-		loan := gossip.Loan{ID: a.ID, Lent: c.budgets.Lend(a.Service, a.Missing, now)}
+		loan := gossip.Loan{ID: a.ID, Lent: c.budgets.GrantTransfer(a.Service, a.Missing, now)}
 		if loan.Lent > 0 {
 			c.log.metrics.LoansGiven.Inc(1)
 		}
@@ -74,7 +74,7 @@
 
 // borrow asks a daemon for what is missing of a retry at a service, and returns what it lends.
 func (c *control) borrow(ctx context.Context, service routing.ServiceName, missing routing.Retries) routing.Retries {
-	ctx, cancel := context.WithTimeout(ctx, routing.LoanTimeout)
+	ctx, cancel := context.WithTimeout(ctx, routing.TransferTimeout)
 	defer cancel()
 	reply := make(chan routing.Retries, 1)
 	c.post(ctx, loanWanted{service: service, missing: missing, reply: reply})
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -317,13 +317,13 @@
 // borrowRetry asks other daemons for what this one lacks of a retry, and reserves it.
 func (s *serving) borrowRetry(ctx context.Context) bool {
 	loan := routing.Retries(0)
-	for range routing.MaxLenders {
-		missing := s.attempts.Missing(s.Budgets, s.call.Service, loan, clock.Now())
+	for range routing.MaxTransferPeers {
+		missing := s.attempts.TransferNeeded(s.Budgets, s.call.Service, loan, clock.Now())
 		if missing == 0 {
 			return false
 		}
 		loan += s.Borrow(ctx, s.call.Service, missing)
-		if s.attempts.ReserveWith(s.Budgets, s.call.Service, loan, clock.Now()) {
+		if s.attempts.ReserveWithTransfer(s.Budgets, s.call.Service, loan, clock.Now()) {
 			return true
 		}
 	}
