--- a/coordination/routing/budget.go
+++ b/coordination/routing/budget.go
@@ -74,7 +74,9 @@
 }
 
 // SpendRetry reports whether one retry is allowed, and counts it if so.
-func (b *RetryBudgets) SpendRetry(s ServiceName, now time.Time) bool { return b.SpendWithTransfer(s, 0, now) }
+func (b *RetryBudgets) SpendRetry(s ServiceName, now time.Time) bool {
+	return b.SpendWithTransfer(s, 0, now)
+}
 
 // SpendWithTransfer is like [RetryBudgets.SpendRetry], but takes from the budget only what a
 // transfer for this retry doesn't cover.
--- a/coordination/routing/retry.go
+++ b/coordination/routing/retry.go
@@ -44,8 +44,8 @@
 	Route *Route
 	// Sent is how many replicas the request was written to.
 	Sent int
-	// Begun means that the caller has received bytes of a response.
-	Begun bool
+	// ResponseStarted means that the caller has received bytes of a response.
+	ResponseStarted bool
 	// Outcome is the outcome of the request as of the attempts so far.
 	Outcome coordination.Outcome
 	// reserved means that a retry has been reserved in the budget for the next attempt.
@@ -61,11 +61,11 @@
 // noUpstream is the outcome of a request for which no replica was found.
 var noUpstream = coordination.NotRun{Reason: coordination.ReasonNoUpstream, RetryAfter: RetryAfter}
 
-// NoReplica records that no replica may be chosen, and why. It does not replace the outcome of an
-// earlier attempt, which is more specific. The exception: if a replica rejected the request as
-// busy and all others that are left are backing off, the caller is told when the first of them is
-// available again.
-func (a *Attempts) NoReplica(why coordination.NotRun) {
+// RecordNoReplica records that no replica may be chosen, and why. It does not replace the outcome
+// of an earlier attempt, which is more specific. The exception: if a replica rejected the request
+// as busy and all others that are left are backing off, the caller is told when the first of them
+// is available again.
+func (a *Attempts) RecordNoReplica(why coordination.NotRun) {
 	o, ok := a.Outcome.(coordination.NotRun)
 	wasRefused := ok && o.Reason == coordination.ReasonUpstreamBusy
 	if ok && o.Reason == coordination.ReasonNoUpstream || wasRefused && why.Reason == coordination.ReasonResting {
@@ -73,17 +73,17 @@
 	}
 }
 
-// HeldBack records that the request is not sent because it is quarantined (crash.go). It does not
-// replace the outcome of an attempt that may have run the request.
-func (a *Attempts) HeldBack() {
+// RecordQuarantined records that the request is not sent because it is quarantined (crash.go). It
+// does not replace the outcome of an attempt that may have run the request.
+func (a *Attempts) RecordQuarantined() {
 	if _, ok := a.Outcome.(coordination.NotRun); ok {
 		a.Outcome = coordination.NotRun{Reason: coordination.ReasonHeldBack, RetryAfter: retryAfterHeld}
 	}
 }
 
-// Failed records the outcome of a failed attempt. It reports whether that outcome allows another
-// attempt.
-func (a *Attempts) Failed(o coordination.Outcome) bool {
+// RecordFailure records the outcome of a failed attempt. It reports whether that outcome allows
+// another attempt.
+func (a *Attempts) RecordFailure(o coordination.Outcome) bool {
 	_, mayHaveRun := a.Outcome.(coordination.MayHaveRun)
 	if !mayHaveRun || !coordination.MayRetry(o) {
 		a.Outcome = o
@@ -95,15 +95,15 @@
 	if coordination.MayRetry(o) {
 		return true
 	}
-	if a.Begun && a.Route.Kind != Stream {
+	if a.ResponseStarted && a.Route.Kind != Stream {
 		return false
 	}
 	return a.Route.MayRunAgain()
 }
 
-// BetterAnswerPossible reports whether another replica may be tried although this one responded,
+// MayTryAnother reports whether another replica may be tried although this one responded,
 // with an error of its own.
-func (a *Attempts) BetterAnswerPossible() bool {
+func (a *Attempts) MayTryAnother() bool {
 	return a.mayRetryAfter(coordination.MayHaveRun{}) && a.attemptsLeft()
 }
 
--- a/coordination/routing/retry_test.go
+++ b/coordination/routing/retry_test.go
@@ -33,8 +33,8 @@
 	if c.budget {
 		rule.Extra = 100
 	}
-	a := routing.Attempts{Route: &c.route, Begun: c.begun, Sent: c.sent, Outcome: c.earlier}
-	if !a.Failed(c.outcome) || !a.InTime(deadline, now) {
+	a := routing.Attempts{Route: &c.route, ResponseStarted: c.begun, Sent: c.sent, Outcome: c.earlier}
+	if !a.RecordFailure(c.outcome) || !a.InTime(deadline, now) {
 		return false, a.Outcome
 	}
 	return a.MaySend(routing.NewRetryBudgets(rule, 1), "s", now), a.Outcome
@@ -115,12 +115,12 @@
 	} {
 		v := &routing.View{Pools: map[routing.ServiceName]*routing.Pool{"s": &c.pool}}
 		a := routing.NewAttempts(&routing.Route{MaxAttempts: 1})
-		a.NoReplica(placer.WhyNone(v, &routing.Request{Service: "s"}, epoch))
+		a.RecordNoReplica(placer.WhyNone(v, &routing.Request{Service: "s"}, epoch))
 		if got, ok := a.Outcome.(coordination.NotRun); !ok || got.Reason != c.want || got.RetryAfter <= 0 {
 			t.Errorf("%s: outcome %s, want %s", c.name, outcomeText(a.Outcome), c.want)
 		}
 		a.Outcome = answerBroken
-		a.NoReplica(placer.WhyNone(v, &routing.Request{Service: "s"}, epoch))
+		a.RecordNoReplica(placer.WhyNone(v, &routing.Request{Service: "s"}, epoch))
 		if a.Outcome != coordination.Outcome(answerBroken) {
 			t.Errorf("%s: outcome of a request that may have run changed to %s", c.name, outcomeText(a.Outcome))
 		}
--- a/transport/relay/answer.go
+++ b/transport/relay/answer.go
@@ -51,7 +51,7 @@
 	if x.head.Says.Rest == 0 { // one that asks for rest has not failed
 		s.failed = append(s.failed, t.Replica)
 	}
-	if s.attempts.BetterAnswerPossible() {
+	if s.attempts.MayTryAnother() {
 		// Another replica may do better; if none does, this answer goes out.
 		s.fallback = &fallback{status: status, header: x.response.Header, body: body}
 		return &failure{outcome: mayHaveRun, result: routing.ResultFailed, err: errOwnFault}
@@ -73,10 +73,10 @@
 }
 
 func (s *serving) answer(ctx context.Context, status int, h http.Header, body []byte) *failure {
-	if s.attempts.Begun {
+	if s.attempts.ResponseStarted {
 		return &failure{outcome: mayHaveRun, result: routing.ResultFailed, err: errOwnFault}
 	}
-	s.attempts.Begun = true
+	s.attempts.ResponseStarted = true
 	s.summary.Status = status
 	s.summary.FirstByte = clock.Since(s.call.Arrived)
 	if err := s.sink.Answer(status, h, body); err != nil && ctx.Err() == nil {
@@ -171,10 +171,10 @@
 // begin sends the header of a streamed answer once. An answer that goes on at
 // another replica keeps that of the first.
 func (s *serving) begin(x *exchange) *failure {
-	if s.attempts.Begun {
+	if s.attempts.ResponseStarted {
 		return nil
 	}
-	s.attempts.Begun = true
+	s.attempts.ResponseStarted = true
 	s.summary.Status = x.response.StatusCode
 	s.summary.FirstByte = clock.Since(s.call.Arrived)
 	if err := s.sink.Begin(x.response.StatusCode, x.response.Header); err != nil {
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -84,7 +84,7 @@
 	s.summary.Position = view.Position
 	target, ok := s.Placer.Choose(view, &s.call.Request, s.tried, now)
 	if !ok {
-		s.attempts.NoReplica(s.Placer.WhyNone(view, &s.call.Request, now))
+		s.attempts.RecordNoReplica(s.Placer.WhyNone(view, &s.call.Request, now))
 		return false
 	}
 	if !s.attempts.MaySend(s.Budgets, s.call.Service, now) && !s.borrowRetry(ctx) {
@@ -99,7 +99,7 @@
 	if failure.result == routing.ResultUnreachable && target.Replica.Domain != view.Domain {
 		s.tried.BeyondReach = true
 	}
-	return s.attempts.Failed(failure.outcome)
+	return s.attempts.RecordFailure(failure.outcome)
 }
 
 // measured sends the call to a replica and takes down how that went.
@@ -141,7 +141,7 @@
 	if !s.Crashes.Held(s.call.Content, now) {
 		return false
 	}
-	s.attempts.HeldBack()
+	s.attempts.RecordQuarantined()
 	return true
 }
 
@@ -341,7 +341,7 @@
 	switch {
 	case s.served:
 		s.summary.Outcome = coordination.Answered{Status: s.summary.Status}
-	case s.summary.Gone || s.attempts.Begun:
+	case s.summary.Gone || s.attempts.ResponseStarted:
 		s.sink.Abort()
 	case s.fallback != nil:
 		s.summary.Status = s.fallback.status
