--- a/coordination/routing/admit.go
+++ b/coordination/routing/admit.go
@@ -29,11 +29,11 @@
 	configWaitShare = 0.5
 )
 
-// StartWait returns how long a request may wait for the first configuration. left is the time
+// ConfigWait returns how long a request may wait for the first configuration. left is the time
 // until the caller's deadline, sinceStart the age of the daemon. Waiting is better than refusing:
 // the caller's retry could reach a daemon that has no configuration either, and callers retry
 // only a few times.
-func StartWait(left, sinceStart time.Duration) time.Duration {
+func ConfigWait(left, sinceStart time.Duration) time.Duration {
 	return max(0, min(initialConfigTimeout-sinceStart, time.Duration(configWaitShare*float64(left))))
 }
 
--- a/coordination/routing/candidates.go
+++ b/coordination/routing/candidates.go
@@ -42,7 +42,7 @@
 		c.count()
 		c.excludeTried(tried)
 	}
-	if tried.BeyondReach && c.hasUsable(v.Domain) {
+	if tried.RemoteUnreachable && c.hasUsable(v.Domain) {
 		c.exclude(func(r *Replica) bool { return r.Domain != v.Domain })
 	}
 	return c
--- a/coordination/routing/request.go
+++ b/coordination/routing/request.go
@@ -68,9 +68,9 @@
 // Tried describes the earlier attempts of a request.
 type Tried struct {
 	Replicas []ReplicaID // that were chosen before
-	// BeyondReach means that a replica of another domain was unreachable: the links between the
-	// domains may be down.
-	BeyondReach bool
+	// RemoteUnreachable means that a replica of another domain was unreachable: the links between
+	// the domains may be down.
+	RemoteUnreachable bool
 }
 
 // ContentKey identifies the content of a request, independent of the request's id: two requests
--- a/coordination/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -86,7 +86,7 @@
 	})
 
 	DescribeTable("bounds how long a request may wait for the first configuration", func(left, age, want time.Duration) {
-		Expect(routing.StartWait(left, age)).To(Equal(want))
+		Expect(routing.ConfigWait(left, age)).To(Equal(want))
 	},
 		Entry("half of the caller's time", 600*time.Millisecond, 100*time.Millisecond, 300*time.Millisecond),
 		Entry("until two seconds after the start", 10*time.Second, 500*time.Millisecond, 1500*time.Millisecond),
@@ -496,7 +496,7 @@
 	It("goes to its own domain after a replica of another one could not be reached", func() {
 		f := newFleet("gate", "z0", "z1", "z1", "z2", "z2")
 		f.pool.Sort()
-		tried := routing.Tried{Replicas: []routing.ReplicaID{"r1"}, BeyondReach: true}
+		tried := routing.Tried{Replicas: []routing.ReplicaID{"r1"}, RemoteUnreachable: true}
 		for i := range 20 {
 			t, ok := f.placer.Choose(f.view, &routing.Request{ID: routing.RequestID(fmt.Sprint(i)), Service: "gate"}, tried, epoch)
 			Expect(ok).To(BeTrue())
--- a/daemon/routes/daemon.go
+++ b/daemon/routes/daemon.go
@@ -183,7 +183,7 @@
 		return v
 	}
 	d.control.post(ctx, callerWaits{})
-	wait := time.NewTimer(routing.StartWait(left, clock.Since(d.started)))
+	wait := time.NewTimer(routing.ConfigWait(left, clock.Since(d.started)))
 	defer wait.Stop()
 	select {
 	case <-d.control.configured:
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -97,7 +97,7 @@
 		return false
 	}
 	if failure.result == routing.ResultUnreachable && target.Replica.Domain != view.Domain {
-		s.tried.BeyondReach = true
+		s.tried.RemoteUnreachable = true
 	}
 	return s.attempts.RecordFailure(failure.outcome)
 }
