--- a/coordination/routing/admit.go
+++ b/coordination/routing/admit.go
@@ -4,7 +4,7 @@
 //
 //  1. Without a configuration no request is admitted or rejected on its merits: a daemon that has
 //     just started can't tell an invalid key from one that it hasn't loaded yet. Requests wait
-//     for the first configuration for up to [StartWait] and are refused after that.
+//     for the first configuration for up to [ConfigWait] and are refused after that.
 //  2. The request is matched to the host's route with the longest prefix of the path.
 //  3. A key that belongs to a workspace admits the request on behalf of that workspace.
 //  4. Without such a key, the request is admitted only if the route is public or the
--- a/coordination/routing/bound_test.go
+++ b/coordination/routing/bound_test.go
@@ -329,7 +329,7 @@
 		return
 	}
 	d := w.daemons[from]
-	counts, news := d.Loads.Own(), d.Cache.TakePending(locations)
+	counts, news := d.Loads.LocalCounts(), d.Cache.TakePending(locations)
 	for _, to := range w.targets(from) {
 		w.daemons[to].Loads.Observe(routing.PeerID(strconv.Itoa(from)), counts, w.now, age)
 		w.daemons[to].Cache.Observe(news, large, w.now)
--- a/coordination/routing/load.go
+++ b/coordination/routing/load.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// Own returns this daemon's counts, to be sent to its peers.
-func (l *Loads) Own() []LoadCount {
+// LocalCounts returns this daemon's counts, to be sent to its peers.
+func (l *Loads) LocalCounts() []LoadCount {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make([]LoadCount, 0, len(l.own))
@@ -140,8 +140,8 @@
 	return total
 }
 
-// Of returns the estimated load of one replica.
-func (l *Loads) Of(key LoadKey, now time.Time) int {
+// Estimate returns the estimated load of one replica.
+func (l *Loads) Estimate(key LoadKey, now time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.refresh(now)
--- a/coordination/routing/load_bench_test.go
+++ b/coordination/routing/load_bench_test.go
@@ -119,7 +119,7 @@
 	if int(w.now.Sub(epoch)/simStep)%steps != from%steps {
 		return
 	}
-	counts := w.daemons[from].Own()
+	counts := w.daemons[from].LocalCounts()
 	for to := range n {
 		if large && to >= 5 {
 			break
@@ -140,7 +140,7 @@
 	const samples = 20_000
 	for range samples {
 		d, r := w.rng.IntN(len(w.daemons)), w.rng.IntN(len(w.truth))
-		x, y := float64(w.daemons[d].Of(routing.LoadKey(r), w.now)), float64(w.truth[r])
+		x, y := float64(w.daemons[d].Estimate(routing.LoadKey(r), w.now)), float64(w.truth[r])
 		errs = append(errs, math.Abs(x-y))
 		sx, sy, sxx, syy, sxy = sx+x, sy+y, sxx+x*x, syy+y*y, sxy+x*y
 	}
--- a/coordination/routing/table.go
+++ b/coordination/routing/table.go
@@ -129,9 +129,9 @@
 	return s, ok
 }
 
-// Caller returns the workspace that a caller key in a report identifies, if the configuration has
-// it.
-func (t *Table) Caller(caller CallerKey) (WorkspaceName, bool) {
+// WorkspaceOf returns the workspace that a caller key in a report identifies, if the
+// configuration has it.
+func (t *Table) WorkspaceOf(caller CallerKey) (WorkspaceName, bool) {
 	for _, h := range t.workspaces {
 		if NewCallerKey(h.workspace.Name) == caller {
 			return h.workspace.Name, true
--- a/coordination/routing/view.go
+++ b/coordination/routing/view.go
@@ -185,9 +185,9 @@
 	return nil
 }
 
-// ReplicaOf returns the id of the ready replica that a key in a message between daemons
+// ReplicaID returns the id of the ready replica that a key in a message between daemons
 // identifies.
-func (v *View) ReplicaOf(key LoadKey) (ReplicaID, bool) {
+func (v *View) ReplicaID(key LoadKey) (ReplicaID, bool) {
 	r := v.Replica(key)
 	if r == nil {
 		return "", false
--- a/daemon/routes/heartbeat.go
+++ b/daemon/routes/heartbeat.go
@@ -72,7 +72,7 @@
 func (c *control) sendHeartbeat(now time.Time) {
 	b := &c.heartbeats
 	h := c.newHeartbeat(now)
-	h.Loads, h.Evidence, h.Locations = c.loads.Own(), c.health.Own(now), c.pendingLocations()
+	h.Loads, h.Evidence, h.Locations = c.loads.LocalCounts(), c.health.Own(now), c.pendingLocations()
 	if b.sent++; b.sampleDue || c.largeFleet() || b.sent%sampleInterval == 0 {
 		h.Members, b.sampleDue = c.roster.Sample(now, b.rng), false
 	}
--- a/daemon/routes/operator.go
+++ b/daemon/routes/operator.go
@@ -226,13 +226,13 @@
 	if c.catalog.table == nil {
 		return ""
 	}
-	name, _ := c.catalog.table.Caller(caller)
+	name, _ := c.catalog.table.WorkspaceOf(caller)
 	return name
 }
 
 // replicaName returns the id of a replica, or its number if it is gone.
 func (c *control) replicaName(key routing.LoadKey) string {
-	if id, ok := c.view.Load().ReplicaOf(key); ok {
+	if id, ok := c.view.Load().ReplicaID(key); ok {
 		return string(id)
 	}
 	return strconv.FormatUint(uint64(key), 10)
--- a/daemon/routes/operator_replicas.go
+++ b/daemon/routes/operator_replicas.go
@@ -61,7 +61,7 @@
 	rate, why := c.health.Explain(r, now)
 	a := ReplicaAnswer{
 		ID: r.ID, Service: r.Service, Domain: r.Domain, Address: r.Address, State: stateName(r),
-		Load: c.loads.Of(r.LoadKey(), now), FailRate: rate, ColdMS: max(0, r.ColdUntil.Sub(now)).Milliseconds(), Born: r.Born,
+		Load: c.loads.Estimate(r.LoadKey(), now), FailRate: rate, ColdMS: max(0, r.ColdUntil.Sub(now)).Milliseconds(), Born: r.Born,
 		RestMS: c.rests.Left(r, now).Milliseconds(), RestBy: c.rests.AskedBy(r, now), Leaving: c.leavings.Leaves(r),
 	}
 	switch {
--- a/daemon/routes/replicas_test.go
+++ b/daemon/routes/replicas_test.go
@@ -119,7 +119,7 @@
 	}
 	peerSays(former.LoadKey())
 	c.health.Report(&former, routing.ResultUnreachable, now)
-	if c.loads.Of(former.LoadKey(), now) != 7 {
+	if c.loads.Estimate(former.LoadKey(), now) != 7 {
 		t.Fatal("the peer's loads are not known")
 	}
 
@@ -129,7 +129,7 @@
 	}
 	check := func(when string) {
 		t.Helper()
-		if n := c.loads.Of(r.LoadKey(), now); n != 0 {
+		if n := c.loads.Estimate(r.LoadKey(), now); n != 0 {
 			t.Errorf("%s: it holds %d requests", when, n)
 		}
 		if _, why := c.health.Explain(&r, now); why != "" {
@@ -152,7 +152,7 @@
 		t.Errorf("an older entry that came late replaced a newer one: %+v", got)
 	}
 	byID := routing.NewReplica(routing.Replica{ID: r.ID})
-	if id, ok := c.view.Load().ReplicaOf(byID.LoadKey()); !ok || id != r.ID {
+	if id, ok := c.view.Load().ReplicaID(byID.LoadKey()); !ok || id != r.ID {
 		t.Error("what a daemon says that knows no incarnations names nothing")
 	}
 }
--- a/daemon/routes/reports.go
+++ b/daemon/routes/reports.go
@@ -57,7 +57,7 @@
 // logReplicas writes a line for each replica of the view that is among some.
 func (c *control) logReplicas(keys []routing.LoadKey, line func(routing.ReplicaID)) {
 	for _, key := range keys {
-		if id, ok := c.view.Load().ReplicaOf(key); ok {
+		if id, ok := c.view.Load().ReplicaID(key); ok {
 			line(id)
 		}
 	}
--- a/transport/relay/relay_test.go
+++ b/transport/relay/relay_test.go
@@ -629,6 +629,6 @@
 		r := startReplica("r", func(a *arrival) bool { streamHead(a); chunk(a, event(1)); return streamEnd(a) })
 		w := newWorld(stream, r)
 		w.serve(w.call("a", "POST", "x"))
-		Expect(w.relay.Placer.Loads.Own()).To(BeEmpty())
+		Expect(w.relay.Placer.Loads.LocalCounts()).To(BeEmpty())
 	})
 })
