--- a/coordination/routing/config.go
+++ b/coordination/routing/config.go
@@ -12,15 +12,15 @@
 type (
 	// ReplicaID identifies a replica. A replica may restart under the same id; see [Incarnation].
 	ReplicaID string
-	// Born is the start time that a replica reports, in Unix milliseconds by its own clock; 0 if
-	// it reports none. It only distinguishes the incarnations of one replica and is not compared
-	// with any other time: the clocks of other VMs differ, and may step.
-	Born int64
+	// StartTime is the start time that a replica reports, in Unix milliseconds by its own clock;
+	// 0 if it reports none. It only distinguishes the incarnations of one replica and is not
+	// compared with any other time: the clocks of other VMs differ, and may step.
+	StartTime int64
 	// Incarnation is one run of a replica, from one start to its end. State that is recorded
 	// about a replica belongs to one incarnation: a restarted replica keeps nothing from before.
 	Incarnation struct {
-		ID   ReplicaID
-		Born Born
+		ID        ReplicaID
+		StartTime StartTime
 	}
 	// ServiceName identifies a service, which is a set of replicas.
 	ServiceName string
--- a/coordination/routing/ended_test.go
+++ b/coordination/routing/ended_test.go
@@ -109,7 +109,7 @@
 	It("get requests again at once under a new entry of their own", func() {
 		for i := range f.pool.Ready {
 			if r := &f.pool.Ready[i]; r.ID == gone.ID {
-				r.Born = 7
+				r.StartTime = 7
 				*r = routing.NewReplica(*r)
 			}
 		}
--- a/coordination/routing/leaving.go
+++ b/coordination/routing/leaving.go
@@ -140,7 +140,7 @@
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	_, wasTold := l.told[r.ID]
-	return l.starts[r.LoadKey()] != nil || r.Born == 0 && wasTold
+	return l.starts[r.LoadKey()] != nil || r.StartTime == 0 && wasTold
 }
 
 // Apply moves the replicas that leave by their own word from the ready ones of a pool to the
--- a/coordination/routing/leaving_test.go
+++ b/coordination/routing/leaving_test.go
@@ -37,7 +37,7 @@
 
 	It("are known to other daemons by one report, which each passes on once", func() {
 		here, there := routing.NewLeavings(), routing.NewLeavings()
-		r := routing.NewReplica(routing.Replica{ID: "r", Born: 5})
+		r := routing.NewReplica(routing.Replica{ID: "r", StartTime: 5})
 		here.Say(&r, epoch)
 		reports := here.TakeReports(10, epoch.Add(time.Second))
 		Expect(reports).To(ConsistOf(routing.LeavingReport{Replica: r.LoadKey(), Age: time.Second}))
@@ -100,7 +100,7 @@
 	l := routing.NewLeavings()
 	replicas := make([]routing.Replica, entries)
 	for i := range replicas {
-		replicas[i] = routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint("r", i)), Born: 1})
+		replicas[i] = routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint("r", i)), StartTime: 1})
 	}
 	for i := range leaving {
 		l.Say(&replicas[i], epoch.Add(time.Duration(i)*time.Millisecond))
@@ -119,7 +119,7 @@
 func TestStartsThatALeavingBinds(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		said, other routing.Born
+		said, other routing.StartTime
 		leaves      bool
 	}{
 		{"the one that said so", 7, 7, true},
@@ -128,9 +128,9 @@
 		{"one whose entry says so now", 0, 8, false},
 	} {
 		l := routing.NewLeavings()
-		r := routing.NewReplica(routing.Replica{ID: "r", Born: c.said})
+		r := routing.NewReplica(routing.Replica{ID: "r", StartTime: c.said})
 		l.Say(&r, epoch)
-		other := routing.NewReplica(routing.Replica{ID: "r", Born: c.other})
+		other := routing.NewReplica(routing.Replica{ID: "r", StartTime: c.other})
 		l.Named(slices.Values([]routing.Replica{other}), epoch)
 		if got := l.Leaves(&other); got != c.leaves {
 			t.Errorf("%s: leaves %t, want %t", c.name, got, c.leaves)
--- a/coordination/routing/replicas_test.go
+++ b/coordination/routing/replicas_test.go
@@ -25,7 +25,7 @@
 			for range rapid.IntRange(0, 6).Draw(t, "changes") {
 				r := routing.NewReplica(routing.Replica{
 					ID: routing.ReplicaID(fmt.Sprint("r", rapid.IntRange(0, 12).Draw(t, "id"))), Service: "s",
-					Born: routing.Born(rapid.IntRange(0, 3).Draw(t, "born")), Draining: rapid.Bool().Draw(t, "draining"),
+					StartTime: routing.StartTime(rapid.IntRange(0, 3).Draw(t, "born")), Draining: rapid.Bool().Draw(t, "draining"),
 				})
 				if rapid.IntRange(0, 2).Draw(t, "removed") == 0 {
 					list.Remove(r.ID)
@@ -78,7 +78,7 @@
 		entries, list := make(map[routing.ReplicaID]routing.Replica), routing.NewReplicaList()
 		for i := range n {
 			r := routing.NewReplica(routing.Replica{
-				ID: routing.ReplicaID(fmt.Sprintf("i-%08x", rand.Uint32())), Service: "s", Slots: 16, Born: routing.Born(1 + i), Address: "10.0.0.1:80",
+				ID: routing.ReplicaID(fmt.Sprintf("i-%08x", rand.Uint32())), Service: "s", Slots: 16, StartTime: routing.StartTime(1 + i), Address: "10.0.0.1:80",
 			})
 			entries[r.ID] = r
 			list.Put(r)
@@ -120,7 +120,7 @@
 func TestOverlayDoesNotModifySharedPool(t *testing.T) {
 	list := routing.NewReplicaList()
 	for i := range 6 {
-		list.Put(routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint("r", i)), Service: "s", Domain: "a", Born: 1}))
+		list.Put(routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint("r", i)), Service: "s", Domain: "a", StartTime: 1}))
 	}
 	entries := list.Pool()
 	evacuations := routing.NewEvacuations()
@@ -157,7 +157,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			list, x := routing.NewReplicaList(), routing.NewExpiredEntries()
 			for i := range 4 * n {
-				r := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint("r", i)), Service: "s", Born: 1})
+				r := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint("r", i)), Service: "s", StartTime: 1})
 				if i%4 == 0 {
 					x.Add(r, true, epoch.Add(time.Duration(i)*time.Second/time.Duration(4*n)))
 					continue
@@ -181,7 +181,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			list, l := routing.NewReplicaList(), routing.NewLeavings()
 			for i := range n {
-				r := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint("r", i)), Service: "s", Born: 1})
+				r := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint("r", i)), Service: "s", StartTime: 1})
 				list.Put(r)
 				if i%16 == 0 {
 					l.Observe([]routing.LeavingReport{{Replica: r.LoadKey()}}, epoch)
--- a/coordination/routing/resting.go
+++ b/coordination/routing/resting.go
@@ -59,7 +59,7 @@
 
 // rest is the time of one replica.
 type rest struct {
-	born  Born // the start that asked
+	born  StartTime // the start that asked
 	until time.Time
 	by    RequestID // whose answer asked last
 }
@@ -69,7 +69,7 @@
 
 // binds reports whether a start of the replica is bound by the rest, by rule 3. An entry that
 // does not say when its start began is held to be the same one.
-func (t rest) binds(r *Replica) bool { return t.born == r.Born || t.born == 0 || r.Born == 0 }
+func (t rest) binds(r *Replica) bool { return t.born == r.StartTime || t.born == 0 || r.StartTime == 0 }
 
 // Ask takes in that a replica, in its answer to a request, asked for rest. It returns how much longer the replica rests, and
 // whether it did not before.
@@ -81,7 +81,7 @@
 	defer s.mu.Unlock()
 	before, ok := s.rests[r.ID]
 	isNew = !ok || !before.binds(r) || !now.Before(before.until)
-	t := rest{born: r.Born, until: now.Add(min(d, longestRest)), by: by}
+	t := rest{born: r.StartTime, until: now.Add(min(d, longestRest)), by: by}
 	if !isNew {
 		t.until = latest(t.until, before.until)
 	}
--- a/coordination/routing/resting_test.go
+++ b/coordination/routing/resting_test.go
@@ -116,7 +116,7 @@
 func TestStartsThatARestBinds(t *testing.T) {
 	for _, c := range []struct {
 		name         string
-		asked, other routing.Born
+		asked, other routing.StartTime
 		bound        bool
 	}{
 		{"the one that asked", 7, 7, true},
@@ -125,9 +125,9 @@
 		{"one that asked under such an entry", 0, 8, true},
 	} {
 		rests := routing.NewRests()
-		r := routing.NewReplica(routing.Replica{ID: "r", Born: c.asked})
+		r := routing.NewReplica(routing.Replica{ID: "r", StartTime: c.asked})
 		rests.Ask(&r, 10*time.Second, "q", epoch)
-		other := routing.NewReplica(routing.Replica{ID: "r", Born: c.other})
+		other := routing.NewReplica(routing.Replica{ID: "r", StartTime: c.other})
 		if got := rests.Left(&other, epoch) > 0; got != c.bound {
 			t.Errorf("%s: bound %t, want %t", c.name, got, c.bound)
 		}
@@ -144,7 +144,7 @@
 		n := rapid.IntRange(1, 6).Draw(t, "replicas")
 		f := restingFleet(n)
 		for i := range f.pool.Ready {
-			f.pool.Ready[i].Born = 1
+			f.pool.Ready[i].StartTime = 1
 			f.pool.Ready[i] = routing.NewReplica(f.pool.Ready[i])
 		}
 		all := append([]routing.Replica{}, f.pool.Ready...)
@@ -169,7 +169,7 @@
 			case 4: // its entry is there again
 				f.pool.Ready = append(withoutReplica(f.pool.Ready, r.ID), *r)
 			case 5: // it starts again
-				r.Born++
+				r.StartTime++
 				*r = routing.NewReplica(*r)
 				delete(until, r.ID)
 				f.pool.Ready = append(withoutReplica(f.pool.Ready, r.ID), *r)
--- a/coordination/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -675,15 +675,15 @@
 
 var _ = Describe("Incarnations of a replica", func() {
 	It("have the same rank, but different load keys", func() {
-		first := routing.NewReplica(routing.Replica{ID: "i", Born: 1})
-		second := routing.NewReplica(routing.Replica{ID: "i", Born: 2})
+		first := routing.NewReplica(routing.Replica{ID: "i", StartTime: 1})
+		second := routing.NewReplica(routing.Replica{ID: "i", StartTime: 2})
 		Expect(second.Hash).To(Equal(first.Hash))
 		Expect(second.LoadKey()).NotTo(Equal(first.LoadKey()))
 		unknown := routing.NewReplica(routing.Replica{ID: "i"})
 		Expect(unknown.LoadKey()).To(Equal(routing.LoadKey(unknown.Hash)), "the key used by daemons that do not know incarnations")
 	})
 
-	DescribeTable("are distinguished as holders of a prompt", func(holder routing.Born, taken bool) {
+	DescribeTable("are distinguished as holders of a prompt", func(holder routing.StartTime, taken bool) {
 		f := newFleet("llm", sameDomain(18)...)
 		r := chat("s")
 		home := f.choose(r).Replica
@@ -693,15 +693,15 @@
 		var third routing.Replica
 		for i := range f.pool.Ready {
 			if c := &f.pool.Ready[i]; c.ID != home.ID && c.ID != second.ID {
-				*c = routing.NewReplica(routing.Replica{ID: c.ID, Born: 2, Service: "llm", Domain: "z0", Slots: 6})
+				*c = routing.NewReplica(routing.Replica{ID: c.ID, StartTime: 2, Service: "llm", Domain: "z0", Slots: 6})
 				third = *c
 			}
 		}
-		former := routing.NewReplica(routing.Replica{ID: third.ID, Born: holder})
+		former := routing.NewReplica(routing.Replica{ID: third.ID, StartTime: holder})
 		f.placer.Cache.Record(r.Key(), r.SharedTokens(), former.LoadKey(), false, epoch)
 		Expect(f.choose(r).Replica.ID == third.ID).To(Equal(taken))
 	},
-		Entry("the current incarnation holds it", routing.Born(2), true),
-		Entry("a former incarnation held it", routing.Born(1), false),
+		Entry("the current incarnation holds it", routing.StartTime(2), true),
+		Entry("a former incarnation held it", routing.StartTime(1), false),
 	)
 })
--- a/coordination/routing/view.go
+++ b/coordination/routing/view.go
@@ -16,13 +16,13 @@
 
 // Replica is a replica as it registered itself.
 type Replica struct {
-	ID       ReplicaID
-	Born     Born
-	Service  ServiceName
-	Address  string // IP:PORT
-	Domain   state.FailureDomain
-	Slots    int  // requests that it runs concurrently
-	Draining bool // it has announced its departure
+	ID        ReplicaID
+	StartTime StartTime
+	Service   ServiceName
+	Address   string // IP:PORT
+	Domain    state.FailureDomain
+	Slots     int  // requests that it runs concurrently
+	Draining  bool // it has announced its departure
 	// ColdFor is the remaining cold time according to the replica's entry. ColdUntil is the end
 	// of that time by the clock of the daemon that received the entry; zero: it is warm.
 	ColdFor   time.Duration
@@ -45,17 +45,17 @@
 type LoadKey uint32
 
 func newLoadKey(i Incarnation) LoadKey {
-	if i.Born == 0 {
+	if i.StartTime == 0 {
 		return LoadKey(xxhash.Sum64String(string(i.ID)))
 	}
-	return LoadKey(xxhash.Sum64String(string(i.ID) + "\x00" + strconv.FormatInt(int64(i.Born), 10)))
+	return LoadKey(xxhash.Sum64String(string(i.ID) + "\x00" + strconv.FormatInt(int64(i.StartTime), 10)))
 }
 
 // LoadKey returns the key of the replica's incarnation.
 func (r *Replica) LoadKey() LoadKey { return r.key }
 
 // Incarnation returns the replica's incarnation.
-func (r *Replica) Incarnation() Incarnation { return Incarnation{ID: r.ID, Born: r.Born} }
+func (r *Replica) Incarnation() Incarnation { return Incarnation{ID: r.ID, StartTime: r.StartTime} }
 
 // Pool is the replicas of one service, sorted by id.
 type Pool struct {
--- a/daemon/routes/catalog.go
+++ b/daemon/routes/catalog.go
@@ -156,7 +156,7 @@
 // logReplica writes what changed about a replica.
 func (c *catalog) logReplica(it feed.Item, before *routing.Replica, known bool, r *routing.Replica) {
 	if known && isRestart(before, r) {
-		c.log.Restarted(r.ID, r.Born, it.Revision)
+		c.log.Restarted(r.ID, r.StartTime, it.Revision)
 	}
 	if !known || before.Draining != r.Draining {
 		c.log.Replica(r.ID, stateName(r), it.Revision)
--- a/daemon/routes/control_test.go
+++ b/daemon/routes/control_test.go
@@ -284,7 +284,7 @@
 		if err != nil {
 			return r, err
 		}
-		r.Born = routing.Born(born)
+		r.StartTime = routing.StartTime(born)
 	}
 	return routing.NewReplica(r), nil
 }
--- a/daemon/routes/log_replicas.go
+++ b/daemon/routes/log_replicas.go
@@ -21,7 +21,7 @@
 }
 
 // Restarted says that a replica started again under its id.
-func (l *Log) Restarted(id routing.ReplicaID, born routing.Born, at feed.Revision) {
+func (l *Log) Restarted(id routing.ReplicaID, born routing.StartTime, at feed.Revision) {
 	l.timeline.Record(coordination.EventUpstreamState, string(id), "", "%s", stateRestarted)
 	l.logger.Info().Str("replica", string(id)).Str("state", stateRestarted).Int64("born", int64(born)).Uint64("revision", uint64(at)).Msg(prefixReplica + "started again under its id; what was known of it is dropped")
 }
@@ -117,13 +117,13 @@
 // Leaves says that a replica said in an answer that it leaves.
 func (l *Log) Leaves(r *routing.Replica, c *relay.Call) {
 	l.timeline.Record(coordination.EventUpstreamState, string(r.ID), state.RequestID(c.ID), "says that it leaves")
-	l.logger.Info().Str("replica", string(r.ID)).Str("request", string(c.ID)).Int64("born", int64(r.Born)).Msg(prefixReplica + "says in an answer that it leaves; it gets nothing more")
+	l.logger.Info().Str("replica", string(r.ID)).Str("request", string(c.ID)).Int64("born", int64(r.StartTime)).Msg(prefixReplica + "says in an answer that it leaves; it gets nothing more")
 }
 
 // Replaced says that another replica answered at a replica's address.
 func (l *Log) Replaced(r *routing.Replica, c *relay.Call) {
 	l.timeline.Record(coordination.EventUpstreamState, string(r.ID), state.RequestID(c.ID), "another replica answers at its address")
-	l.logger.Info().Str("replica", string(r.ID)).Str("request", string(c.ID)).Int64("born", int64(r.Born)).Msg(prefixReplica + "another one answers at its address; it gets nothing more")
+	l.logger.Info().Str("replica", string(r.ID)).Str("request", string(c.ID)).Int64("born", int64(r.StartTime)).Msg(prefixReplica + "another one answers at its address; it gets nothing more")
 }
 
 // LeavesByReport says that another daemon knows by an answer that a replica leaves or has gone.
--- a/daemon/routes/operator_replicas.go
+++ b/daemon/routes/operator_replicas.go
@@ -12,17 +12,17 @@
 
 // ReplicaAnswer is one replica in the answer to GET /replicas.
 type ReplicaAnswer struct {
-	ID       routing.ReplicaID   `json:"id"`
-	Service  routing.ServiceName `json:"service"`
-	Domain   state.FailureDomain `json:"domain"`
-	Address  string              `json:"address"`
-	State    string              `json:"state"`
-	Load     int                 `json:"load"` // requests, of all daemons
-	Ejected  bool                `json:"passed_over"`
-	Why      string              `json:"why,omitempty"` // why it gets no requests
-	FailRate float64             `json:"fail_rate"`     // share of failures as this daemon counted them
-	ColdMS   int64               `json:"cold_ms"`       // how much longer it is cold
-	Born     routing.Born        `json:"born"`          // when it started, in Unix milliseconds; 0: it does not say
+	ID        routing.ReplicaID   `json:"id"`
+	Service   routing.ServiceName `json:"service"`
+	Domain    state.FailureDomain `json:"domain"`
+	Address   string              `json:"address"`
+	State     string              `json:"state"`
+	Load      int                 `json:"load"` // requests, of all daemons
+	Ejected   bool                `json:"passed_over"`
+	Why       string              `json:"why,omitempty"` // why it gets no requests
+	FailRate  float64             `json:"fail_rate"`     // share of failures as this daemon counted them
+	ColdMS    int64               `json:"cold_ms"`       // how much longer it is cold
+	StartTime routing.StartTime   `json:"born"`          // when it started, in Unix milliseconds; 0: it does not say
 	// RestMS is how much longer it rests, as it asked this daemon for in its answer to a request.
 	RestMS  int64             `json:"rest_ms"`
 	RestBy  routing.RequestID `json:"rest_by,omitempty"`
@@ -61,7 +61,7 @@
 	rate, why := c.health.Explain(r, now)
 	a := ReplicaAnswer{
 		ID: r.ID, Service: r.Service, Domain: r.Domain, Address: r.Address, State: stateName(r),
-		Load: c.loads.Estimate(r.LoadKey(), now), FailRate: rate, ColdMS: max(0, r.ColdUntil.Sub(now)).Milliseconds(), Born: r.Born,
+		Load: c.loads.Estimate(r.LoadKey(), now), FailRate: rate, ColdMS: max(0, r.ColdUntil.Sub(now)).Milliseconds(), StartTime: r.StartTime,
 		RestMS: c.rests.Left(r, now).Milliseconds(), RestBy: c.rests.AskedBy(r, now), Leaving: c.leavings.Leaves(r),
 	}
 	switch {
--- a/daemon/routes/replicas_test.go
+++ b/daemon/routes/replicas_test.go
@@ -143,12 +143,12 @@
 	peerSays(former.LoadKey())
 	check("after a peer's older news")
 	write("born=1-written-before")
-	if got := c.view.Load().Pool("s").Ready[0]; got.Born != 1 {
+	if got := c.view.Load().Pool("s").Ready[0]; got.StartTime != 1 {
 		t.Errorf("the newest entry does not hold: %+v", got)
 	}
 	r = write("born=2")
 	c.apply(c.catalog.feed.Apply([]feed.Item{{Key: "replica-1", Value: []byte("born=1"), Revision: revision - 1}}), "10.0.0.9:1", now)
-	if got := c.view.Load().Pool("s").Ready[0]; got.Born != 2 {
+	if got := c.view.Load().Pool("s").Ready[0]; got.StartTime != 2 {
 		t.Errorf("an older entry that came late replaced a newer one: %+v", got)
 	}
 	byID := routing.NewReplica(routing.Replica{ID: r.ID})
--- a/transport/relay/ended_test.go
+++ b/transport/relay/ended_test.go
@@ -82,14 +82,14 @@
 var _ = Describe("Connections", func() {
 	It("to a replica before it started again under its id are not used", func() {
 		r := startReplica("r", good)
-		r.Replica.Born = 1
+		r.Replica.StartTime = 1
 		r.Replica = routing.NewReplica(r.Replica)
 		w := newWorld(once, r)
 		w.serve(w.call("a", "POST", "x"))
 		w.serve(w.call("b", "POST", "x"))
 		Expect(r.connections()).To(Equal(1))
 		again := *w.view
-		r.Replica.Born = 2
+		r.Replica.StartTime = 2
 		again.Pools = map[routing.ServiceName]*routing.Pool{"s": {Ready: []routing.Replica{routing.NewReplica(r.Replica)}}}
 		w.view = &again
 		w.serve(w.call("c", "POST", "x"))
