--- a/coordination/routing/budget.go
+++ b/coordination/routing/budget.go
@@ -74,33 +74,35 @@
 }
 
 // SpendRetry reports whether one retry is allowed, and counts it if so.
-func (b *RetryBudgets) SpendRetry(s ServiceName, now time.Time) bool { return b.SpendWith(s, 0, now) }
+func (b *RetryBudgets) SpendRetry(s ServiceName, now time.Time) bool {
+	return b.SpendWithTransfer(s, 0, now)
+}
 
-// SpendWith is like [RetryBudgets.SpendRetry], but takes from the budget only what a transfer for
-// this retry doesn't cover.
-func (b *RetryBudgets) SpendWith(s ServiceName, loan Retries, now time.Time) bool {
+// SpendWithTransfer is like [RetryBudgets.SpendRetry], but takes from the budget only what a
+// transfer for this retry doesn't cover.
+func (b *RetryBudgets) SpendWithTransfer(s ServiceName, transfer Retries, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(s, now)
-	own := max(0, 1-loan)
-	if own > b.left(w) {
+	own := max(0, 1-transfer)
+	if own > b.remaining(w) {
 		return false
 	}
 	w.spent[w.slot%budgetSlots] += own
 	return true
 }
 
-// left returns the unspent rest of the daemon's share. The caller holds the lock.
-func (b *RetryBudgets) left(w *budget) Retries {
-	left := b.part(w)
+// remaining returns the unspent rest of the daemon's share. The caller holds the lock.
+func (b *RetryBudgets) remaining(w *budget) Retries {
+	left := b.share(w)
 	for _, spent := range w.spent {
 		left -= spent
 	}
 	return left
 }
 
-// part returns the daemon's share: what it may spend in a window. The caller holds the lock.
-func (b *RetryBudgets) part(w *budget) Retries {
+// share returns the daemon's share: what it may spend in a window. The caller holds the lock.
+func (b *RetryBudgets) share(w *budget) Retries {
 	requests := 0
 	for _, n := range w.requests {
 		requests += n
--- a/coordination/routing/eject.go
+++ b/coordination/routing/eject.go
@@ -179,13 +179,13 @@
 			delete(h.ejected, key)
 			continue
 		}
-		if i, ok := p.places.place(key); ok && usable[i] {
+		if i, ok := p.positions.lookup(key); ok && usable[i] {
 			usable[i] = false
 			left--
 		}
 	}
 	for key := range h.silences.reports {
-		if i, ok := p.places.place(key); ok && usable[i] && h.isSilent(key, now) {
+		if i, ok := p.positions.lookup(key); ok && usable[i] && h.isSilent(key, now) {
 			usable[i] = false
 			left--
 		}
--- a/coordination/routing/ended.go
+++ b/coordination/routing/ended.go
@@ -73,7 +73,7 @@
 	defer h.mu.Unlock()
 	var out map[int]time.Time
 	for key, at := range h.terminated {
-		i, ok := p.places.place(key)
+		i, ok := p.positions.lookup(key)
 		if !ok || p.Ready[i].LoadKey() != key || !h.isTerminated(key, now) {
 			continue
 		}
--- a/coordination/routing/ended_test.go
+++ b/coordination/routing/ended_test.go
@@ -109,7 +109,7 @@
 	It("get requests again at once when a new incarnation has an entry", func() {
 		for i := range f.pool.Ready {
 			if r := &f.pool.Ready[i]; r.ID == terminated.ID {
-				r.Born = 7
+				r.StartTime = 7
 				*r = routing.NewReplica(*r)
 			}
 		}
--- a/coordination/routing/leaving.go
+++ b/coordination/routing/leaving.go
@@ -144,7 +144,7 @@
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	_, wasAnnounced := l.announced[r.ID]
-	return l.incarnations[r.LoadKey()] != nil || r.Born == 0 && wasAnnounced
+	return l.incarnations[r.LoadKey()] != nil || r.StartTime == 0 && wasAnnounced
 }
 
 // Apply moves the replicas that announced their departure from p.Ready to p.Draining. It returns
@@ -173,16 +173,16 @@
 		return nil
 	}
 	indexed := 0
-	if p.places != nil {
+	if p.positions != nil {
 		indexed = p.indexed
 		l.mu.RLock()
 		for key := range l.incarnations {
-			if i, ok := p.places.place(key); ok && p.Ready[i].LoadKey() == key {
+			if i, ok := p.positions.lookup(key); ok && p.Ready[i].LoadKey() == key {
 				out = out.with(i, len(p.Ready))
 			}
 		}
 		for id := range l.announced {
-			if i, ok := p.places.place(newLoadKey(Incarnation{ID: id})); ok && p.Ready[i].Incarnation() == (Incarnation{ID: id}) {
+			if i, ok := p.positions.lookup(newLoadKey(Incarnation{ID: id})); ok && p.Ready[i].Incarnation() == (Incarnation{ID: id}) {
 				out = out.with(i, len(p.Ready))
 			}
 		}
--- a/coordination/routing/leaving_test.go
+++ b/coordination/routing/leaving_test.go
@@ -37,7 +37,7 @@
 
 	It("become known to other daemons by one report, which each forwards once", func() {
 		here, there := routing.NewDepartures(), routing.NewDepartures()
-		r := routing.NewReplica(routing.Replica{ID: "r", Born: 5})
+		r := routing.NewReplica(routing.Replica{ID: "r", StartTime: 5})
 		here.RecordAnnounced(&r, epoch)
 		reports := here.TakeReports(10, epoch.Add(time.Second))
 		Expect(reports).To(ConsistOf(routing.DepartureReport{Replica: r.LoadKey(), Age: time.Second}))
@@ -101,7 +101,7 @@
 	l := routing.NewDepartures()
 	replicas := make([]routing.Replica, entries)
 	for i := range replicas {
-		replicas[i] = routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint("r", i)), Born: 1})
+		replicas[i] = routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint("r", i)), StartTime: 1})
 	}
 	for i := range leaving {
 		l.RecordAnnounced(&replicas[i], epoch.Add(time.Duration(i)*time.Millisecond))
@@ -120,7 +120,7 @@
 func TestDepartureAppliesToIncarnation(t *testing.T) {
 	for _, c := range []struct {
 		name             string
-		announced, other routing.Born
+		announced, other routing.StartTime
 		leaves           bool
 	}{
 		{"the incarnation that announced it", 7, 7, true},
@@ -129,9 +129,9 @@
 		{"another incarnation, after an announcement without one", 0, 8, false},
 	} {
 		l := routing.NewDepartures()
-		r := routing.NewReplica(routing.Replica{ID: "r", Born: c.announced})
+		r := routing.NewReplica(routing.Replica{ID: "r", StartTime: c.announced})
 		l.RecordAnnounced(&r, epoch)
-		other := routing.NewReplica(routing.Replica{ID: "r", Born: c.other})
+		other := routing.NewReplica(routing.Replica{ID: "r", StartTime: c.other})
 		l.ObserveEntries(slices.Values([]routing.Replica{other}), epoch)
 		if got := l.IsLeaving(&other); got != c.leaves {
 			t.Errorf("%s: leaves %t, want %t", c.name, got, c.leaves)
--- a/coordination/routing/replicas_test.go
+++ b/coordination/routing/replicas_test.go
@@ -13,10 +13,10 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// TestAListOfReplicasIsThatOfItsEntries puts and removes replicas in random order and compares
+// TestReplicaListMatchesEntries puts and removes replicas in random order and compares
 // the pool with one that is built and sorted from scratch. Pools that were returned earlier must
 // not change.
-func TestAListOfReplicasIsThatOfItsEntries(t *testing.T) {
+func TestReplicaListMatchesEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list, entries := routing.NewReplicaList(), make(map[routing.ReplicaID]routing.Replica)
 		var before *routing.Pool
@@ -25,7 +25,7 @@
 			for range rapid.IntRange(0, 6).Draw(t, "changes") {
 				r := routing.NewReplica(routing.Replica{
 					ID: routing.ReplicaID(fmt.Sprint("r", rapid.IntRange(0, 12).Draw(t, "id"))), Service: "s",
-					Born: routing.Born(rapid.IntRange(0, 3).Draw(t, "born")), Draining: rapid.Bool().Draw(t, "draining"),
+					StartTime: routing.StartTime(rapid.IntRange(0, 3).Draw(t, "born")), Draining: rapid.Bool().Draw(t, "draining"),
 				})
 				if rapid.IntRange(0, 2).Draw(t, "removed") == 0 {
 					list.Remove(r.ID)
@@ -71,14 +71,14 @@
 	return p
 }
 
-// BenchmarkChangeOfReplicas applies a batch of three changed entries and builds the pool, from
+// BenchmarkReplicaListUpdate applies a batch of three changed entries and builds the pool, from
 // scratch and with the list.
-func BenchmarkChangeOfReplicas(b *testing.B) {
+func BenchmarkReplicaListUpdate(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000, 20000} {
 		entries, list := make(map[routing.ReplicaID]routing.Replica), routing.NewReplicaList()
 		for i := range n {
 			r := routing.NewReplica(routing.Replica{
-				ID: routing.ReplicaID(fmt.Sprintf("i-%08x", rand.Uint32())), Service: "s", Slots: 16, Born: routing.Born(1 + i), Address: "10.0.0.1:80",
+				ID: routing.ReplicaID(fmt.Sprintf("i-%08x", rand.Uint32())), Service: "s", Slots: 16, StartTime: routing.StartTime(1 + i), Address: "10.0.0.1:80",
 			})
 			entries[r.ID] = r
 			list.Put(r)
@@ -115,12 +115,12 @@
 	}
 }
 
-// TestSharedPoolsAreNotWrittenTo applies evacuations and announced departures to overlays of a
+// TestOverlayDoesNotModifySharedPool applies evacuations and announced departures to overlays of a
 // pool, and checks that the pool itself, which other views share, does not change.
-func TestSharedPoolsAreNotWrittenTo(t *testing.T) {
+func TestOverlayDoesNotModifySharedPool(t *testing.T) {
 	list := routing.NewReplicaList()
 	for i := range 6 {
-		list.Put(routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint("r", i)), Service: "s", Domain: "a", Born: 1}))
+		list.Put(routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint("r", i)), Service: "s", Domain: "a", StartTime: 1}))
 	}
 	entries := list.Pool()
 	evacuations := routing.NewEvacuations()
@@ -150,14 +150,14 @@
 	}
 }
 
-// BenchmarkExpiredTogether adds to a pool the replicas whose entries expired together while the
+// BenchmarkRestoreExpired adds to a pool the replicas whose entries expired together while the
 // store was in trouble, as each view does for some seconds.
-func BenchmarkExpiredTogether(b *testing.B) {
+func BenchmarkRestoreExpired(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			list, x := routing.NewReplicaList(), routing.NewExpiredEntries()
 			for i := range 4 * n {
-				r := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint("r", i)), Service: "s", Born: 1})
+				r := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint("r", i)), Service: "s", StartTime: 1})
 				if i%4 == 0 {
 					x.Add(r, true, epoch.Add(time.Duration(i)*time.Second/time.Duration(4*n)))
 					continue
@@ -174,14 +174,14 @@
 	}
 }
 
-// BenchmarkLeavingOfMany applies to a pool the departures that replicas announced, a sixteenth of
+// BenchmarkApplyDepartures applies to a pool the departures that replicas announced, a sixteenth of
 // all, as each view and each choice does while their entries are still ready.
-func BenchmarkLeavingOfMany(b *testing.B) {
+func BenchmarkApplyDepartures(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000, 20000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			list, l := routing.NewReplicaList(), routing.NewDepartures()
 			for i := range n {
-				r := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint("r", i)), Service: "s", Born: 1})
+				r := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint("r", i)), Service: "s", StartTime: 1})
 				list.Put(r)
 				if i%16 == 0 {
 					l.Observe([]routing.DepartureReport{{Replica: r.LoadKey()}}, epoch)
--- a/coordination/routing/resting.go
+++ b/coordination/routing/resting.go
@@ -59,7 +59,7 @@
 
 // backoff is the backoff of one replica.
 type backoff struct {
-	born        Born // start time of the incarnation that requested it
+	born  StartTime // start time of the incarnation that requested it
 	until       time.Time
 	requestedBy RequestID // the request whose response last requested the backoff
 }
@@ -69,7 +69,7 @@
 
 // appliesTo reports whether the backoff applies to an incarnation of the replica, by rule 3. An
 // entry without an incarnation time is taken for the same incarnation.
-func (t backoff) appliesTo(r *Replica) bool { return t.born == r.Born || t.born == 0 || r.Born == 0 }
+func (t backoff) appliesTo(r *Replica) bool { return t.born == r.StartTime || t.born == 0 || r.StartTime == 0 }
 
 // Record records that a replica, in its response to the request by, requested a backoff of
 // duration d. It returns how much longer the replica backs off, and whether it was not backing
@@ -82,7 +82,7 @@
 	defer s.mu.Unlock()
 	before, ok := s.backoffs[r.ID]
 	isNew = !ok || !before.appliesTo(r) || !now.Before(before.until)
-	t := backoff{born: r.Born, until: now.Add(min(d, maxBackoff)), requestedBy: by}
+	t := backoff{born: r.StartTime, until: now.Add(min(d, maxBackoff)), requestedBy: by}
 	if !isNew {
 		t.until = latest(t.until, before.until)
 	}
--- a/coordination/routing/resting_test.go
+++ b/coordination/routing/resting_test.go
@@ -116,7 +116,7 @@
 func TestBackoffAppliesToIncarnation(t *testing.T) {
 	for _, c := range []struct {
 		name             string
-		requested, other routing.Born
+		requested, other routing.StartTime
 		backsOff         bool
 	}{
 		{"the incarnation that requested it", 7, 7, true},
@@ -125,9 +125,9 @@
 		{"an incarnation that requested it under such an entry", 0, 8, true},
 	} {
 		backoffs := routing.NewBackoffs()
-		r := routing.NewReplica(routing.Replica{ID: "r", Born: c.requested})
+		r := routing.NewReplica(routing.Replica{ID: "r", StartTime: c.requested})
 		backoffs.Record(&r, 10*time.Second, "q", epoch)
-		other := routing.NewReplica(routing.Replica{ID: "r", Born: c.other})
+		other := routing.NewReplica(routing.Replica{ID: "r", StartTime: c.other})
 		if got := backoffs.Remaining(&other, epoch) > 0; got != c.backsOff {
 			t.Errorf("%s: backs off %t, want %t", c.name, got, c.backsOff)
 		}
@@ -144,7 +144,7 @@
 		n := rapid.IntRange(1, 6).Draw(t, "replicas")
 		f := newBackoffFleet(n)
 		for i := range f.pool.Ready {
-			f.pool.Ready[i].Born = 1
+			f.pool.Ready[i].StartTime = 1
 			f.pool.Ready[i] = routing.NewReplica(f.pool.Ready[i])
 		}
 		all := append([]routing.Replica{}, f.pool.Ready...)
@@ -169,7 +169,7 @@
 			case 4: // its entry is back
 				f.pool.Ready = append(withoutReplica(f.pool.Ready, r.ID), *r)
 			case 5: // it restarts
-				r.Born++
+				r.StartTime++
 				*r = routing.NewReplica(*r)
 				delete(until, r.ID)
 				f.pool.Ready = append(withoutReplica(f.pool.Ready, r.ID), *r)
--- a/coordination/routing/retry.go
+++ b/coordination/routing/retry.go
@@ -44,8 +44,8 @@
 	Route *Route
 	// Sent is how many replicas the request was written to.
 	Sent int
-	// Begun means that the caller has received bytes of a response.
-	Begun bool
+	// ResponseStarted means that the caller has received bytes of a response.
+	ResponseStarted bool
 	// Outcome is the outcome of the request as of the attempts so far.
 	Outcome coordination.Outcome
 	// reserved means that a retry has been reserved in the budget for the next attempt.
@@ -61,11 +61,11 @@
 // noUpstream is the outcome of a request for which no replica was found.
 var noUpstream = coordination.NotRun{Reason: coordination.ReasonNoUpstream, RetryAfter: RetryAfter}
 
-// NoReplica records that no replica may be chosen, and why. It does not replace the outcome of an
-// earlier attempt, which is more specific. The exception: if a replica rejected the request as
-// busy and all others that are left are backing off, the caller is told when the first of them is
-// available again.
-func (a *Attempts) NoReplica(why coordination.NotRun) {
+// RecordNoReplica records that no replica may be chosen, and why. It does not replace the outcome
+// of an earlier attempt, which is more specific. The exception: if a replica rejected the request
+// as busy and all others that are left are backing off, the caller is told when the first of them
+// is available again.
+func (a *Attempts) RecordNoReplica(why coordination.NotRun) {
 	o, ok := a.Outcome.(coordination.NotRun)
 	wasRefused := ok && o.Reason == coordination.ReasonUpstreamBusy
 	if ok && o.Reason == coordination.ReasonNoUpstream || wasRefused && why.Reason == coordination.ReasonResting {
@@ -73,17 +73,17 @@
 	}
 }
 
-// HeldBack records that the request is not sent because it is quarantined (crash.go). It does not
-// replace the outcome of an attempt that may have run the request.
-func (a *Attempts) HeldBack() {
+// RecordQuarantined records that the request is not sent because it is quarantined (crash.go). It
+// does not replace the outcome of an attempt that may have run the request.
+func (a *Attempts) RecordQuarantined() {
 	if _, ok := a.Outcome.(coordination.NotRun); ok {
 		a.Outcome = coordination.NotRun{Reason: coordination.ReasonHeldBack, RetryAfter: retryAfterQuarantined}
 	}
 }
 
-// Failed records the outcome of a failed attempt. It reports whether that outcome allows another
-// attempt.
-func (a *Attempts) Failed(o coordination.Outcome) bool {
+// RecordFailure records the outcome of a failed attempt. It reports whether that outcome allows
+// another attempt.
+func (a *Attempts) RecordFailure(o coordination.Outcome) bool {
 	_, mayHaveRun := a.Outcome.(coordination.MayHaveRun)
 	if !mayHaveRun || !coordination.MayRetry(o) {
 		a.Outcome = o
@@ -95,20 +95,20 @@
 	if coordination.MayRetry(o) {
 		return true
 	}
-	if a.Begun && a.Route.Kind != Stream {
+	if a.ResponseStarted && a.Route.Kind != Stream {
 		return false
 	}
 	return a.Route.MayRunAgain()
 }
 
-// BetterAnswerPossible reports whether another replica may be tried although this one responded,
+// MayTryAnother reports whether another replica may be tried although this one responded,
 // with an error of its own.
-func (a *Attempts) BetterAnswerPossible() bool {
-	return a.mayRetryAfter(coordination.MayHaveRun{}) && a.left()
+func (a *Attempts) MayTryAnother() bool {
+	return a.mayRetryAfter(coordination.MayHaveRun{}) && a.attemptsLeft()
 }
 
-// left reports whether the route allows an attempt at another replica.
-func (a *Attempts) left() bool { return a.Sent < a.Route.MaxAttempts }
+// attemptsLeft reports whether the route allows an attempt at another replica.
+func (a *Attempts) attemptsLeft() bool { return a.Sent < a.Route.MaxAttempts }
 
 // InTime reports whether there is enough time for another attempt. If not, it changes the outcome
 // to one with the reason that the deadline has passed.
@@ -145,22 +145,23 @@
 // ReserveRetry reserves a retry before the current attempt is abandoned: a replica that may only
 // be slow must not be abandoned for a retry that the budget then denies.
 func (a *Attempts) ReserveRetry(b *RetryBudgets, s ServiceName, now time.Time) bool {
-	return a.ReserveWith(b, s, 0, now)
+	return a.ReserveWithTransfer(b, s, 0, now)
 }
 
-// ReserveWith is like [Attempts.ReserveRetry], with a budget transfer for this retry (loan.go).
-func (a *Attempts) ReserveWith(b *RetryBudgets, s ServiceName, loan Retries, now time.Time) bool {
+// ReserveWithTransfer is like [Attempts.ReserveRetry], with a budget transfer for this retry
+// (loan.go).
+func (a *Attempts) ReserveWithTransfer(b *RetryBudgets, s ServiceName, transfer Retries, now time.Time) bool {
 	if !a.reserved {
-		a.reserved = a.left() && b.SpendWith(s, loan, now)
+		a.reserved = a.attemptsLeft() && b.SpendWithTransfer(s, transfer, now)
 	}
 	return a.reserved
 }
 
-// Missing returns how much to request for the next attempt in addition to an existing transfer; 0
-// if the route allows no further attempt.
-func (a *Attempts) Missing(b *RetryBudgets, s ServiceName, loan Retries, now time.Time) Retries {
-	if !a.left() {
+// TransferNeeded returns how much to request for the next attempt in addition to an existing
+// transfer; 0 if the route allows no further attempt.
+func (a *Attempts) TransferNeeded(b *RetryBudgets, s ServiceName, transfer Retries, now time.Time) Retries {
+	if !a.attemptsLeft() {
 		return 0
 	}
-	return b.Missing(s, loan, now)
+	return b.TransferNeeded(s, transfer, now)
 }
--- a/coordination/routing/retry_test.go
+++ b/coordination/routing/retry_test.go
@@ -33,8 +33,8 @@
 	if c.budget {
 		rule.Extra = 100
 	}
-	a := routing.Attempts{Route: &c.route, Begun: c.begun, Sent: c.sent, Outcome: c.earlier}
-	if !a.Failed(c.outcome) || !a.InTime(deadline, now) {
+	a := routing.Attempts{Route: &c.route, ResponseStarted: c.begun, Sent: c.sent, Outcome: c.earlier}
+	if !a.RecordFailure(c.outcome) || !a.InTime(deadline, now) {
 		return false, a.Outcome
 	}
 	return a.MaySend(routing.NewRetryBudgets(rule, 1), "s", now), a.Outcome
@@ -95,9 +95,9 @@
 	golden.Compare(t, "retry.txt", b.String())
 }
 
-// TestARefusalSaysWhyThereIsNoReplica checks the reasons of requests for which there is no
+// TestRefusalReason checks the reasons of requests for which there is no
 // replica, and that they do not replace a more specific outcome.
-func TestARefusalSaysWhyThereIsNoReplica(t *testing.T) {
+func TestRefusalReason(t *testing.T) {
 	warm := routing.Replica{ID: "w"}
 	cold, resting := routing.Replica{ID: "c", ColdUntil: epoch.Add(time.Second)}, routing.Replica{ID: "r"}
 	placer := &routing.Placer{Backoffs: routing.NewBackoffs()}
@@ -115,12 +115,12 @@
 	} {
 		v := &routing.View{Pools: map[routing.ServiceName]*routing.Pool{"s": &c.pool}}
 		a := routing.NewAttempts(&routing.Route{MaxAttempts: 1})
-		a.NoReplica(placer.NoReplicaReason(v, &routing.Request{Service: "s"}, epoch))
+		a.RecordNoReplica(placer.NoReplicaReason(v, &routing.Request{Service: "s"}, epoch))
 		if got, ok := a.Outcome.(coordination.NotRun); !ok || got.Reason != c.want || got.RetryAfter <= 0 {
 			t.Errorf("%s: outcome %s, want %s", c.name, outcomeText(a.Outcome), c.want)
 		}
 		a.Outcome = answerBroken
-		a.NoReplica(placer.NoReplicaReason(v, &routing.Request{Service: "s"}, epoch))
+		a.RecordNoReplica(placer.NoReplicaReason(v, &routing.Request{Service: "s"}, epoch))
 		if a.Outcome != coordination.Outcome(answerBroken) {
 			t.Errorf("%s: outcome of a request that may have run changed to %s", c.name, outcomeText(a.Outcome))
 		}
--- a/coordination/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -86,7 +86,7 @@
 	})
 
 	DescribeTable("bounds how long a request may wait for the first configuration", func(left, age, want time.Duration) {
-		Expect(routing.StartWait(left, age)).To(Equal(want))
+		Expect(routing.ConfigWait(left, age)).To(Equal(want))
 	},
 		Entry("half of the caller's time", 600*time.Millisecond, 100*time.Millisecond, 300*time.Millisecond),
 		Entry("until two seconds after the start", 10*time.Second, 500*time.Millisecond, 1500*time.Millisecond),
@@ -496,7 +496,7 @@
 	It("goes to its own domain after a replica of another one could not be reached", func() {
 		f := newFleet("gate", "z0", "z1", "z1", "z2", "z2")
 		f.pool.Sort()
-		tried := routing.Tried{Replicas: []routing.ReplicaID{"r1"}, BeyondReach: true}
+		tried := routing.Tried{Replicas: []routing.ReplicaID{"r1"}, RemoteUnreachable: true}
 		for i := range 20 {
 			t, ok := f.placer.Choose(f.view, &routing.Request{ID: routing.RequestID(fmt.Sprint(i)), Service: "gate"}, tried, epoch)
 			Expect(ok).To(BeTrue())
@@ -546,7 +546,7 @@
 	})
 })
 
-func TestRepeatsOfAllDaemonsStayWithinTheRule(t *testing.T) {
+func TestFleetStaysWithinRetryRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rule := routing.RetryRule{Ratio: 0.2, Extra: 56, Window: 10 * time.Second}
 		n := rapid.IntRange(1, 12).Draw(t, "daemons")
@@ -675,15 +675,15 @@
 
 var _ = Describe("Incarnations of a replica", func() {
 	It("have the same rank, but different load keys", func() {
-		first := routing.NewReplica(routing.Replica{ID: "i", Born: 1})
-		second := routing.NewReplica(routing.Replica{ID: "i", Born: 2})
+		first := routing.NewReplica(routing.Replica{ID: "i", StartTime: 1})
+		second := routing.NewReplica(routing.Replica{ID: "i", StartTime: 2})
 		Expect(second.Hash).To(Equal(first.Hash))
 		Expect(second.LoadKey()).NotTo(Equal(first.LoadKey()))
 		unknown := routing.NewReplica(routing.Replica{ID: "i"})
 		Expect(unknown.LoadKey()).To(Equal(routing.LoadKey(unknown.Hash)), "the key used by daemons that do not know incarnations")
 	})
 
-	DescribeTable("are distinguished as holders of a prompt", func(holder routing.Born, taken bool) {
+	DescribeTable("are distinguished as holders of a prompt", func(holder routing.StartTime, taken bool) {
 		f := newFleet("llm", sameDomain(18)...)
 		r := chat("s")
 		home := f.choose(r).Replica
@@ -693,15 +693,15 @@
 		var third routing.Replica
 		for i := range f.pool.Ready {
 			if c := &f.pool.Ready[i]; c.ID != home.ID && c.ID != second.ID {
-				*c = routing.NewReplica(routing.Replica{ID: c.ID, Born: 2, Service: "llm", Domain: "z0", Slots: 6})
+				*c = routing.NewReplica(routing.Replica{ID: c.ID, StartTime: 2, Service: "llm", Domain: "z0", Slots: 6})
 				third = *c
 			}
 		}
-		former := routing.NewReplica(routing.Replica{ID: third.ID, Born: holder})
+		former := routing.NewReplica(routing.Replica{ID: third.ID, StartTime: holder})
 		f.placer.Cache.Record(r.Key(), r.SharedTokens(), former.LoadKey(), false, epoch)
 		Expect(f.choose(r).Replica.ID == third.ID).To(Equal(taken))
 	},
-		Entry("the current incarnation holds it", routing.Born(2), true),
-		Entry("a former incarnation held it", routing.Born(1), false),
+		Entry("the current incarnation holds it", routing.StartTime(2), true),
+		Entry("a former incarnation held it", routing.StartTime(1), false),
 	)
 })
--- a/coordination/routing/silence.go
+++ b/coordination/routing/silence.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// ReportSilence records that a replica was silent for blameTimeout.
+// ReportSilence records that a replica was silent for unresponsiveTimeout.
 func (h *Health) ReportSilence(r *Replica, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/daemon/routes/control.go
+++ b/daemon/routes/control.go
@@ -45,7 +45,7 @@
 	loads   *routing.Loads
 	health  *routing.Health
 	cache   *routing.CacheTable
-	crowds  *routing.Crowds
+	crowds  *routing.Overloads
 	crashes *routing.Crashes
 	cold    *routing.ColdLimiter
 	budgets *routing.RetryBudgets
@@ -58,7 +58,7 @@
 // given number of daemons, among which the retry budget is divided.
 func newTables(daemon routing.PeerID, rule routing.RetryRule, daemons int) tables {
 	return tables{
-		loads: routing.NewLoads(), health: routing.NewHealth(), cache: routing.NewCacheTable(), crowds: routing.NewCrowds(),
+		loads: routing.NewLoads(), health: routing.NewHealth(), cache: routing.NewCacheTable(), crowds: routing.NewOverloads(),
 		crashes: routing.NewCrashes(), cold: routing.NewColdLimiter(daemon), budgets: routing.NewRetryBudgets(rule, daemons),
 		rests: routing.NewBackoffs(), leavings: routing.NewDepartures(),
 	}
--- a/daemon/routes/control_test.go
+++ b/daemon/routes/control_test.go
@@ -199,8 +199,8 @@
 		defer close(ended)
 		c.run(ctx)
 	}()
-	report := routing.CrowdReport{Replica: 1, Prompt: 2, Homes: 4}
-	c.post(ctx, crowdsReceived{reports: []routing.CrowdReport{report}})
+	report := routing.OverloadReport{Replica: 1, Prompt: 2, Homes: 4}
+	c.post(ctx, crowdsReceived{reports: []routing.OverloadReport{report}})
 	var payload []byte
 	select {
 	case payload = <-sent:
@@ -211,7 +211,7 @@
 	if err != nil || len(got) != 1 || got[0].Homes != report.Homes {
 		t.Errorf("sent %+v, %v", got, err)
 	}
-	c.post(ctx, crowdsReceived{reports: []routing.CrowdReport{report}})
+	c.post(ctx, crowdsReceived{reports: []routing.OverloadReport{report}})
 	c.post(ctx, crowdsDue{})
 	end()
 	<-ended
@@ -237,7 +237,7 @@
 	if e, err := decodeDatagram(silences); err != nil || len(e.(silencesReceived).reports) != 1 {
 		t.Errorf("reports became %+v, %v", e, err)
 	}
-	crowds, err := gossip.EncodeCrowds([]routing.CrowdReport{{Replica: 5, Prompt: 6, Homes: 7}})
+	crowds, err := gossip.EncodeCrowds([]routing.OverloadReport{{Replica: 5, Prompt: 6, Homes: 7}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -288,7 +288,7 @@
 		if err != nil {
 			return r, err
 		}
-		r.Born = routing.Born(born)
+		r.StartTime = routing.StartTime(born)
 	}
 	return routing.NewReplica(r), nil
 }
--- a/daemon/routes/daemon.go
+++ b/daemon/routes/daemon.go
@@ -128,7 +128,7 @@
 	}
 	d.Relay = relay.New(relay.Options{
 		View: d.View, Placer: &routing.Placer{
-			Loads: t.loads, Health: t.health, Cache: t.cache, Crowds: t.crowds, Cold: t.cold, Backoffs: t.rests, Departures: t.leavings,
+			Loads: t.loads, Health: t.health, Cache: t.cache, Overloads: t.crowds, Cold: t.cold, Backoffs: t.rests, Departures: t.leavings,
 		},
 		Budgets: t.budgets, Codec: d.outside.Codec, Observer: d.Log, Pool: d.pool, Crashes: t.crashes,
 		Borrow: d.control.borrow,
@@ -183,7 +183,7 @@
 		return v
 	}
 	d.control.post(ctx, callerWaits{})
-	wait := time.NewTimer(routing.StartWait(left, clock.Since(d.started)))
+	wait := time.NewTimer(routing.ConfigWait(left, clock.Since(d.started)))
 	defer wait.Stop()
 	select {
 	case <-d.control.configured:
--- a/daemon/routes/events.go
+++ b/daemon/routes/events.go
@@ -44,7 +44,7 @@
 	// silencesReceived carries a peer's reports of silent replicas.
 	silencesReceived struct{ reports []routing.SilenceReport }
 	// crowdsReceived carries a peer's reports of overloaded replicas.
-	crowdsReceived struct{ reports []routing.CrowdReport }
+	crowdsReceived struct{ reports []routing.OverloadReport }
 	// crowdsDue says that reports of overloaded replicas are to be sent.
 	crowdsDue struct{}
 	// crashesReceived carries a peer's reports of requests during which replicas crashed.
--- a/daemon/routes/log_replicas.go
+++ b/daemon/routes/log_replicas.go
@@ -21,7 +21,7 @@
 }
 
 // Restarted logs that a replica restarted with the same id.
-func (l *Log) Restarted(id routing.ReplicaID, born routing.Born, at feed.Revision) {
+func (l *Log) Restarted(id routing.ReplicaID, born routing.StartTime, at feed.Revision) {
 	l.timeline.Record(coordination.EventUpstreamState, string(id), "", "%s", stateRestarted)
 	l.logger.Info().Str("replica", string(id)).Str("state", stateRestarted).Int64("born", int64(born)).Uint64("revision", uint64(at)).Msg(prefixReplica + "restarted with the same id; previous state is dropped")
 }
@@ -117,13 +117,13 @@
 // Leaves logs that a replica announced its departure in a response.
 func (l *Log) Leaves(r *routing.Replica, c *relay.Call) {
 	l.timeline.Record(coordination.EventUpstreamState, string(r.ID), state.RequestID(c.ID), "announced its departure")
-	l.logger.Info().Str("replica", string(r.ID)).Str("request", string(c.ID)).Int64("born", int64(r.Born)).Msg(prefixReplica + "announced its departure in a response; it gets no more requests")
+	l.logger.Info().Str("replica", string(r.ID)).Str("request", string(c.ID)).Int64("born", int64(r.StartTime)).Msg(prefixReplica + "announced its departure in a response; it gets no more requests")
 }
 
 // Replaced logs that another replica answered at a replica's address.
 func (l *Log) Replaced(r *routing.Replica, c *relay.Call) {
 	l.timeline.Record(coordination.EventUpstreamState, string(r.ID), state.RequestID(c.ID), "another replica answers at its address")
-	l.logger.Info().Str("replica", string(r.ID)).Str("request", string(c.ID)).Int64("born", int64(r.Born)).Msg(prefixReplica + "another replica answers at its address; it gets no more requests")
+	l.logger.Info().Str("replica", string(r.ID)).Str("request", string(c.ID)).Int64("born", int64(r.StartTime)).Msg(prefixReplica + "another replica answers at its address; it gets no more requests")
 }
 
 // LeavesByReport logs that another daemon reported a replica as shutting down or gone.
--- a/daemon/routes/operator_replicas.go
+++ b/daemon/routes/operator_replicas.go
@@ -13,17 +13,17 @@
 
 // ReplicaAnswer is one replica in the response to GET /replicas.
 type ReplicaAnswer struct {
-	ID       routing.ReplicaID   `json:"id"`
-	Service  routing.ServiceName `json:"service"`
-	Domain   state.FailureDomain `json:"domain"`
-	Address  string              `json:"address"`
-	State    string              `json:"state"`
-	Load     int                 `json:"load"` // number of requests, from all daemons
-	Ejected  bool                `json:"passed_over"`
-	Why      string              `json:"why,omitempty"` // why it gets no requests
-	FailRate float64             `json:"fail_rate"`     // share of failed requests, as counted by this daemon
-	ColdMS   int64               `json:"cold_ms"`       // remaining time for which it is cold
-	Born     routing.Born        `json:"born"`          // when it started, in Unix milliseconds; 0 if its entry does not say
+	ID        routing.ReplicaID   `json:"id"`
+	Service   routing.ServiceName `json:"service"`
+	Domain    state.FailureDomain `json:"domain"`
+	Address   string              `json:"address"`
+	State     string              `json:"state"`
+	Load      int                 `json:"load"` // number of requests, from all daemons
+	Ejected   bool                `json:"passed_over"`
+	Why       string              `json:"why,omitempty"` // why it gets no requests
+	FailRate  float64             `json:"fail_rate"`     // share of failed requests, as counted by this daemon
+	ColdMS    int64               `json:"cold_ms"`       // remaining time for which it is cold
+	StartTime routing.StartTime   `json:"born"`          // when it started, in Unix milliseconds; 0 if its entry does not say
 	// RestMS is the remaining backoff that the replica requested of this daemon, and RestBy the
 	// request in whose response it did.
 	RestMS  int64             `json:"rest_ms"`
@@ -63,7 +63,7 @@
 	rate, why := c.health.Explain(r, now)
 	a := ReplicaAnswer{
 		ID: r.ID, Service: r.Service, Domain: r.Domain, Address: r.Address, State: stateName(r),
-		Load: c.loads.Of(r.LoadKey(), now), FailRate: rate, ColdMS: max(0, r.ColdUntil.Sub(now)).Milliseconds(), Born: r.Born,
+		Load: c.loads.Estimate(r.LoadKey(), now), FailRate: rate, ColdMS: max(0, r.ColdUntil.Sub(now)).Milliseconds(), StartTime: r.StartTime,
 		RestMS: c.rests.Remaining(r, now).Milliseconds(), RestBy: c.rests.RequestedBy(r, now), Leaving: c.leavings.IsLeaving(r),
 	}
 	switch {
--- a/daemon/routes/replicas_test.go
+++ b/daemon/routes/replicas_test.go
@@ -120,7 +120,7 @@
 	}
 	peerSays(former.LoadKey())
 	c.health.Report(&former, routing.ResultUnreachable, now)
-	if c.loads.Of(former.LoadKey(), now) != 7 {
+	if c.loads.Estimate(former.LoadKey(), now) != 7 {
 		t.Fatal("the peer's loads are not known")
 	}
 
@@ -130,7 +130,7 @@
 	}
 	check := func(when string) {
 		t.Helper()
-		if n := c.loads.Of(r.LoadKey(), now); n != 0 {
+		if n := c.loads.Estimate(r.LoadKey(), now); n != 0 {
 			t.Errorf("%s: its load is %d", when, n)
 		}
 		if _, why := c.health.Explain(&r, now); why != "" {
@@ -144,16 +144,16 @@
 	peerSays(former.LoadKey())
 	check("after a peer's outdated report")
 	write("born=1-written-before")
-	if got := c.view.Load().Pool("s").Ready[0]; got.Born != 1 {
+	if got := c.view.Load().Pool("s").Ready[0]; got.StartTime != 1 {
 		t.Errorf("the newest entry is not used: %+v", got)
 	}
 	r = write("born=2")
 	c.apply(c.catalog.feed.Apply([]feed.Item{{Key: "replica-1", Value: []byte("born=1"), Revision: revision - 1}}), "10.0.0.9:1", now)
-	if got := c.view.Load().Pool("s").Ready[0]; got.Born != 2 {
+	if got := c.view.Load().Pool("s").Ready[0]; got.StartTime != 2 {
 		t.Errorf("an older entry that arrived late replaced a newer one: %+v", got)
 	}
 	byID := routing.NewReplica(routing.Replica{ID: r.ID})
-	if id, ok := c.view.Load().ReplicaOf(byID.LoadKey()); !ok || id != r.ID {
+	if id, ok := c.view.Load().ReplicaID(byID.LoadKey()); !ok || id != r.ID {
 		t.Error("a report of a daemon that does not distinguish incarnations matches no replica")
 	}
 }
--- a/daemon/routes/reports.go
+++ b/daemon/routes/reports.go
@@ -59,7 +59,7 @@
 // logReplicas calls line for each of the replicas that is in the view.
 func (c *control) logReplicas(keys []routing.LoadKey, line func(routing.ReplicaID)) {
 	for _, key := range keys {
-		if id, ok := c.view.Load().ReplicaOf(key); ok {
+		if id, ok := c.view.Load().ReplicaID(key); ok {
 			line(id)
 		}
 	}
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -84,7 +84,7 @@
 	s.summary.Position = view.Position
 	target, ok := s.Placer.Choose(view, &s.call.Request, s.tried, now)
 	if !ok {
-		s.attempts.NoReplica(s.Placer.NoReplicaReason(view, &s.call.Request, now))
+		s.attempts.RecordNoReplica(s.Placer.NoReplicaReason(view, &s.call.Request, now))
 		return false
 	}
 	if !s.attempts.MaySend(s.Budgets, s.call.Service, now) && !s.borrowRetry(ctx) {
@@ -97,9 +97,9 @@
 		return false
 	}
 	if failure.result == routing.ResultUnreachable && target.Replica.Domain != view.Domain {
-		s.tried.BeyondReach = true
+		s.tried.RemoteUnreachable = true
 	}
-	return s.attempts.Failed(failure.outcome)
+	return s.attempts.RecordFailure(failure.outcome)
 }
 
 // measured sends the call to a replica and takes down how that went.
@@ -141,7 +141,7 @@
 	if !s.Crashes.Quarantined(s.call.Content, now) {
 		return false
 	}
-	s.attempts.HeldBack()
+	s.attempts.RecordQuarantined()
 	return true
 }
 
@@ -317,13 +317,13 @@
 // borrowRetry asks other daemons for what this one lacks of a retry, and reserves it.
 func (s *serving) borrowRetry(ctx context.Context) bool {
 	loan := routing.Retries(0)
-	for range routing.MaxLenders {
-		missing := s.attempts.Missing(s.Budgets, s.call.Service, loan, clock.Now())
+	for range routing.MaxTransferPeers {
+		missing := s.attempts.TransferNeeded(s.Budgets, s.call.Service, loan, clock.Now())
 		if missing == 0 {
 			return false
 		}
 		loan += s.Borrow(ctx, s.call.Service, missing)
-		if s.attempts.ReserveWith(s.Budgets, s.call.Service, loan, clock.Now()) {
+		if s.attempts.ReserveWithTransfer(s.Budgets, s.call.Service, loan, clock.Now()) {
 			return true
 		}
 	}
@@ -341,7 +341,7 @@
 	switch {
 	case s.served:
 		s.summary.Outcome = coordination.Answered{Status: s.summary.Status}
-	case s.summary.Gone || s.attempts.Begun:
+	case s.summary.Gone || s.attempts.ResponseStarted:
 		s.sink.Abort()
 	case s.fallback != nil:
 		s.summary.Status = s.fallback.status
