--- a/daemon/routes/catalog.go
+++ b/daemon/routes/catalog.go
@@ -37,10 +37,10 @@
 // peers are logged with the peer's address.
 const sourceStore = "store"
 
-// maxReplicaLines is the largest number of simultaneous document changes for which the
+// maxReplicaLogLines is the largest number of simultaneous document changes for which the
 // log has a line for each replica. A start in a large fleet changes thousands; the
 // summary line about the documents gives their number.
-const maxReplicaLines = 100
+const maxReplicaLogLines = 100
 
 // catalog holds the documents and the state parsed from them. It is owned by the
 // control loop.
@@ -56,7 +56,7 @@
 	unusable    map[string]unusableEntry // by document key
 	expired     *routing.ExpiredEntries
 	evacuations *routing.Evacuations
-	everything  *packing // nil if no peer has requested all documents since the last change
+	snapshot    *encodedSnapshot // nil if no peer has requested all documents since the last change
 	changedAt   time.Time
 }
 
@@ -77,19 +77,19 @@
 // that the store was unreachable recently, so that entries of healthy replicas may have
 // expired. It returns the replicas that lost their prompt cache because they became cold
 // or restarted.
-func (c *catalog) apply(changed []feed.Item, source string, storeTrouble bool, now time.Time) (emptied []routing.LoadKey) {
-	c.everything = nil
-	logEach := len(changed) <= maxReplicaLines
+func (c *catalog) apply(changed []feed.Item, source string, storeOutage bool, now time.Time) (cacheLost []routing.LoadKey) {
+	c.snapshot = nil
+	logEach := len(changed) <= maxReplicaLogLines
 	for _, it := range changed {
-		if key, ok := c.applyReplica(it, storeTrouble, logEach, now); ok {
-			emptied = append(emptied, key)
+		if key, ok := c.applyReplica(it, storeOutage, logEach, now); ok {
+			cacheLost = append(cacheLost, key)
 		}
 		c.applyEvacuation(it, now)
 	}
 	c.applyConfig(source)
 	c.changedAt = now
 	c.log.Documents(len(changed), source, c.feed.Position())
-	return emptied
+	return cacheLost
 }
 
 // States of replicas in the log and in responses to operators.
@@ -113,7 +113,7 @@
 // applyReplica updates a replica from its entry, and ignores other documents. If a known
 // incarnation lost its prompt cache because the replica became cold or restarted, it returns
 // the key of that incarnation.
-func (c *catalog) applyReplica(it feed.Item, storeTrouble, logEach bool, now time.Time) (emptied routing.LoadKey, ok bool) {
+func (c *catalog) applyReplica(it feed.Item, storeOutage, logEach bool, now time.Time) (cacheLost routing.LoadKey, ok bool) {
 	id, ok := c.documents.ReplicaID(it.Key)
 	if !ok {
 		return 0, false
@@ -126,7 +126,7 @@
 	delete(c.unusable, it.Key)
 	if it.Gone {
 		if known && !before.Draining {
-			c.expired.Add(before, storeTrouble, now)
+			c.expired.Add(before, storeOutage, now)
 		}
 		if logEach {
 			c.log.Replica(id, stateGone, it.Revision)
@@ -273,36 +273,36 @@
 	return l
 }
 
-// answer returns the response to a peer's request for documents.
-func (c *catalog) answer(q *documentsRequest) documentsAnswer {
+// respond returns the response to a peer's request for documents.
+func (c *catalog) respond(q *documentsRequest) documentsResponse {
 	at := c.feed.Position()
 	if q.knowsEras && at.Era < q.after.Era {
-		return documentsAnswer{documents: gossip.Documents{Items: c.feed.Lasting(), Era: at.Era, Revision: at.Revision}}
+		return documentsResponse{documents: gossip.Documents{Items: c.feed.Lasting(), Era: at.Era, Revision: at.Revision}}
 	}
 	after := q.after.Revision
 	if q.knowsEras && q.after.Era != at.Era {
 		after = 0 // revisions of different eras can't be compared
 	}
-	if after == 0 && !q.takesDigest {
-		return documentsAnswer{everything: c.packEverything()}
+	if after == 0 && !q.acceptsDigest {
+		return documentsResponse{snapshot: c.fullSnapshot()}
 	}
 	items, whole := c.feed.SinceWith(after, q.parts)
 	switch {
-	case whole && q.takesDigest:
+	case whole && q.acceptsDigest:
 		d := c.feed.Digest(!q.knowsEras || q.after.Era == at.Era)
-		return documentsAnswer{digest: &d}
+		return documentsResponse{digest: &d}
 	case whole:
-		return documentsAnswer{everything: c.packEverything()}
+		return documentsResponse{snapshot: c.fullSnapshot()}
 	}
-	return documentsAnswer{documents: gossip.Documents{Items: items, Era: at.Era, Revision: at.Revision}}
+	return documentsResponse{documents: gossip.Documents{Items: items, Era: at.Era, Revision: at.Revision}}
 }
 
-// packEverything returns all documents. They are encoded when the first peer is sent them.
-func (c *catalog) packEverything() *packing {
+// fullSnapshot returns all documents. They are encoded when the first peer is sent them.
+func (c *catalog) fullSnapshot() *encodedSnapshot {
 	at := c.feed.Position()
-	if c.everything == nil || c.everything.at != at {
+	if c.snapshot == nil || c.snapshot.at != at {
 		items, _ := c.feed.Since(0)
-		c.everything = &packing{at: at, documents: gossip.Documents{Items: items, Era: at.Era, Revision: at.Revision, Whole: true}}
+		c.snapshot = &encodedSnapshot{at: at, documents: gossip.Documents{Items: items, Era: at.Era, Revision: at.Revision, Whole: true}}
 	}
-	return c.everything
+	return c.snapshot
 }
--- a/daemon/routes/control.go
+++ b/daemon/routes/control.go
@@ -73,7 +73,7 @@
 	catalog    *catalog
 	heartbeats heartbeats
 	repeats    repeats
-	syncs      syncs
+	syncs      syncState
 	loans      loans
 
 	// openSince returns when the oldest open idle connection to a replica was opened.
@@ -145,7 +145,7 @@
 func (c *control) handle(ctx context.Context, e event, now time.Time) {
 	switch e := e.(type) {
 	case storeListed:
-		c.syncs.unasked = c.syncs.unasked || c.catalog.feed.Revision() == 0
+		c.syncs.needsPeerCheck = c.syncs.needsPeerCheck || c.catalog.feed.Revision() == 0
 		c.takeList(e.items, e.at, sourceStore, now)
 	case storePaged:
 		c.takePage(&e, now)
@@ -192,7 +192,7 @@
 		c.roster.SetLeaving()
 		c.sendHeartbeat(now)
 	case documentsAsked:
-		e.reply <- c.catalog.answer(&e.request)
+		e.reply <- c.catalog.respond(&e.request)
 	case question:
 		c.answer(e, now)
 	}
--- a/daemon/routes/control_test.go
+++ b/daemon/routes/control_test.go
@@ -129,17 +129,17 @@
 	c.domain, c.events = "a", make(chan event, eventQueue)
 	c.syncs.newer = make(map[membership.Address]newerPeer)
 	asked := make(chan membership.Address, 2)
-	c.syncs.fetch = func(_ context.Context, from membership.Address, _ documentsRequest) (documentsAnswer, error) {
+	c.syncs.fetch = func(_ context.Context, from membership.Address, _ documentsRequest) (documentsResponse, error) {
 		asked <- from
-		return documentsAnswer{}, nil
+		return documentsResponse{}, nil
 	}
 	now := time.Unix(1_000_000, 0)
 	c.planReads(now)
 	far, near := testMember(1), testMember(2)
 	far.Domain = "b"
-	c.noteRevision(context.Background(), &gossip.Heartbeat{Sender: far, Revision: 5}, now)
-	c.noteRevision(context.Background(), &gossip.Heartbeat{Sender: near, Revision: 5}, now.Add(firstSyncDelay/2))
-	if c.syncs.underWay {
+	c.observePosition(context.Background(), &gossip.Heartbeat{Sender: far, Revision: 5}, now)
+	c.observePosition(context.Background(), &gossip.Heartbeat{Sender: near, Revision: 5}, now.Add(firstSyncDelay/2))
+	if c.syncs.inFlight {
 		t.Fatal("asks the first peer without waiting")
 	}
 	c.handle(context.Background(), syncDue{}, now.Add(firstSyncDelay))
--- a/daemon/routes/daemon.go
+++ b/daemon/routes/daemon.go
@@ -150,7 +150,7 @@
 		roster:     membership.NewRoster(self, s.seedPeers()),
 		catalog:    newCatalog(d.outside.Documents, d.Log),
 		heartbeats: heartbeats{send: d.peers.send, rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))},
-		syncs:      syncs{fetch: d.peers.fetch, newer: make(map[membership.Address]newerPeer)},
+		syncs:      syncState{fetch: d.peers.fetch, newer: make(map[membership.Address]newerPeer)},
 		events:     make(chan event, eventQueue),
 		configured: make(chan struct{}),
 		openSince:  d.pool.OpenSince,
--- a/daemon/routes/events.go
+++ b/daemon/routes/events.go
@@ -76,7 +76,7 @@
 	// synced carries a peer's response to a request for documents, or the error.
 	synced struct {
 		asked  documentsRequest
-		answer documentsAnswer
+		answer documentsResponse
 		from   membership.Address
 		err    error
 	}
@@ -87,7 +87,7 @@
 	// documentsAsked is a peer's request for documents.
 	documentsAsked struct {
 		request documentsRequest
-		reply   chan<- documentsAnswer
+		reply   chan<- documentsResponse
 	}
 	// statusAsked, membersAsked, replicasAsked and heldAsked are queries of operators. Their
 	// reply channels have a buffer of one.
--- a/daemon/routes/heartbeat.go
+++ b/daemon/routes/heartbeat.go
@@ -156,7 +156,7 @@
 		c.observeRequests(h, now)
 	}
 	c.cache.Observe(h.Locations, c.largeFleet(), now)
-	c.noteRevision(ctx, h, now)
+	c.observePosition(ctx, h, now)
 }
 
 // observeMembers adds the sender of a heartbeat and the members that it contains to the
--- a/daemon/routes/peers.go
+++ b/daemon/routes/peers.go
@@ -30,8 +30,8 @@
 	peerDialTimeout = 300 * time.Millisecond
 	// peerIdleTimeout is how long an idle connection to a peer is kept.
 	peerIdleTimeout = 5 * time.Second
-	// receiveRetry is the pause after a failed read from the socket.
-	receiveRetry = 100 * time.Millisecond
+	// receiveRetryDelay is the pause after a failed read from the socket.
+	receiveRetryDelay = 100 * time.Millisecond
 )
 
 // syncTimeouts bound how long a peer may send nothing. There is no bound on a complete response: the
@@ -85,7 +85,7 @@
 			if ctx.Err() != nil {
 				return
 			}
-			pause(ctx, receiveRetry)
+			pause(ctx, receiveRetryDelay)
 			continue
 		}
 		if e, err := decodeDatagram(buf[:n]); err == nil {
@@ -136,15 +136,15 @@
 )
 
 // fetch requests documents from a peer.
-func (p *peers) fetch(ctx context.Context, from membership.Address, q documentsRequest) (documentsAnswer, error) {
+func (p *peers) fetch(ctx context.Context, from membership.Address, q documentsRequest) (documentsResponse, error) {
 	p.metrics.Syncs.Inc(1)
-	var answer documentsAnswer
+	var answer documentsResponse
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+string(from)+pathDocuments+"?"+q.encode(), nil)
 	if err != nil {
 		return answer, eris.Wrap(err, "build request for documents")
 	}
 	err = transport.Fetch(p.client, req, syncTimeouts, func(resp *http.Response) error {
-		isDigest := q.takesDigest && resp.StatusCode == statusDigest
+		isDigest := q.acceptsDigest && resp.StatusCode == statusDigest
 		if resp.StatusCode != http.StatusOK && !isDigest {
 			return eris.Errorf("status %d", resp.StatusCode)
 		}
@@ -153,19 +153,19 @@
 			return err
 		}
 		p.metrics.SyncedBytes.Inc(int64(b.Len()))
-		answer, err = decodeAnswer(b.Bytes(), isDigest)
+		answer, err = decodeResponse(b.Bytes(), isDigest)
 		return err
 	})
 	return answer, eris.Wrap(err, "fetch documents")
 }
 
-func decodeAnswer(payload []byte, isDigest bool) (documentsAnswer, error) {
+func decodeResponse(payload []byte, isDigest bool) (documentsResponse, error) {
 	if isDigest {
 		digest, err := gossip.DecodeDigest(payload)
-		return documentsAnswer{digest: &digest}, err
+		return documentsResponse{digest: &digest}, err
 	}
 	documents, err := gossip.DecodeDocuments(payload)
-	return documentsAnswer{documents: documents}, err
+	return documentsResponse{documents: documents}, err
 }
 
 // encode returns the request as a URL query.
@@ -174,7 +174,7 @@
 	if q.knowsEras {
 		v.Set(paramEra, strconv.FormatUint(uint64(q.after.Era), 10))
 	}
-	if q.takesDigest {
+	if q.acceptsDigest {
 		v.Set(paramDigest, "1")
 	}
 	if q.parts != nil {
@@ -189,7 +189,7 @@
 	if err != nil {
 		return documentsRequest{}, eris.New("after is not a revision")
 	}
-	q := documentsRequest{after: feed.Position{Revision: feed.Revision(after)}, takesDigest: v.Get(paramDigest) != "", knowsEras: v.Has(paramEra)}
+	q := documentsRequest{after: feed.Position{Revision: feed.Revision(after)}, acceptsDigest: v.Get(paramDigest) != "", knowsEras: v.Has(paramEra)}
 	if q.knowsEras {
 		era, err := strconv.ParseUint(v.Get(paramEra), 10, 64)
 		if err != nil {
@@ -217,18 +217,18 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		reply := make(chan documentsAnswer, 1)
+		reply := make(chan documentsResponse, 1)
 		c.post(r.Context(), documentsAsked{request: q, reply: reply})
 		select {
 		case answer := <-reply:
-			writeAnswer(w, &answer)
+			writeResponse(w, &answer)
 		case <-r.Context().Done():
 		}
 	})
 	return mux
 }
 
-func writeAnswer(w http.ResponseWriter, a *documentsAnswer) {
+func writeResponse(w http.ResponseWriter, a *documentsResponse) {
 	status, payload, err := a.encode()
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
--- a/daemon/routes/restored_test.go
+++ b/daemon/routes/restored_test.go
@@ -198,12 +198,12 @@
 // store was restored.
 func TestAPeersAnswerFromAnEraThatIsOverChangesNothing(t *testing.T) {
 	p := newRestoredPair(t)
-	before := p.peer.catalog.answer(&documentsRequest{knowsEras: true})
+	before := p.peer.catalog.respond(&documentsRequest{knowsEras: true})
 	_, payload, err := before.encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	late, err := decodeAnswer(payload, false)
+	late, err := decodeResponse(payload, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -226,8 +226,8 @@
 		asked := p.asked
 		h := p.peer.newHeartbeat(p.now)
 		h.Era, h.Revision, h.Version = 0, revision, version
-		p.daemon.noteRevision(context.Background(), &h, p.now)
-		for p.daemon.syncs.underWay {
+		p.daemon.observePosition(context.Background(), &h, p.now)
+		for p.daemon.syncs.inFlight {
 			p.daemon.handle(context.Background(), <-p.daemon.events, p.now)
 		}
 		return p.asked - asked
--- a/daemon/routes/sync.go
+++ b/daemon/routes/sync.go
@@ -40,16 +40,16 @@
 // 0.25 s to respond.
 const firstSyncDelay = 30 * time.Millisecond
 
-// syncs is the state of fetching documents from peers.
-type syncs struct {
-	fetch func(ctx context.Context, from membership.Address, q documentsRequest) (documentsAnswer, error)
+// syncState is the state of fetching documents from peers.
+type syncState struct {
+	fetch func(ctx context.Context, from membership.Address, q documentsRequest) (documentsResponse, error)
 	// newer contains the peers that hold newer documents; newerSince is when the first was found.
-	newer      map[membership.Address]newerPeer
-	newerSince time.Time
-	underWay   bool
-	unasked    bool // the first documents came from the store, and no peer has responded since
-	// answered is the highest configuration version that a peer was asked for and responded to.
-	answered routing.ConfigVersion
+	newer          map[membership.Address]newerPeer
+	newerSince     time.Time
+	inFlight       bool
+	needsPeerCheck bool // the first documents came from the store, and no peer has responded since
+	// respondedVersion is the highest configuration version that a peer was asked for and responded to.
+	respondedVersion routing.ConfigVersion
 }
 
 // newerPeer is a peer that holds newer documents.
@@ -74,26 +74,26 @@
 // all documents in some parts, nil for none. A peer that can't determine what changed responds with
 // a digest if the requester accepts one, and otherwise with all documents.
 type documentsRequest struct {
-	after       feed.Position
-	knowsEras   bool // false if the requester's build does not support eras; its revision is then taken for the current era
-	parts       feed.Parts
-	digest      feed.Digest // the peer's digest, from which the parts were determined
-	takesDigest bool
-	version     routing.ConfigVersion // of the configuration that the peer is known to hold
+	after         feed.Position
+	knowsEras     bool // false if the requester's build does not support eras; its revision is then taken for the current era
+	parts         feed.Parts
+	digest        feed.Digest // the peer's digest, from which the parts were determined
+	acceptsDigest bool
+	version       routing.ConfigVersion // of the configuration that the peer is known to hold
 }
 
-// documentsAnswer is the response to a documentsRequest: a digest, all documents (everything), or the
+// documentsResponse is the response to a documentsRequest: a digest, all documents (everything), or the
 // requested documents if both are nil. In a received response everything is always nil, and all
 // documents are in documents.
-type documentsAnswer struct {
-	documents  gossip.Documents
-	digest     *feed.Digest
-	everything *packing
+type documentsResponse struct {
+	documents gossip.Documents
+	digest    *feed.Digest
+	snapshot  *encodedSnapshot
 }
 
-// packing holds all documents of a daemon and their encoding. They are encoded once for all
+// encodedSnapshot holds all documents of a daemon and their encoding. They are encoded once for all
 // requests until something changes: when a whole fleet starts, hundreds of daemons ask the same few.
-type packing struct {
+type encodedSnapshot struct {
 	at        feed.Position
 	documents gossip.Documents
 	once      sync.Once
@@ -101,8 +101,8 @@
 	err       error
 }
 
-// pack returns the encoded documents.
-func (p *packing) pack() ([]byte, error) {
+// encode returns the encoded documents.
+func (p *encodedSnapshot) encode() ([]byte, error) {
 	p.once.Do(func() {
 		p.payload, p.err = gossip.EncodeDocuments(&p.documents)
 		p.documents.Items = nil
@@ -111,25 +111,25 @@
 }
 
 // encode returns the HTTP status and the body of the response.
-func (a *documentsAnswer) encode() (status int, payload []byte, err error) {
+func (a *documentsResponse) encode() (status int, payload []byte, err error) {
 	switch {
 	case a.digest != nil:
 		payload, err = gossip.EncodeDigest(a.digest)
 		return statusDigest, payload, err
-	case a.everything != nil:
-		payload, err = a.everything.pack()
+	case a.snapshot != nil:
+		payload, err = a.snapshot.encode()
 	default:
 		payload, err = gossip.EncodeDocuments(&a.documents)
 	}
 	return http.StatusOK, payload, err
 }
 
-// noteRevision processes the document position in a peer's heartbeat.
-func (c *control) noteRevision(ctx context.Context, h *gossip.Heartbeat, now time.Time) {
+// observePosition processes the document position in a peer's heartbeat.
+func (c *control) observePosition(ctx context.Context, h *gossip.Heartbeat, now time.Time) {
 	at := feed.Position{Era: c.placeEra(h.Era, now), Revision: h.Revision}
 	p := newerPeer{position: position{at, h.Version}, sameDomain: h.Sender.Domain == c.domain}
 	if !p.newerThan(c.position()) {
-		c.askOnce(ctx, h.Sender.Address, at)
+		c.requestMissedDocuments(ctx, h.Sender.Address, at)
 		return
 	}
 	if len(c.syncs.newer) == 0 {
@@ -142,7 +142,7 @@
 // position returns the position of this daemon's documents. Its version is the highest that need not
 // be fetched any more, by rule 5.
 func (c *control) position() position {
-	return position{c.catalog.feed.Position(), max(c.syncs.answered, c.version())}
+	return position{c.catalog.feed.Position(), max(c.syncs.respondedVersion, c.version())}
 }
 
 // version returns the version of the active configuration, or 0 if there is none.
@@ -153,18 +153,18 @@
 	return c.catalog.table.Version
 }
 
-// askOnce sends the request of rule 7 to a peer in the same era.
-func (c *control) askOnce(ctx context.Context, from membership.Address, at feed.Position) {
+// requestMissedDocuments sends the request of rule 7 to a peer in the same era.
+func (c *control) requestMissedDocuments(ctx context.Context, from membership.Address, at feed.Position) {
 	own := c.catalog.feed.Position()
-	if !c.syncs.unasked || c.syncs.underWay || own.Era == 0 || at.Era != own.Era || at.Before(own) {
+	if !c.syncs.needsPeerCheck || c.syncs.inFlight || own.Era == 0 || at.Era != own.Era || at.Before(own) {
 		return
 	}
-	c.ask(ctx, from, documentsRequest{after: own, takesDigest: true})
+	c.requestDocuments(ctx, from, documentsRequest{after: own, acceptsDigest: true})
 }
 
-// source returns the peer to fetch documents from, and drops peers that no longer hold newer
+// choosePeer returns the peer to fetch documents from, and drops peers that no longer hold newer
 // documents. The address is empty if there is no such peer.
-func (s *syncs) source(own position) (from membership.Address, best newerPeer) {
+func (s *syncState) choosePeer(own position) (from membership.Address, best newerPeer) {
 	for a, p := range s.newer {
 		if !p.newerThan(own) {
 			delete(s.newer, a)
@@ -180,8 +180,8 @@
 
 // syncIfBehind requests documents from a peer that holds newer ones, if there is one.
 func (c *control) syncIfBehind(ctx context.Context, now time.Time) {
-	from, peer := c.syncs.source(c.position())
-	if from == "" || c.syncs.underWay {
+	from, peer := c.syncs.choosePeer(c.position())
+	if from == "" || c.syncs.inFlight {
 		return
 	}
 	f := c.catalog.feed
@@ -190,16 +190,16 @@
 		return
 	}
 	own := f.Position()
-	q := documentsRequest{after: feed.Position{Era: own.Era, Revision: f.AskAfter()}, takesDigest: f.Revision() > 0, version: peer.version}
+	q := documentsRequest{after: feed.Position{Era: own.Era, Revision: f.AskAfter()}, acceptsDigest: f.Revision() > 0, version: peer.version}
 	if !own.Before(peer.Position) {
-		q.after, q.takesDigest = own, false // only the configuration is newer
+		q.after, q.acceptsDigest = own, false // only the configuration is newer
 	}
-	c.ask(ctx, from, q)
+	c.requestDocuments(ctx, from, q)
 }
 
-// ask sends a request for documents to a peer. The response is posted as an event.
-func (c *control) ask(ctx context.Context, from membership.Address, q documentsRequest) {
-	c.syncs.underWay = true
+// requestDocuments sends a request for documents to a peer. The response is posted as an event.
+func (c *control) requestDocuments(ctx context.Context, from membership.Address, q documentsRequest) {
+	c.syncs.inFlight = true
 	q.knowsEras = true
 	go func() {
 		answer, err := c.syncs.fetch(ctx, from, q)
@@ -220,17 +220,17 @@
 
 // finishSync processes a peer's response to a request for documents.
 func (c *control) finishSync(ctx context.Context, s *synced, now time.Time) {
-	c.syncs.underWay = false
+	c.syncs.inFlight = false
 	delete(c.syncs.newer, s.from)
 	if s.err != nil {
 		c.log.SyncFailed(s.from, s.err)
 		return
 	}
-	c.syncs.answered = max(c.syncs.answered, s.asked.version)
-	c.syncs.unasked = false
+	c.syncs.respondedVersion = max(c.syncs.respondedVersion, s.asked.version)
+	c.syncs.needsPeerCheck = false
 	f, d, source := c.catalog.feed, &s.answer.documents, string(s.from)
 	if s.answer.digest != nil {
-		c.askForParts(ctx, s.from, *s.answer.digest, now)
+		c.requestParts(ctx, s.from, *s.answer.digest, now)
 		return
 	}
 	at := feed.Position{Era: c.placeEra(d.Era, now), Revision: d.Revision}
@@ -249,8 +249,8 @@
 	}
 }
 
-// askForParts requests the parts in which this daemon's documents differ from a peer's digest.
-func (c *control) askForParts(ctx context.Context, from membership.Address, d feed.Digest, now time.Time) {
+// requestParts requests the parts in which this daemon's documents differ from a peer's digest.
+func (c *control) requestParts(ctx context.Context, from membership.Address, d feed.Digest, now time.Time) {
 	f := c.catalog.feed
 	own := f.Position()
 	if d.Era = c.placeEra(d.Era, now); d.Era < own.Era {
@@ -263,5 +263,5 @@
 		c.noteEra(own, string(from), len(changed), now)
 		return
 	}
-	c.ask(ctx, from, documentsRequest{after: feed.Position{Era: d.Era, Revision: d.Revision}, parts: parts, digest: d, takesDigest: true})
+	c.requestDocuments(ctx, from, documentsRequest{after: feed.Position{Era: d.Era, Revision: d.Revision}, parts: parts, digest: d, acceptsDigest: true})
 }
--- a/daemon/routes/sync_test.go
+++ b/daemon/routes/sync_test.go
@@ -47,35 +47,35 @@
 		(*c).planReads(p.now)
 		(*c).setReadPlan(membership.ReadPlan{}) // neither reads the store
 	}
-	p.daemon.syncs.fetch = func(_ context.Context, _ membership.Address, q documentsRequest) (documentsAnswer, error) {
+	p.daemon.syncs.fetch = func(_ context.Context, _ membership.Address, q documentsRequest) (documentsResponse, error) {
 		return p.answer(q)
 	}
 	return p
 }
 
-func (p *syncedPair) answer(q documentsRequest) (documentsAnswer, error) {
+func (p *syncedPair) answer(q documentsRequest) (documentsResponse, error) {
 	p.asked++
 	if p.failing > 0 {
 		p.failing--
-		return documentsAnswer{}, errors.New("no response")
+		return documentsResponse{}, errors.New("no response")
 	}
 	query, err := url.ParseQuery(q.encode())
 	if err != nil {
-		return documentsAnswer{}, err
+		return documentsResponse{}, err
 	}
 	if !p.takesDigest {
 		query.Del(paramDigest) // as in requests of the previous build
 	}
 	asked, err := decodeRequest(query)
 	if err != nil {
-		return documentsAnswer{}, err
+		return documentsResponse{}, err
 	}
-	a := p.peer.catalog.answer(&asked)
+	a := p.peer.catalog.respond(&asked)
 	status, payload, err := a.encode()
 	if err != nil {
 		return a, err
 	}
-	got, err := decodeAnswer(payload, status == statusDigest)
+	got, err := decodeResponse(payload, status == statusDigest)
 	p.sent, p.items = p.sent+len(payload), p.items+len(got.documents.Items)
 	return got, err
 }
@@ -83,8 +83,8 @@
 // hear has the daemon process a heartbeat of the peer and the responses to all requests that follow from it.
 func (p *syncedPair) hear() {
 	h := p.peer.newHeartbeat(p.now)
-	p.daemon.noteRevision(context.Background(), &h, p.now)
-	for p.daemon.syncs.underWay {
+	p.daemon.observePosition(context.Background(), &h, p.now)
+	for p.daemon.syncs.inFlight {
 		p.daemon.handle(context.Background(), <-p.daemon.events, p.now)
 	}
 }
@@ -197,21 +197,21 @@
 	p := newSyncedPair(t)
 	c := p.peer.catalog
 	p.peer.apply(c.feed.ApplyList(fleetEntries(50), 51), sourceStore, p.now)
-	first, second := c.answer(&documentsRequest{}), c.answer(&documentsRequest{})
-	if first.everything == nil || first.everything != second.everything {
+	first, second := c.respond(&documentsRequest{}), c.respond(&documentsRequest{})
+	if first.snapshot == nil || first.snapshot != second.snapshot {
 		t.Fatal("the same documents were encoded twice")
 	}
 	p.peer.apply(c.feed.Apply([]feed.Item{{Key: "replica-00007", Revision: 60, Gone: true}}), sourceStore, p.now)
-	_, payload, err := func() (int, []byte, error) { a := c.answer(&documentsRequest{}); return a.encode() }()
+	_, payload, err := func() (int, []byte, error) { a := c.respond(&documentsRequest{}); return a.encode() }()
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := decodeAnswer(payload, false)
+	got, err := decodeResponse(payload, false)
 	if err != nil || got.documents.Revision != 60 || !got.documents.Whole {
 		t.Fatalf("at revision %d, whole %t, %v", got.documents.Revision, got.documents.Whole, err)
 	}
 	c.feed.Advance(70)
-	if a := c.answer(&documentsRequest{}); a.everything.documents.Revision != 70 {
+	if a := c.respond(&documentsRequest{}); a.snapshot.documents.Revision != 70 {
 		t.Fatal("the encoding is of an earlier revision")
 	}
 }
@@ -226,7 +226,7 @@
 		c := newCatalog(versionedDocuments{}, l)
 		c.feed.ApplyList(fleetEntries(replicas), feed.Revision(replicas+1))
 		answer := func(b *testing.B) {
-			a := c.answer(&documentsRequest{})
+			a := c.respond(&documentsRequest{})
 			if _, _, err := a.encode(); err != nil {
 				b.Fatal(err)
 			}
@@ -234,7 +234,7 @@
 		b.Run(fmt.Sprintf("first/%d", replicas), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				c.everything = nil
+				c.snapshot = nil
 				answer(b)
 			}
 		})
