--- a/daemon/routes/restored_test.go
+++ b/daemon/routes/restored_test.go
@@ -367,7 +367,7 @@
 	store := &restoringStore{pages: []feed.Page{{At: feed.Position{Era: 2, Revision: 50}}}}
 	r := &reader{store: store, control: c, countCall: func() {}, countOlder: func() { older++ }, after: feed.Position{Era: 3, Revision: 9}}
 	err := r.list(context.Background())
-	var e *OlderAnswerError
+	var e *OlderResponseError
 	if !errors.As(err, &e) || older != 1 || !strings.Contains(err.Error(), "era 2, revision 50, after era 3, revision 9") {
 		t.Errorf("%v, counted %d", err, older)
 	}
--- a/daemon/routes/store.go
+++ b/daemon/routes/store.go
@@ -38,27 +38,27 @@
 	// each failure.
 	firstBackoff   = 50 * time.Millisecond
 	longestBackoff = 800 * time.Millisecond
-	// firstPlanCheck is the interval at which the reader polls for the control loop's first
+	// planPollInterval is the interval at which the reader polls for the control loop's first
 	// read plan.
-	firstPlanCheck = 5 * time.Millisecond
-	// listAge is how long a list that was interrupted by errors is continued. After that, its
+	planPollInterval = 5 * time.Millisecond
+	// maxListAge is how long a list that was interrupted by errors is continued. After that, its
 	// first pages are too old.
-	listAge = 10 * time.Second
+	maxListAge = 10 * time.Second
 )
 
-// OlderAnswerError means that the store answered from an earlier era or revision than before. At is the
+// OlderResponseError means that the store answered from an earlier era or revision than before. At is the
 // position of the response, Known the position that the daemon had reached.
-type OlderAnswerError struct{ At, Known feed.Position }
+type OlderResponseError struct{ At, Known feed.Position }
 
 // Error describes both positions and what to check.
-func (e *OlderAnswerError) Error() string {
+func (e *OlderResponseError) Error() string {
 	return fmt.Sprintf("the store answers from era %d, revision %d, after era %d, revision %d; check that no old copy of the store is served",
 		e.At.Era, e.At.Revision, e.Known.Era, e.Known.Revision)
 }
 
-// listing is a list in progress. When a whole fleet starts, the store rejects calls. The pages
+// partialList is a list in progress. When a whole fleet starts, the store rejects calls. The pages
 // that have been read are kept, and the list is resumed after them.
-type listing struct {
+type partialList struct {
 	items []feed.Item
 	at    feed.Position // of the first page
 	next  string
@@ -75,7 +75,7 @@
 	countOlder  func() // called for each response that is older than the known position
 	after       feed.Position
 	listed      bool
-	partial     *listing // nil if the next list begins with the first page
+	partial     *partialList // nil if the next list begins with the first page
 	backoff     time.Duration
 }
 
@@ -84,12 +84,12 @@
 	for ctx.Err() == nil {
 		plan := r.control.readPlan.Load()
 		if plan == nil {
-			pause(ctx, firstPlanCheck)
+			pause(ctx, planPollInterval)
 			continue
 		}
 		if !plan.Reads {
 			r.listed, r.partial = false, nil
-			plan.await(ctx)
+			plan.awaitReplacement(ctx)
 			continue
 		}
 		if err := r.follow(ctx, plan); err != nil && ctx.Err() == nil {
@@ -98,8 +98,8 @@
 	}
 }
 
-// await waits until the plan is replaced.
-func (p *readPlan) await(ctx context.Context) {
+// awaitReplacement waits until the plan is replaced.
+func (p *readPlan) awaitReplacement(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-p.ended:
@@ -144,12 +144,12 @@
 
 // list reads all pages of the store, or resumes an interrupted list.
 func (r *reader) list(ctx context.Context) error {
-	if r.partial == nil || clock.Since(r.partial.begun) > listAge {
-		r.partial = &listing{begun: clock.Now()}
+	if r.partial == nil || clock.Since(r.partial.begun) > maxListAge {
+		r.partial = &partialList{begun: clock.Now()}
 	}
 	l := r.partial
 	for {
-		known := r.known()
+		known := r.knownPosition()
 		if l.next != "" {
 			known = l.at.Beginning()
 		}
@@ -158,7 +158,7 @@
 		if err != nil {
 			return err
 		}
-		at, err := r.place(page.At, known)
+		at, err := r.resolvePosition(page.At, known)
 		if err != nil {
 			return err
 		}
@@ -182,22 +182,22 @@
 	return nil
 }
 
-// known returns the position that the store must not fall behind: the known era, and the revision up to
+// knownPosition returns the position that the store must not fall behind: the knownPosition era, and the revision up to
 // which this daemon itself has read the store. Revisions learned from peers don't count, because a peer's
 // build may not support eras.
-func (r *reader) known() feed.Position {
+func (r *reader) knownPosition() feed.Position {
 	if own := r.control.viewPosition(); r.after.Era < own.Era {
 		return own.Beginning()
 	}
 	return r.after
 }
 
-// place returns the position of a response, or an error if it is older than the known position.
-func (r *reader) place(at, known feed.Position) (feed.Position, error) {
+// resolvePosition returns the position of a response, or an error if it is older than the known position.
+func (r *reader) resolvePosition(at, known feed.Position) (feed.Position, error) {
 	placed, ok := r.eras.Place(at, known, clock.Now())
 	if !ok {
 		r.countOlder()
-		return placed, &OlderAnswerError{At: at, Known: known}
+		return placed, &OlderResponseError{At: at, Known: known}
 	}
 	return placed, nil
 }
@@ -209,12 +209,12 @@
 	// Between 3/4 and 5/4 of the wait, so that daemons don't call in lockstep.
 	wait := plan.Wait
 	wait = wait*3/4 + rand.N(wait/2)
-	known := r.known()
+	known := r.knownPosition()
 	changes, err := r.store.Watch(ctx, r.after.Revision, wait, transport.Timeouts{FirstByte: wait + watchSlack, Idle: idleTimeout})
 	if err != nil {
 		return err
 	}
-	if changes.At, err = r.place(changes.At, known); err != nil {
+	if changes.At, err = r.resolvePosition(changes.At, known); err != nil {
 		return err
 	}
 	if changes.At.Era != r.after.Era {
