--- a/daemon/routes/control.go
+++ b/daemon/routes/control.go
@@ -22,26 +22,26 @@
 	// heartbeatInterval is the time between two ticks. A small fleet's daemon sends a
 	// heartbeat at each tick.
 	heartbeatInterval = 200 * time.Millisecond
-	// storeTroubleMemory is how long after a store outage an expired replica entry is not
+	// storeOutageWindow is how long after a store outage an expired replica entry is not
 	// taken as proof that the replica is gone.
-	storeTroubleMemory = 5 * time.Second
-	// entriesReturn is how long entries may still be outdated after the store became readable
+	storeOutageWindow = 5 * time.Second
+	// entryRenewalTime is how long entries may still be outdated after the store became readable
 	// again: live replicas renew their entries within about two seconds, and peers forward them.
-	entriesReturn = 3 * time.Second
-	// figuresInterval is how often the cost of the control loop is logged.
-	figuresInterval = 10 * time.Second
-	// pauseLimit is the time between two ticks above which the process is considered to have
+	entryRenewalTime = 3 * time.Second
+	// statsInterval is how often the cost of the control loop is logged.
+	statsInterval = 10 * time.Second
+	// pauseThreshold is the time between two ticks above which the process is considered to have
 	// been paused, so that its state is as old as the pause.
-	pauseLimit = time.Second
-	// sizeTolerance limits how often a view is built because the size of a large fleet
-	// changed: the size must change by more than 1/sizeTolerance of its value. In a large
+	pauseThreshold = time.Second
+	// sizeChangeDivisor limits how often a view is built because the size of a large fleet
+	// changed: the size must change by more than 1/sizeChangeDivisor of its value. In a large
 	// fleet the size is an estimate that changes with each heartbeat.
-	sizeTolerance = 10
+	sizeChangeDivisor = 10
 )
 
-// tables is the state that the control loop shares with the request path. Each table is safe
+// sharedTables is the state that the control loop shares with the request path. Each table is safe
 // for concurrent use.
-type tables struct {
+type sharedTables struct {
 	loads   *routing.Loads
 	health  *routing.Health
 	cache   *routing.CacheTable
@@ -54,10 +54,10 @@
 	leavings *routing.Leavings
 }
 
-// newTables returns empty tables for a daemon of a fleet that is assumed to have at least the
+// newSharedTables returns empty tables for a daemon of a fleet that is assumed to have at least the
 // given number of daemons, among which the retry budget is divided.
-func newTables(daemon routing.PeerID, rule routing.RetryRule, daemons int) tables {
-	return tables{
+func newSharedTables(daemon routing.PeerID, rule routing.RetryRule, daemons int) sharedTables {
+	return sharedTables{
 		loads: routing.NewLoads(), health: routing.NewHealth(), cache: routing.NewCacheTable(), crowds: routing.NewCrowds(),
 		crashes: routing.NewCrashes(), cold: routing.NewColdRates(daemon), budgets: routing.NewRetryBudgets(rule, daemons),
 		rests: routing.NewRests(), leavings: routing.NewLeavings(),
@@ -66,7 +66,7 @@
 
 // control is the state of the control loop.
 type control struct {
-	tables
+	sharedTables
 	domain     state.FailureDomain
 	log        *Log
 	roster     *membership.Roster
@@ -86,17 +86,17 @@
 	readPlan   atomic.Pointer[readPlan]
 
 	daemons int // in the view; see sizeChanged
-	// viewIsOld says that replicas which are ready in the view have announced their departure. They
+	// viewStale says that replicas which are ready in the view have announced their departure. They
 	// get no requests in any case (coordination/routing/barred.go). The next tick builds one view
 	// for all such replicas.
-	viewIsOld      bool
-	storeLost      bool
-	storeUnreadAt  time.Time // when the store was last unreadable for every known daemon
-	era            eraState
-	storeTroubleAt time.Time // when the store was last known to be unreachable for this daemon or a peer
-	tickedAt       time.Time
-	startedAt      time.Time
-	figuresAt      time.Time
+	viewStale          bool
+	storeLost          bool
+	storeUnreadableAt  time.Time // when the store was last unreadable for every known daemon
+	era                eraState
+	storeUnreachableAt time.Time // when the store was last known to be unreachable for this daemon or a peer
+	lastTickAt         time.Time
+	startedAt          time.Time
+	statsLoggedAt      time.Time
 }
 
 // readPlan says whether and how the reader reads the store.
@@ -134,7 +134,7 @@
 		case <-c.health.LivesWaiting():
 			c.awaitMoreReports(ctx, livesDue{})
 		case <-c.leavings.Waiting():
-			c.viewIsOld = true
+			c.viewStale = true
 			c.awaitMoreReports(ctx, leavingsDue{})
 		case e := <-c.events:
 			c.handle(ctx, e, clock.Now())
@@ -146,9 +146,9 @@
 	switch e := e.(type) {
 	case storeListed:
 		c.syncs.needsPeerCheck = c.syncs.needsPeerCheck || c.catalog.feed.Revision() == 0
-		c.takeList(e.items, e.at, sourceStore, now)
+		c.applyList(e.items, e.at, sourceStore, now)
 	case storePaged:
-		c.takePage(&e, now)
+		c.applyPage(&e, now)
 	case storeChanged:
 		if e.At.Era == c.catalog.feed.Position().Era {
 			c.apply(c.catalog.feed.Apply(e.Items), sourceStore, now)
@@ -218,9 +218,9 @@
 
 // tick sends a heartbeat if one is due and runs all periodic work.
 func (c *control) tick(ctx context.Context, now time.Time) {
-	c.checkPause(now)
+	c.detectPause(now)
 	if c.storeLost {
-		c.storeTroubleAt = now
+		c.storeUnreachableAt = now
 	}
 	c.planReads(now)
 	c.tickHeartbeat(now)
@@ -229,39 +229,39 @@
 	c.sendLives(now)
 	c.sendLeavings(now)
 	c.repeatReports(now)
-	c.settleFormer(now)
+	c.expirePreRestore(now)
 	c.loans.forget(now)
 	c.syncIfBehind(ctx, now)
 	if now.Sub(c.startedAt) >= routing.FleetKnownAfter {
 		c.cold.SetDaemons(c.roster.Largest())
 	}
 	expired := c.catalog.expired.Expire(now)
-	if n := c.roster.Size(now); c.sizeChanged(n) || expired || c.viewIsOld {
+	if n := c.roster.Size(now); c.sizeChanged(n) || expired || c.viewStale {
 		c.daemons = n
 		c.publish(now)
 	}
 	c.roster.Forget(now)
 	if !c.roster.StoreIsRead(now) {
-		c.storeUnreadAt = now
+		c.storeUnreadableAt = now
 	}
-	c.health.SetEntriesStale(now.Sub(c.storeUnreadAt) < entriesReturn)
+	c.health.SetEntriesStale(now.Sub(c.storeUnreadableAt) < entryRenewalTime)
 	c.disproveEnds(now)
 	c.crashes.Disprove(c.health.Disproves)
 	c.health.Forget(c.domain, now)
 	c.crashes.Forget(now)
 	c.rests.Forget(now)
-	if now.Sub(c.figuresAt) >= figuresInterval {
-		c.figuresAt = now
+	if now.Sub(c.statsLoggedAt) >= statsInterval {
+		c.statsLoggedAt = now
 		c.log.Figures(c.daemons, c.catalog.feed.Revision())
 	}
 }
 
-// checkPause detects that the process was paused. It then interrupts the reader's watch:
+// detectPause detects that the process was paused. It then interrupts the reader's watch:
 // the connection may have been lost during the pause, and the last result is outdated.
-func (c *control) checkPause(now time.Time) {
-	last := c.tickedAt
-	c.tickedAt = now
-	if last.IsZero() || now.Sub(last) < pauseLimit {
+func (c *control) detectPause(now time.Time) {
+	last := c.lastTickAt
+	c.lastTickAt = now
+	if last.IsZero() || now.Sub(last) < pauseThreshold {
 		return
 	}
 	c.log.Paused(now.Sub(last))
@@ -293,7 +293,7 @@
 		return
 	}
 	c.storeLost = e.lost
-	c.storeTroubleAt = now
+	c.storeUnreachableAt = now
 	c.roster.SetStoreUnreachable(e.lost)
 	c.planReads(now)
 	c.sendHeartbeat(now)
@@ -306,7 +306,7 @@
 	if len(changed) == 0 {
 		return
 	}
-	c.cache.Forget(c.catalog.apply(changed, source, now.Sub(c.storeTroubleAt) < storeTroubleMemory, now))
+	c.cache.Forget(c.catalog.apply(changed, source, now.Sub(c.storeUnreachableAt) < storeOutageWindow, now))
 	c.announce(now)
 }
 
@@ -316,12 +316,12 @@
 	c.sendPartial(c.pendingLocations(), now)
 }
 
-// takePage applies one page of a list that is still being read. The first page contains the
+// applyPage applies one page of a list that is still being read. The first page contains the
 // configuration, and with ten thousand replicas the last page follows seconds later. A daemon
 // without documents waits for the whole list, because otherwise it would accept callers before it
 // knows most replicas. So does a daemon in another era, because entering the era turns all of its
 // documents into documents from before the restore.
-func (c *control) takePage(p *storePaged, now time.Time) {
+func (c *control) applyPage(p *storePaged, now time.Time) {
 	f := c.catalog.feed
 	if f.Revision() > 0 && f.Position().Era == p.at.Era {
 		c.apply(f.ApplyPage(p.items, p.after, p.upTo, p.at.Revision), sourceStore, now)
@@ -330,7 +330,7 @@
 
 // publish builds a view and makes it visible to the request path.
 func (c *control) publish(now time.Time) {
-	c.viewIsOld = false
+	c.viewStale = false
 	v := c.catalog.view(c.leavings, now)
 	v.Domain, v.Daemons, v.LargeFleet = c.domain, c.daemons, c.largeFleet()
 	old := c.view.Swap(v)
@@ -356,5 +356,5 @@
 	if !c.largeFleet() {
 		return n != c.daemons
 	}
-	return sizeTolerance*max(n-c.daemons, c.daemons-n) > c.daemons
+	return sizeChangeDivisor*max(n-c.daemons, c.daemons-n) > c.daemons
 }
--- a/daemon/routes/control_test.go
+++ b/daemon/routes/control_test.go
@@ -21,8 +21,8 @@
 // newTestControl returns a control loop without peers and network.
 func newTestControl(l *Log, d Documents) *control {
 	return &control{
-		tables: newTables("10.0.0.1:1", routing.RetryRule{Window: time.Second}, 1),
-		log:    l, daemons: 1, catalog: newCatalog(d, l),
+		sharedTables: newSharedTables("10.0.0.1:1", routing.RetryRule{Window: time.Second}, 1),
+		log:          l, daemons: 1, catalog: newCatalog(d, l),
 		roster:     membership.NewRoster(membership.Member{Address: "10.0.0.1:1"}, nil),
 		heartbeats: heartbeats{rng: rand.New(rand.NewPCG(1, 1))},
 		configured: make(chan struct{}),
--- a/daemon/routes/daemon.go
+++ b/daemon/routes/daemon.go
@@ -118,7 +118,7 @@
 // wire connects the parts of the daemon and sets the listeners' handlers.
 func (d *Daemon) wire() {
 	s := d.settings
-	t := newTables(routing.PeerID(s.advertised()), s.retryRule(), max(leastFleet, len(s.Seeds)))
+	t := newSharedTables(routing.PeerID(s.advertised()), s.retryRule(), max(minAssumedFleet, len(s.Seeds)))
 	t.health.Reporter = routing.NewReporterID(string(s.advertised()))
 	d.control = d.newControl(t)
 	d.control.publish(clock.Now())
@@ -142,11 +142,11 @@
 	}
 }
 
-func (d *Daemon) newControl(t tables) *control {
+func (d *Daemon) newControl(t sharedTables) *control {
 	s := d.settings
 	self := membership.Member{Address: s.advertised(), Domain: s.Domain, Incarnation: incarnationAt(time.Now())}
 	return &control{
-		tables: t, domain: s.Domain, log: d.Log, daemons: 1,
+		sharedTables: t, domain: s.Domain, log: d.Log, daemons: 1,
 		roster:     membership.NewRoster(self, s.seedPeers()),
 		catalog:    newCatalog(d.outside.Documents, d.Log),
 		heartbeats: heartbeats{send: d.peers.send, rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))},
@@ -168,9 +168,9 @@
 	return membership.Incarnation(max(1, now.Sub(time.Unix(incarnationEpoch, 0))/incarnationUnit))
 }
 
-// leastFleet is the minimum fleet size assumed for dividing the retry budget until more
+// minAssumedFleet is the minimum fleet size assumed for dividing the retry budget until more
 // daemons are known: the size of the existing sites.
-const leastFleet = 8
+const minAssumedFleet = 8
 
 // View returns the current view.
 func (d *Daemon) View() *routing.View { return d.control.view.Load() }
--- a/daemon/routes/era.go
+++ b/daemon/routes/era.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// missingTime is how long a document that the backup lacks is kept. According to the users, live
+	// missingDocumentGrace is how long a document that the backup lacks is kept. According to the users, live
 	// replicas rewrite their entries within about two seconds.
-	missingTime = 3 * time.Second
-	// standingTime is how long a document that is newer by its own content is preferred over the
+	missingDocumentGrace = 3 * time.Second
+	// newerDocumentGrace is how long a document that is newer by its own content is preferred over the
 	// backup's. By then the entry of a replica that is gone has expired in the store, within a few of
 	// the replica's heartbeats, and an entry that says ready where it said draining has been rewritten.
-	standingTime = 10 * time.Second
+	newerDocumentGrace = 10 * time.Second
 )
 
 // eraState is the control loop's state about the store's eras, in addition to the feed's.
@@ -27,8 +27,8 @@
 	restored bool
 }
 
-// takeList applies a complete list from the store or a peer. A list of an earlier era is ignored.
-func (c *control) takeList(items []feed.Item, at feed.Position, source string, now time.Time) {
+// applyList applies a complete list from the store or a peer. A list of an earlier era is ignored.
+func (c *control) applyList(items []feed.Item, at feed.Position, source string, now time.Time) {
 	f := c.catalog.feed
 	from := f.Position()
 	if at.Era < from.Era {
@@ -39,12 +39,12 @@
 	}
 	changed := f.ApplyList(items, at.Revision)
 	c.apply(changed, source, now)
-	c.noteEra(from, source, len(changed), now)
+	c.recordEraChange(from, source, len(changed), now)
 }
 
-// noteEra handles the feed's change to another era, if there was one since it was at from. changed is
+// recordEraChange handles the feed's change to another era, if there was one since it was at from. changed is
 // the number of documents that changed with it.
-func (c *control) noteEra(from feed.Position, source string, changed int, now time.Time) {
+func (c *control) recordEraChange(from feed.Position, source string, changed int, now time.Time) {
 	at := c.catalog.feed.Position()
 	if at.Era == from.Era {
 		return
@@ -53,7 +53,7 @@
 	c.roster.SetEraKnown()
 	if from.Era > 0 {
 		c.era.restored = true
-		c.storeTroubleAt = now // entries of live replicas may be missing
+		c.storeUnreachableAt = now // entries of live replicas may be missing
 		c.log.Era(from, at, source, changed, c.version())
 	}
 	if source != sourceStore {
@@ -65,16 +65,16 @@
 	}
 }
 
-// settleFormer drops documents from before the restore once the time for which they are kept is over.
-func (c *control) settleFormer(now time.Time) {
+// expirePreRestore drops documents from before the restore once the time for which they are kept is over.
+func (c *control) expirePreRestore(now time.Time) {
 	f, age := c.catalog.feed, now.Sub(c.era.enteredAt)
-	if age >= missingTime {
+	if age >= missingDocumentGrace {
 		if gone := f.DropMissing(); len(gone) > 0 {
 			c.log.Former(len(gone), "documents were not rewritten after the store was restored; treating them as deleted")
 			c.apply(gone, sourceStore, now)
 		}
 	}
-	if age >= standingTime {
+	if age >= newerDocumentGrace {
 		if yielded := f.Yield(); len(yielded) > 0 {
 			c.log.Former(len(yielded), "the restored store still has older documents than were known; using them")
 			c.apply(yielded, sourceStore, now)
@@ -82,11 +82,11 @@
 	}
 }
 
-// placeEra returns the era in which a peer's message is interpreted, given the era that it names, or 0
+// resolveEra returns the era in which a peer's message is interpreted, given the era that it names, or 0
 // if it names none. Builds without support for eras send revisions only, which may be from before a
 // restore. Such revisions are interpreted in the current era only as a last resort: if this daemon can't
 // reach the store, no live peer that names an era can read it, and this process has seen no restore.
-func (c *control) placeEra(named feed.Era, now time.Time) feed.Era {
+func (c *control) resolveEra(named feed.Era, now time.Time) feed.Era {
 	if named == 0 && c.storeLost && !c.era.restored && !c.roster.EraIsRead(now) {
 		return c.catalog.feed.Position().Era
 	}
--- a/daemon/routes/heartbeat.go
+++ b/daemon/routes/heartbeat.go
@@ -148,7 +148,7 @@
 	c.roster.ObserveSize(h.FleetSize)
 	c.planReads(now)
 	if h.Sender.StoreUnreachable {
-		c.storeTroubleAt = now
+		c.storeUnreachableAt = now
 	}
 	c.budgets.SetDaemons(c.roster.Largest())
 	c.observeDomains()
--- a/daemon/routes/restored_test.go
+++ b/daemon/routes/restored_test.go
@@ -187,7 +187,7 @@
 		{9900 * time.Millisecond, 1, 23},
 		{10100 * time.Millisecond, 2, 23}, // 2 has not written again that it is draining
 	} {
-		p.peer.settleFormer(p.now.Add(step.after))
+		p.peer.expirePreRestore(p.now.Add(step.after))
 		if got := len(p.peer.view.Load().Pool("s").Ready); got != step.ready || p.peer.version() != step.version {
 			t.Errorf("after %v: %d ready replicas and configuration %d, want %d and %d", step.after, got, p.peer.version(), step.ready, step.version)
 		}
--- a/daemon/routes/run.go
+++ b/daemon/routes/run.go
@@ -16,11 +16,11 @@
 const sweepInterval = 2 * time.Second
 
 // Phases of a graceful shutdown, as fractions of the grace period. New connections are accepted until
-// stopAccept, because the load balancer stops sending callers only after two failed readiness checks.
-// Open requests may finish until stopWait.
+// acceptFraction, because the load balancer stops sending callers only after two failed readiness checks.
+// Open requests may finish until drainFraction.
 const (
-	stopAccept = 0.35
-	stopWait   = 0.94
+	acceptFraction = 0.35
+	drainFraction  = 0.94
 )
 
 // Run serves until ctx is canceled, and then shuts down gracefully.
@@ -68,8 +68,8 @@
 	d.stopping.Store(true)
 	d.control.post(ctx, stopBegun{})
 	grace := d.settings.Stop.Grace
-	pause(ctx, time.Duration(stopAccept*float64(grace)))
-	wait, cancel := context.WithDeadline(ctx, begun.Add(time.Duration(stopWait*float64(grace))))
+	pause(ctx, time.Duration(acceptFraction*float64(grace)))
+	wait, cancel := context.WithDeadline(ctx, begun.Add(time.Duration(drainFraction*float64(grace))))
 	defer cancel()
 	_ = d.callers.Server.Shutdown(wait) // an error means that the grace period is over
 }
--- a/daemon/routes/sync.go
+++ b/daemon/routes/sync.go
@@ -126,7 +126,7 @@
 
 // observePosition processes the document position in a peer's heartbeat.
 func (c *control) observePosition(ctx context.Context, h *gossip.Heartbeat, now time.Time) {
-	at := feed.Position{Era: c.placeEra(h.Era, now), Revision: h.Revision}
+	at := feed.Position{Era: c.resolveEra(h.Era, now), Revision: h.Revision}
 	p := newerPeer{position: position{at, h.Version}, sameDomain: h.Sender.Domain == c.domain}
 	if !p.newerThan(c.position()) {
 		c.requestMissedDocuments(ctx, h.Sender.Address, at)
@@ -233,17 +233,17 @@
 		c.requestParts(ctx, s.from, *s.answer.digest, now)
 		return
 	}
-	at := feed.Position{Era: c.placeEra(d.Era, now), Revision: d.Revision}
+	at := feed.Position{Era: c.resolveEra(d.Era, now), Revision: d.Revision}
 	own := f.Position()
 	switch {
 	case at.Era < own.Era:
 		c.apply(f.ApplyFormer(d.Items), source, now)
 	case d.Whole:
-		c.takeList(d.Items, at, source, now)
+		c.applyList(d.Items, at, source, now)
 	case s.asked.parts != nil && s.asked.digest.Era == at.Era:
 		changed := f.ApplyParts(d.Items, d.Revision, s.asked.digest, s.asked.parts)
 		c.apply(changed, source, now)
-		c.noteEra(own, source, len(changed), now)
+		c.recordEraChange(own, source, len(changed), now)
 	case s.asked.parts == nil && own.Era == at.Era && s.asked.after.Era == at.Era:
 		c.apply(f.ApplyChanges(d.Items, d.Revision), source, now)
 	}
@@ -253,14 +253,14 @@
 func (c *control) requestParts(ctx context.Context, from membership.Address, d feed.Digest, now time.Time) {
 	f := c.catalog.feed
 	own := f.Position()
-	if d.Era = c.placeEra(d.Era, now); d.Era < own.Era {
+	if d.Era = c.resolveEra(d.Era, now); d.Era < own.Era {
 		return
 	}
 	parts := f.Differing(d)
 	if !parts.Any() {
 		changed := f.ApplyParts(nil, d.Revision, d, parts)
 		c.apply(changed, string(from), now)
-		c.noteEra(own, string(from), len(changed), now)
+		c.recordEraChange(own, string(from), len(changed), now)
 		return
 	}
 	c.requestDocuments(ctx, from, documentsRequest{after: feed.Position{Era: d.Era, Revision: d.Revision}, parts: parts, digest: d, acceptsDigest: true})
