--- a/daemon/routes/control.go
+++ b/daemon/routes/control.go
@@ -128,14 +128,14 @@
 		case <-ticker.C:
 			c.tick(ctx, clock.Now())
 		case <-c.crowds.Waiting():
-			c.awaitMoreReports(ctx, crowdsDue{})
+			c.awaitMoreReports(ctx, overloadsDue{})
 		case <-c.crashes.Waiting():
 			c.awaitMoreReports(ctx, crashesDue{})
 		case <-c.health.LivesWaiting():
-			c.awaitMoreReports(ctx, livesDue{})
+			c.awaitMoreReports(ctx, livenessDue{})
 		case <-c.leavings.Waiting():
 			c.viewStale = true
-			c.awaitMoreReports(ctx, leavingsDue{})
+			c.awaitMoreReports(ctx, departuresDue{})
 		case e := <-c.events:
 			c.handle(ctx, e, clock.Now())
 		}
@@ -147,71 +147,71 @@
 	case storeListed:
 		c.syncs.needsPeerCheck = c.syncs.needsPeerCheck || c.catalog.feed.Revision() == 0
 		c.applyList(e.items, e.at, sourceStore, now)
-	case storePaged:
+	case storePageRead:
 		c.applyPage(&e, now)
 	case storeChanged:
 		if e.At.Era == c.catalog.feed.Position().Era {
 			c.apply(c.catalog.feed.Apply(e.Items), sourceStore, now)
 		}
-	case storeReachable:
+	case storeReachabilityChanged:
 		c.setStoreLost(e, now)
 	case heartbeatReceived:
 		c.receiveHeartbeat(ctx, &e.heartbeat, now)
 	case silencesReceived:
 		c.receiveSilences(e.reports, now)
-	case crowdsReceived:
+	case overloadsReceived:
 		c.crowds.Observe(e.reports, now)
-	case crowdsDue:
+	case overloadsDue:
 		c.sendCrowds(now)
 	case crashesReceived:
 		c.receiveCrashes(e.reports, now)
 	case crashesDue:
 		c.sendCrashes(now)
-	case livesReceived:
+	case livenessReceived:
 		c.receiveLives(e.reports, now)
-	case livesDue:
+	case livenessDue:
 		c.sendLives(now)
-	case leavingsReceived:
+	case departuresReceived:
 		c.receiveLeavings(e.reports, now)
-	case leavingsDue:
+	case departuresDue:
 		c.sendLeavings(now)
-	case loanWanted:
+	case transferNeeded:
 		c.askForLoan(&e, now)
-	case loanAsksReceived:
+	case transferRequestsReceived:
 		c.lend(e.asks, now)
-	case loansReceived:
+	case transfersReceived:
 		c.takeLoans(e.loans)
 	case syncDue:
 		c.syncIfBehind(ctx, now)
-	case synced:
+	case syncCompleted:
 		c.finishSync(ctx, &e, now)
-	case callerWaits:
+	case callerWaiting:
 		c.roster.StopListening()
 		c.planReads(now)
-	case stopBegun:
+	case shutdownStarted:
 		c.roster.SetLeaving()
 		c.sendHeartbeat(now)
-	case documentsAsked:
+	case documentsRequested:
 		e.reply <- c.catalog.respond(&e.request)
-	case question:
-		c.answer(e, now)
+	case operatorRequest:
+		c.handleOperator(e, now)
 	}
 }
 
-// answer handles a query or command of an operator.
-func (c *control) answer(q question, now time.Time) {
+// handleOperator handles a query or command of an operator.
+func (c *control) handleOperator(q operatorRequest, now time.Time) {
 	switch q := q.(type) {
-	case statusAsked:
+	case statusQuery:
 		q.reply <- c.statusAnswer(now)
-	case membersAsked:
+	case membersQuery:
 		q.reply <- c.memberAnswers(now)
-	case replicasAsked:
+	case replicasQuery:
 		q.reply <- c.replicaAnswers(now)
-	case heldAsked:
+	case quarantineQuery:
 		q.reply <- c.heldAnswers(now)
-	case releaseAsked:
+	case releaseCommand:
 		q.reply <- c.release(q.content, now)
-	case restLifted:
+	case liftBackoffCommand:
 		q.reply <- c.liftRest(q.replica, now)
 	}
 }
@@ -288,7 +288,7 @@
 }
 
 // setStoreLost records that the store became unreachable or reachable for this daemon.
-func (c *control) setStoreLost(e storeReachable, now time.Time) {
+func (c *control) setStoreLost(e storeReachabilityChanged, now time.Time) {
 	if e.lost == c.storeLost {
 		return
 	}
@@ -321,7 +321,7 @@
 // without documents waits for the whole list, because otherwise it would accept callers before it
 // knows most replicas. So does a daemon in another era, because entering the era turns all of its
 // documents into documents from before the restore.
-func (c *control) applyPage(p *storePaged, now time.Time) {
+func (c *control) applyPage(p *storePageRead, now time.Time) {
 	f := c.catalog.feed
 	if f.Revision() > 0 && f.Position().Era == p.at.Era {
 		c.apply(f.ApplyPage(p.items, p.after, p.upTo, p.at.Revision), sourceStore, now)
--- a/daemon/routes/control_test.go
+++ b/daemon/routes/control_test.go
@@ -70,7 +70,7 @@
 	if listening.Reads {
 		t.Fatal("reads the store although a seed may answer")
 	}
-	c.handle(context.Background(), callerWaits{}, begun)
+	c.handle(context.Background(), callerWaiting{}, begun)
 	select {
 	case <-listening.ended:
 	default:
@@ -200,7 +200,7 @@
 		c.run(ctx)
 	}()
 	report := routing.CrowdReport{Replica: 1, Prompt: 2, Homes: 4}
-	c.post(ctx, crowdsReceived{reports: []routing.CrowdReport{report}})
+	c.post(ctx, overloadsReceived{reports: []routing.CrowdReport{report}})
 	var payload []byte
 	select {
 	case payload = <-sent:
@@ -211,8 +211,8 @@
 	if err != nil || len(got) != 1 || got[0].Homes != report.Homes {
 		t.Errorf("sent %+v, %v", got, err)
 	}
-	c.post(ctx, crowdsReceived{reports: []routing.CrowdReport{report}})
-	c.post(ctx, crowdsDue{})
+	c.post(ctx, overloadsReceived{reports: []routing.CrowdReport{report}})
+	c.post(ctx, overloadsDue{})
 	end()
 	<-ended
 	if len(sent) > 0 {
@@ -241,7 +241,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if e, err := decodeDatagram(crowds); err != nil || len(e.(crowdsReceived).reports) != 1 {
+	if e, err := decodeDatagram(crowds); err != nil || len(e.(overloadsReceived).reports) != 1 {
 		t.Errorf("reports became %+v, %v", e, err)
 	}
 	for _, payload := range [][]byte{nil, crowds[:len(crowds)-1], {0x82, 9, 0x80}, []byte("hello"), silences[:len(silences)-1], heartbeat[:len(heartbeat)-1]} {
--- a/daemon/routes/daemon.go
+++ b/daemon/routes/daemon.go
@@ -182,7 +182,7 @@
 	if v := d.View(); v.Table != nil {
 		return v
 	}
-	d.control.post(ctx, callerWaits{})
+	d.control.post(ctx, callerWaiting{})
 	wait := time.NewTimer(routing.StartWait(left, clock.Since(d.started)))
 	defer wait.Stop()
 	select {
--- a/daemon/routes/loans.go
+++ b/daemon/routes/loans.go
@@ -25,7 +25,7 @@
 }
 
 // askForLoan requests a transfer from another daemon of this daemon's failure domain.
-func (c *control) askForLoan(w *loanWanted, now time.Time) {
+func (c *control) askForLoan(w *transferNeeded, now time.Time) {
 	lender, ok := c.roster.Neighbour(now, c.heartbeats.rng)
 	if !ok {
 		w.reply <- 0
@@ -78,7 +78,7 @@
 	ctx, cancel := context.WithTimeout(ctx, routing.LoanTimeout)
 	defer cancel()
 	reply := make(chan routing.Retries, 1)
-	c.post(ctx, loanWanted{service: service, missing: missing, reply: reply})
+	c.post(ctx, transferNeeded{service: service, missing: missing, reply: reply})
 	select {
 	case lent := <-reply:
 		return lent
--- a/daemon/routes/loans_test.go
+++ b/daemon/routes/loans_test.go
@@ -55,7 +55,7 @@
 // want has the borrower request a transfer, and returns the amount received, or 0 if there was no response.
 func (p *lendingPair) want(missing routing.Retries) routing.Retries {
 	reply := make(chan routing.Retries, 1)
-	p.controls[borrower].handle(context.Background(), loanWanted{service: "s", missing: missing, reply: reply}, p.now)
+	p.controls[borrower].handle(context.Background(), transferNeeded{service: "s", missing: missing, reply: reply}, p.now)
 	select {
 	case lent := <-reply:
 		return lent
--- a/daemon/routes/operator.go
+++ b/daemon/routes/operator.go
@@ -86,16 +86,16 @@
 func (d *Daemon) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathStatus, func(w http.ResponseWriter, r *http.Request) {
-		ask(d.control, w, r, func(reply chan StatusAnswer) event { return statusAsked{reply} }, d.completeStatus)
+		ask(d.control, w, r, func(reply chan StatusAnswer) event { return statusQuery{reply} }, d.completeStatus)
 	})
 	mux.HandleFunc("GET "+PathMembers, func(w http.ResponseWriter, r *http.Request) {
-		ask(d.control, w, r, func(reply chan []MemberAnswer) event { return membersAsked{reply} }, nil)
+		ask(d.control, w, r, func(reply chan []MemberAnswer) event { return membersQuery{reply} }, nil)
 	})
 	mux.HandleFunc("GET "+PathReplicas, func(w http.ResponseWriter, r *http.Request) {
-		ask(d.control, w, r, func(reply chan []ReplicaAnswer) event { return replicasAsked{reply} }, nil)
+		ask(d.control, w, r, func(reply chan []ReplicaAnswer) event { return replicasQuery{reply} }, nil)
 	})
 	mux.HandleFunc("GET "+PathHeld, func(w http.ResponseWriter, r *http.Request) {
-		ask(d.control, w, r, func(reply chan []HeldAnswer) event { return heldAsked{reply} }, nil)
+		ask(d.control, w, r, func(reply chan []HeldAnswer) event { return quarantineQuery{reply} }, nil)
 	})
 	mux.HandleFunc("POST "+PathRelease, d.release)
 	mux.HandleFunc("POST "+PathLift, d.liftRest)
@@ -257,7 +257,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	order(d.control, w, r, func(reply chan bool) event { return releaseAsked{content, reply} },
+	order(d.control, w, r, func(reply chan bool) event { return releaseCommand{content, reply} },
 		"no replica is known to have crashed while serving this content; GET "+PathHeld+" lists the quarantined contents")
 }
 
--- a/daemon/routes/operator_replicas.go
+++ b/daemon/routes/operator_replicas.go
@@ -91,6 +91,6 @@
 // liftRest handles an operator's command to end the backoff that a replica requested.
 func (d *Daemon) liftRest(w http.ResponseWriter, r *http.Request) {
 	id := routing.ReplicaID(r.URL.Query().Get("replica"))
-	order(d.control, w, r, func(reply chan bool) event { return restLifted{id, reply} },
+	order(d.control, w, r, func(reply chan bool) event { return liftBackoffCommand{id, reply} },
 		"this replica is not backing off at this daemon; GET "+PathReplicas+" shows the replicas that are")
 }
--- a/daemon/routes/peers.go
+++ b/daemon/routes/peers.go
@@ -103,22 +103,22 @@
 		return silencesReceived{reports: reports}, err
 	case gossip.IsCrowds(payload):
 		reports, err := gossip.DecodeCrowds(payload)
-		return crowdsReceived{reports: reports}, err
+		return overloadsReceived{reports: reports}, err
 	case gossip.IsCrashes(payload):
 		reports, err := gossip.DecodeCrashes(payload)
 		return crashesReceived{reports: reports}, err
 	case gossip.IsLives(payload):
 		reports, err := gossip.DecodeLives(payload)
-		return livesReceived{reports: reports}, err
+		return livenessReceived{reports: reports}, err
 	case gossip.IsLeavings(payload):
 		reports, err := gossip.DecodeLeavings(payload)
-		return leavingsReceived{reports: reports}, err
+		return departuresReceived{reports: reports}, err
 	case gossip.IsLoanAsks(payload):
 		asks, err := gossip.DecodeLoanAsks(payload)
-		return loanAsksReceived{asks: asks}, err
+		return transferRequestsReceived{asks: asks}, err
 	case gossip.IsLoans(payload):
 		loans, err := gossip.DecodeLoans(payload)
-		return loansReceived{loans: loans}, err
+		return transfersReceived{loans: loans}, err
 	}
 	h, err := gossip.DecodeHeartbeat(payload)
 	return heartbeatReceived{heartbeat: h}, err
@@ -218,7 +218,7 @@
 			return
 		}
 		reply := make(chan documentsResponse, 1)
-		c.post(r.Context(), documentsAsked{request: q, reply: reply})
+		c.post(r.Context(), documentsRequested{request: q, reply: reply})
 		select {
 		case answer := <-reply:
 			writeResponse(w, &answer)
--- a/daemon/routes/run.go
+++ b/daemon/routes/run.go
@@ -66,7 +66,7 @@
 	begun := time.Now()
 	d.Log.Stopping()
 	d.stopping.Store(true)
-	d.control.post(ctx, stopBegun{})
+	d.control.post(ctx, shutdownStarted{})
 	grace := d.settings.Stop.Grace
 	pause(ctx, time.Duration(acceptFraction*float64(grace)))
 	wait, cancel := context.WithDeadline(ctx, begun.Add(time.Duration(drainFraction*float64(grace))))
--- a/daemon/routes/statements_test.go
+++ b/daemon/routes/statements_test.go
@@ -79,7 +79,7 @@
 	here.receiveHeartbeat(context.Background(), &gossip.Heartbeat{Sender: peer, Partial: true}, now)
 	r := here.view.Load().Pool("s").Ready[0]
 	here.leavings.Say(&r, now)
-	here.handle(context.Background(), leavingsDue{}, now)
+	here.handle(context.Background(), departuresDue{}, now)
 	if len(sent) != 1 {
 		t.Fatalf("%d datagrams, want 1 immediately", len(sent))
 	}
--- a/daemon/routes/store.go
+++ b/daemon/routes/store.go
@@ -170,7 +170,7 @@
 			return nil
 		}
 		l.items = append(l.items, page.Items...)
-		r.control.post(ctx, storePaged{items: page.Items, after: l.next, upTo: page.Next, at: l.at})
+		r.control.post(ctx, storePageRead{items: page.Items, after: l.next, upTo: page.Next, at: l.at})
 		if l.next = page.Next; l.next == "" {
 			break
 		}
@@ -235,7 +235,7 @@
 // succeeded resets the backoff, and reports the store as reachable if it was not.
 func (r *reader) succeeded(ctx context.Context) {
 	if r.backoff > 0 {
-		r.control.post(ctx, storeReachable{})
+		r.control.post(ctx, storeReachabilityChanged{})
 	}
 	r.backoff = 0
 }
@@ -250,7 +250,7 @@
 	r.store.Forget()
 	if r.backoff == 0 {
 		r.backoff = firstBackoff
-		r.control.post(ctx, storeReachable{lost: true, err: err})
+		r.control.post(ctx, storeReachabilityChanged{lost: true, err: err})
 		return
 	}
 	pause(ctx, r.backoff/2+rand.N(r.backoff))
--- a/daemon/routes/sync.go
+++ b/daemon/routes/sync.go
@@ -203,7 +203,7 @@
 	q.knowsEras = true
 	go func() {
 		answer, err := c.syncs.fetch(ctx, from, q)
-		c.post(ctx, synced{asked: q, answer: answer, from: from, err: err})
+		c.post(ctx, syncCompleted{asked: q, answer: answer, from: from, err: err})
 	}()
 }
 
@@ -219,7 +219,7 @@
 }
 
 // finishSync processes a peer's response to a request for documents.
-func (c *control) finishSync(ctx context.Context, s *synced, now time.Time) {
+func (c *control) finishSync(ctx context.Context, s *syncCompleted, now time.Time) {
 	c.syncs.inFlight = false
 	delete(c.syncs.newer, s.from)
 	if s.err != nil {
--- a/daemon/routes/sync_test.go
+++ b/daemon/routes/sync_test.go
@@ -146,7 +146,7 @@
 	for _, c := range []*control{p.daemon, p.peer} {
 		c.apply(c.catalog.feed.ApplyList(fleetEntries(200), 201), sourceStore, p.now)
 	}
-	page := storePaged{items: []feed.Item{{Key: "config", Revision: 300}}, upTo: "config", at: feed.Position{Revision: 310}}
+	page := storePageRead{items: []feed.Item{{Key: "config", Revision: 300}}, upTo: "config", at: feed.Position{Revision: 310}}
 	p.peer.handle(context.Background(), page, p.now)
 	p.failing = 1
 	p.hear()
@@ -168,7 +168,7 @@
 // callers after the first page, which has the configuration but hardly any replicas.
 func TestADaemonWithoutDocumentsWaitsForTheWholeList(t *testing.T) {
 	p := newSyncedPair(t)
-	p.daemon.handle(context.Background(), storePaged{items: fleetEntries(3), upTo: "replica-00002", at: feed.Position{Revision: 310}}, p.now)
+	p.daemon.handle(context.Background(), storePageRead{items: fleetEntries(3), upTo: "replica-00002", at: feed.Position{Revision: 310}}, p.now)
 	if v := p.daemon.view.Load(); v != nil && v.Table != nil {
 		t.Fatal("a configuration is active after one page")
 	}
