--- a/daemon/routes/catalog.go
+++ b/daemon/routes/catalog.go
@@ -214,11 +214,11 @@
 
 // view builds a view from the documents. Replicas that announced their departure in a response
 // are draining in the view, whatever their entries say.
-func (c *catalog) view(leavings *routing.Leavings, now time.Time) *routing.View {
+func (c *catalog) view(departures *routing.Leavings, now time.Time) *routing.View {
 	v := &routing.View{Table: c.table, Position: c.feed.Position(), Pools: make(map[routing.ServiceName]*routing.Pool)}
 	for name, list := range c.lists {
 		if c.isService(name) {
-			v.Pools[name] = c.pool(name, list.Pool(), leavings, now)
+			v.Pools[name] = c.pool(name, list.Pool(), departures, now)
 		}
 	}
 	return v
@@ -227,12 +227,12 @@
 // pool returns the pool of a service: the replicas of the entries, adjusted for expired entries,
 // departures and evacuated failure domains. It returns entries itself if there is
 // nothing to adjust.
-func (c *catalog) pool(name routing.ServiceName, entries *routing.Pool, leavings *routing.Leavings, now time.Time) *routing.Pool {
+func (c *catalog) pool(name routing.ServiceName, entries *routing.Pool, departures *routing.Leavings, now time.Time) *routing.Pool {
 	p := entries.Overlay()
 	if restored := c.expired.Restore(name, p, now); len(restored) > 0 {
 		c.log.Restored(name, len(restored), len(entries.Ready))
 	}
-	leaves := leavings.Apply(p)
+	leaves := departures.Apply(p)
 	isEvacuated := c.evacuations.Apply(p, c.coldStart(name))
 	if !leaves && !isEvacuated && len(p.Expired) == 0 {
 		return entries
--- a/daemon/routes/control.go
+++ b/daemon/routes/control.go
@@ -42,25 +42,25 @@
 // sharedTables is the state that the control loop shares with the request path. Each table is safe
 // for concurrent use.
 type sharedTables struct {
-	loads   *routing.Loads
-	health  *routing.Health
-	cache   *routing.CacheTable
-	crowds  *routing.Crowds
-	crashes *routing.Crashes
-	cold    *routing.ColdRates
-	budgets *routing.RetryBudgets
-	rests   *routing.Rests
-	// leavings is applied to each view that is built.
-	leavings *routing.Leavings
+	loads     *routing.Loads
+	health    *routing.Health
+	cache     *routing.CacheTable
+	overloads *routing.Crowds
+	crashes   *routing.Crashes
+	cold      *routing.ColdRates
+	budgets   *routing.RetryBudgets
+	rests     *routing.Rests
+	// departures is applied to each view that is built.
+	departures *routing.Leavings
 }
 
 // newSharedTables returns empty tables for a daemon of a fleet that is assumed to have at least the
 // given number of daemons, among which the retry budget is divided.
 func newSharedTables(daemon routing.PeerID, rule routing.RetryRule, daemons int) sharedTables {
 	return sharedTables{
-		loads: routing.NewLoads(), health: routing.NewHealth(), cache: routing.NewCacheTable(), crowds: routing.NewCrowds(),
+		loads: routing.NewLoads(), health: routing.NewHealth(), cache: routing.NewCacheTable(), overloads: routing.NewCrowds(),
 		crashes: routing.NewCrashes(), cold: routing.NewColdRates(daemon), budgets: routing.NewRetryBudgets(rule, daemons),
-		rests: routing.NewRests(), leavings: routing.NewLeavings(),
+		rests: routing.NewRests(), departures: routing.NewLeavings(),
 	}
 }
 
@@ -71,10 +71,10 @@
 	log        *Log
 	roster     *membership.Roster
 	catalog    *catalog
-	heartbeats heartbeats
-	repeats    repeats
+	heartbeats heartbeatState
+	repeats    repeatState
 	syncs      syncState
-	loans      loans
+	transfers  transfers
 
 	// openSince returns when the oldest open idle connection to a replica was opened.
 	openSince func(routing.Incarnation) (time.Time, bool)
@@ -127,15 +127,15 @@
 			return
 		case <-ticker.C:
 			c.tick(ctx, clock.Now())
-		case <-c.crowds.Waiting():
-			c.awaitMoreReports(ctx, overloadsDue{})
+		case <-c.overloads.Waiting():
+			c.scheduleReports(ctx, overloadsDue{})
 		case <-c.crashes.Waiting():
-			c.awaitMoreReports(ctx, crashesDue{})
+			c.scheduleReports(ctx, crashesDue{})
 		case <-c.health.LivesWaiting():
-			c.awaitMoreReports(ctx, livenessDue{})
-		case <-c.leavings.Waiting():
+			c.scheduleReports(ctx, livenessDue{})
+		case <-c.departures.Waiting():
 			c.viewStale = true
-			c.awaitMoreReports(ctx, departuresDue{})
+			c.scheduleReports(ctx, departuresDue{})
 		case e := <-c.events:
 			c.handle(ctx, e, clock.Now())
 		}
@@ -160,27 +160,27 @@
 	case silencesReceived:
 		c.receiveSilences(e.reports, now)
 	case overloadsReceived:
-		c.crowds.Observe(e.reports, now)
+		c.overloads.Observe(e.reports, now)
 	case overloadsDue:
-		c.sendCrowds(now)
+		c.sendOverloads(now)
 	case crashesReceived:
 		c.receiveCrashes(e.reports, now)
 	case crashesDue:
 		c.sendCrashes(now)
 	case livenessReceived:
-		c.receiveLives(e.reports, now)
+		c.receiveLiveness(e.reports, now)
 	case livenessDue:
-		c.sendLives(now)
+		c.sendLiveness(now)
 	case departuresReceived:
-		c.receiveLeavings(e.reports, now)
+		c.receiveDepartures(e.reports, now)
 	case departuresDue:
-		c.sendLeavings(now)
+		c.sendDepartures(now)
 	case transferNeeded:
-		c.askForLoan(&e, now)
+		c.requestTransfer(&e, now)
 	case transferRequestsReceived:
-		c.lend(e.asks, now)
+		c.grantTransfers(e.asks, now)
 	case transfersReceived:
-		c.takeLoans(e.loans)
+		c.receiveTransfers(e.loans)
 	case syncDue:
 		c.syncIfBehind(ctx, now)
 	case syncCompleted:
@@ -226,11 +226,11 @@
 	c.tickHeartbeat(now)
 	c.sendSilences(now)
 	c.sendCrashes(now)
-	c.sendLives(now)
-	c.sendLeavings(now)
+	c.sendLiveness(now)
+	c.sendDepartures(now)
 	c.repeatReports(now)
 	c.expirePreRestore(now)
-	c.loans.forget(now)
+	c.transfers.dropExpired(now)
 	c.syncIfBehind(ctx, now)
 	if now.Sub(c.startedAt) >= routing.FleetKnownAfter {
 		c.cold.SetDaemons(c.roster.Largest())
@@ -245,7 +245,7 @@
 		c.storeUnreadableAt = now
 	}
 	c.health.SetEntriesStale(now.Sub(c.storeUnreadableAt) < entryRenewalTime)
-	c.disproveEnds(now)
+	c.disproveTerminations(now)
 	c.crashes.Disprove(c.health.Disproves)
 	c.health.Forget(c.domain, now)
 	c.crashes.Forget(now)
@@ -313,7 +313,7 @@
 // announce publishes a view and sends the new position to peers.
 func (c *control) announce(now time.Time) {
 	c.publish(now)
-	c.sendPartial(c.pendingLocations(), now)
+	c.sendPartial(c.takePendingLocations(), now)
 }
 
 // applyPage applies one page of a list that is still being read. The first page contains the
@@ -331,7 +331,7 @@
 // publish builds a view and makes it visible to the request path.
 func (c *control) publish(now time.Time) {
 	c.viewStale = false
-	v := c.catalog.view(c.leavings, now)
+	v := c.catalog.view(c.departures, now)
 	v.Domain, v.Daemons, v.LargeFleet = c.domain, c.daemons, c.largeFleet()
 	old := c.view.Swap(v)
 	if v.Table != nil && (old == nil || old.Table == nil) {
--- a/daemon/routes/control_test.go
+++ b/daemon/routes/control_test.go
@@ -24,7 +24,7 @@
 		sharedTables: newSharedTables("10.0.0.1:1", routing.RetryRule{Window: time.Second}, 1),
 		log:          l, daemons: 1, catalog: newCatalog(d, l),
 		roster:     membership.NewRoster(membership.Member{Address: "10.0.0.1:1"}, nil),
-		heartbeats: heartbeats{rng: rand.New(rand.NewPCG(1, 1))},
+		heartbeats: heartbeatState{rng: rand.New(rand.NewPCG(1, 1))},
 		configured: make(chan struct{}),
 		openSince:  func(routing.Incarnation) (time.Time, bool) { return time.Time{}, false },
 	}
@@ -101,8 +101,8 @@
 	}
 	c.planReads(now)
 	receive(1, 20)
-	if want := 1 + firstContacts; len(sent) > want || len(sent) < firstContacts {
-		t.Fatalf("contacted %d of 21 members, want %d and the sender", len(sent), firstContacts)
+	if want := 1 + initialContacts; len(sent) > want || len(sent) < initialContacts {
+		t.Fatalf("contacted %d of 21 members, want %d and the sender", len(sent), initialContacts)
 	}
 	before := len(sent)
 	receive(2, 20)
--- a/daemon/routes/daemon.go
+++ b/daemon/routes/daemon.go
@@ -128,7 +128,7 @@
 	}
 	d.Relay = relay.New(relay.Options{
 		View: d.View, Placer: &routing.Placer{
-			Loads: t.loads, Health: t.health, Cache: t.cache, Crowds: t.crowds, Cold: t.cold, Rests: t.rests, Leavings: t.leavings,
+			Loads: t.loads, Health: t.health, Cache: t.cache, Crowds: t.overloads, Cold: t.cold, Rests: t.rests, Leavings: t.departures,
 		},
 		Budgets: t.budgets, Codec: d.outside.Codec, Observer: d.Log, Pool: d.pool, Crashes: t.crashes,
 		Borrow: d.control.borrow,
@@ -149,7 +149,7 @@
 		sharedTables: t, domain: s.Domain, log: d.Log, daemons: 1,
 		roster:     membership.NewRoster(self, s.seedPeers()),
 		catalog:    newCatalog(d.outside.Documents, d.Log),
-		heartbeats: heartbeats{send: d.peers.send, rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))},
+		heartbeats: heartbeatState{send: d.peers.send, rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))},
 		syncs:      syncState{fetch: d.peers.fetch, newer: make(map[membership.Address]newerPeer)},
 		events:     make(chan event, eventQueue),
 		configured: make(chan struct{}),
--- a/daemon/routes/export_test.go
+++ b/daemon/routes/export_test.go
@@ -26,7 +26,7 @@
 // SharesCrowds reports whether the request path and the control loop share the table of
 // overloaded replicas.
 func (d *Daemon) SharesCrowds() bool {
-	return d.control.crowds != nil && d.Relay.Placer.Crowds == d.control.crowds
+	return d.control.overloads != nil && d.Relay.Placer.Crowds == d.control.overloads
 }
 
 // SharesCrashes reports whether the request path and the control loop share the table of
--- a/daemon/routes/heartbeat.go
+++ b/daemon/routes/heartbeat.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// sampleInterval is the interval, in heartbeats of a small fleet, at which a heartbeat
+	// memberSampleInterval is the interval, in heartbeats of a small fleet, at which a heartbeat
 	// contains a sample of the members. The others contain one only after new members were
 	// found.
-	sampleInterval = 5
+	memberSampleInterval = 5
 	// largeFleetTicks is the number of ticks between two heartbeats in a large fleet. It keeps
 	// a daemon's control traffic from growing with the fleet.
 	largeFleetTicks = 2
@@ -28,14 +28,14 @@
 	// partialTargets is the number of targets of a partial heartbeat in a large fleet. Its
 	// content is forwarded, so that fewer targets are enough than for a full heartbeat.
 	partialTargets = 3
-	// firstContacts is the number of members that a daemon without documents contacts
+	// initialContacts is the number of members that a daemon without documents contacts
 	// immediately. One of six is likely to hold documents when a whole fleet starts. Otherwise
 	// all daemons would ask the seeds, which they find first.
-	firstContacts = 6
+	initialContacts = 6
 )
 
-// heartbeats is the state for sending heartbeats.
-type heartbeats struct {
+// heartbeatState is the state for sending heartbeatState.
+type heartbeatState struct {
 	send        func(to membership.Address, payload []byte)
 	rng         *rand.Rand
 	ticks       int
@@ -53,7 +53,7 @@
 	}
 	// Cache locations are announced immediately: a daemon that does not know where a
 	// prompt is cached has it processed again.
-	if locations := c.pendingLocations(); len(locations) > 0 {
+	if locations := c.takePendingLocations(); len(locations) > 0 {
 		c.sendPartial(locations, now)
 	}
 }
@@ -74,11 +74,11 @@
 func (c *control) sendHeartbeat(now time.Time) {
 	b := &c.heartbeats
 	h := c.newHeartbeat(now)
-	h.Loads, h.Evidence, h.Locations = c.loads.Own(), c.health.Own(now), c.pendingLocations()
-	if b.sent++; b.sampleDue || c.largeFleet() || b.sent%sampleInterval == 0 {
+	h.Loads, h.Evidence, h.Locations = c.loads.Own(), c.health.Own(now), c.takePendingLocations()
+	if b.sent++; b.sampleDue || c.largeFleet() || b.sent%memberSampleInterval == 0 {
 		h.Members, b.sampleDue = c.roster.Sample(now, b.rng), false
 	}
-	c.spread(&h, now)
+	c.sendToTargets(&h, now)
 }
 
 // sendPartial sends a partial heartbeat: the position of the documents, and cache
@@ -86,7 +86,7 @@
 func (c *control) sendPartial(locations []routing.CacheLocation, now time.Time) {
 	h := c.newHeartbeat(now)
 	h.Partial, h.Locations = true, locations
-	c.spread(&h, now)
+	c.sendToTargets(&h, now)
 }
 
 // sendBootstrap sends a newly found daemon a sample of the members and the position of
@@ -103,8 +103,8 @@
 	c.sendPayload(to, payload, err)
 }
 
-// spread sends a heartbeat to its targets.
-func (c *control) spread(h *gossip.Heartbeat, now time.Time) {
+// sendToTargets sends a heartbeat to its targets.
+func (c *control) sendToTargets(h *gossip.Heartbeat, now time.Time) {
 	c.sendTo(c.targets(h.Partial, now), h)
 }
 
@@ -131,9 +131,9 @@
 	return targets
 }
 
-// pendingLocations removes the cache locations for the next heartbeat from the queue and
+// takePendingLocations removes the cache locations for the next heartbeat from the queue and
 // returns them.
-func (c *control) pendingLocations() []routing.CacheLocation {
+func (c *control) takePendingLocations() []routing.CacheLocation {
 	if c.largeFleet() {
 		return c.cache.TakePending(maxLocationsLarge)
 	}
@@ -163,7 +163,7 @@
 // roster.
 func (c *control) observeMembers(h *gossip.Heartbeat, now time.Time) {
 	if c.roster.IsNew(h.Sender, now) {
-		c.introduceReports(h.Sender.Address, now)
+		c.sendKnownReports(h.Sender.Address, now)
 	}
 	joined := c.roster.Observe(append([]membership.Member{h.Sender}, h.Members...), now)
 	for _, m := range joined {
@@ -176,13 +176,13 @@
 		c.heartbeats.sampleDue = true
 	}
 	if c.catalog.feed.Revision() == 0 {
-		c.contact(joined, now)
+		c.contactMembers(joined, now)
 	}
 }
 
-// contact sends a heartbeat to some of the members, at most once per heartbeatInterval.
+// contactMembers sends a heartbeat to some of the members, at most once per heartbeatInterval.
 // Each member to which this daemon is new responds with the position of its documents.
-func (c *control) contact(members []membership.Member, now time.Time) {
+func (c *control) contactMembers(members []membership.Member, now time.Time) {
 	if len(members) == 0 || now.Sub(c.heartbeats.contactedAt) < heartbeatInterval {
 		return
 	}
@@ -191,7 +191,7 @@
 	h := c.newHeartbeat(now)
 	h.Partial = true
 	var to []membership.Address
-	for _, m := range members[:min(len(members), firstContacts)] {
+	for _, m := range members[:min(len(members), initialContacts)] {
 		to = append(to, m.Address)
 	}
 	c.sendTo(to, &h)
--- a/daemon/routes/loans.go
+++ b/daemon/routes/loans.go
@@ -12,38 +12,38 @@
 	"hingewinch.org/hingewinch/protocol/gossip"
 )
 
-// loans is the state of the budget transfers that this daemon requested.
-type loans struct {
-	last gossip.LoanID
-	open map[gossip.LoanID]openLoan
+// transfers is the state of the budget transfers that this daemon requested.
+type transfers struct {
+	last    gossip.LoanID
+	pending map[gossip.LoanID]pendingTransfer
 }
 
-// openLoan is a requested transfer that has not arrived yet.
-type openLoan struct {
+// pendingTransfer is a requested transfer that has not arrived yet.
+type pendingTransfer struct {
 	reply chan<- routing.Retries
 	until time.Time // deadline of the requester
 }
 
-// askForLoan requests a transfer from another daemon of this daemon's failure domain.
-func (c *control) askForLoan(w *transferNeeded, now time.Time) {
+// requestTransfer requests a transfer from another daemon of this daemon's failure domain.
+func (c *control) requestTransfer(w *transferNeeded, now time.Time) {
 	lender, ok := c.roster.Neighbour(now, c.heartbeats.rng)
 	if !ok {
 		w.reply <- 0
 		return
 	}
 	c.log.metrics.LoansAsked.Inc(1)
-	l := &c.loans
+	l := &c.transfers
 	l.last++
-	if l.open == nil {
-		l.open = make(map[gossip.LoanID]openLoan)
+	if l.pending == nil {
+		l.pending = make(map[gossip.LoanID]pendingTransfer)
 	}
-	l.open[l.last] = openLoan{reply: w.reply, until: now.Add(routing.LoanTimeout)}
+	l.pending[l.last] = pendingTransfer{reply: w.reply, until: now.Add(routing.LoanTimeout)}
 	ask := gossip.LoanAsk{ID: l.last, From: c.roster.Self().Address, Service: w.service, Missing: w.missing}
 	sendReports(c, []membership.Address{lender}, []gossip.LoanAsk{ask}, gossip.EncodeLoanAsks)
 }
 
-// lend responds to a peer's requests for budget transfers.
-func (c *control) lend(asks []gossip.LoanAsk, now time.Time) {
+// grantTransfers responds to a peer's requests for budget transfers.
+func (c *control) grantTransfers(asks []gossip.LoanAsk, now time.Time) {
 	for _, a := range asks {
 		loan := gossip.Loan{ID: a.ID, Lent: c.budgets.Lend(a.Service, a.Missing, now)}
 		if loan.Lent > 0 {
@@ -53,21 +53,21 @@
 	}
 }
 
-// takeLoans delivers transfers to their requesters. Duplicates are ignored.
-func (c *control) takeLoans(loans []gossip.Loan) {
+// receiveTransfers delivers transfers to their requesters. Duplicates are ignored.
+func (c *control) receiveTransfers(loans []gossip.Loan) {
 	for _, l := range loans {
-		if o, ok := c.loans.open[l.ID]; ok {
-			delete(c.loans.open, l.ID)
+		if o, ok := c.transfers.pending[l.ID]; ok {
+			delete(c.transfers.pending, l.ID)
 			o.reply <- l.Lent
 		}
 	}
 }
 
-// forget drops transfers whose deadline has passed.
-func (l *loans) forget(now time.Time) {
-	for id, o := range l.open {
+// dropExpired drops transfers whose deadline has passed.
+func (l *transfers) dropExpired(now time.Time) {
+	for id, o := range l.pending {
 		if now.After(o.until) {
-			delete(l.open, id)
+			delete(l.pending, id)
 		}
 	}
 }
--- a/daemon/routes/loans_test.go
+++ b/daemon/routes/loans_test.go
@@ -113,8 +113,8 @@
 	if lent := <-done; lent != 0 || asked != 1 {
 		t.Fatalf("lent %v, asked %d times", lent, asked)
 	}
-	c.loans.forget(p.now.Add(time.Second))
-	if len(c.loans.open) != 0 {
+	c.transfers.dropExpired(p.now.Add(time.Second))
+	if len(c.transfers.pending) != 0 {
 		t.Fatal("an expired transfer is kept")
 	}
 }
--- a/daemon/routes/operator_replicas.go
+++ b/daemon/routes/operator_replicas.go
@@ -64,7 +64,7 @@
 	a := ReplicaAnswer{
 		ID: r.ID, Service: r.Service, Domain: r.Domain, Address: r.Address, State: stateName(r),
 		Load: c.loads.Of(r.LoadKey(), now), FailRate: rate, ColdMS: max(0, r.ColdUntil.Sub(now)).Milliseconds(), Born: r.Born,
-		RestMS: c.rests.Left(r, now).Milliseconds(), RestBy: c.rests.AskedBy(r, now), Leaving: c.leavings.Leaves(r),
+		RestMS: c.rests.Left(r, now).Milliseconds(), RestBy: c.rests.AskedBy(r, now), Leaving: c.departures.Leaves(r),
 	}
 	switch {
 	case a.Leaving:
--- a/daemon/routes/replicas_test.go
+++ b/daemon/routes/replicas_test.go
@@ -72,7 +72,7 @@
 	}
 	tick() // sends the new reports
 	kinds = nil
-	for range 3 * repeatTicks {
+	for range 3 * reportRepeatTicks {
 		tick()
 	}
 	repeated := len(slices.DeleteFunc(kinds, func(isCrashes bool) bool { return !isCrashes }))
--- a/daemon/routes/reports.go
+++ b/daemon/routes/reports.go
@@ -16,28 +16,28 @@
 )
 
 const (
-	// reportsDelay is how long reports are collected before they are sent, which limits the
+	// reportBatchDelay is how long reports are collected before they are sent, which limits the
 	// number of datagrams.
-	reportsDelay = 10 * time.Millisecond
-	// repeatTicks is the number of ticks after which known crashes and departures are
+	reportBatchDelay = 10 * time.Millisecond
+	// reportRepeatTicks is the number of ticks after which known crashes and departures are
 	// repeated to a randomly chosen daemon: one datagram of each kind per second, 1.4 KB at most.
 	// A daemon that missed all reports is sent a part of them by some other daemon within one
 	// second on average, at any fleet size.
-	repeatTicks = 5
-	// closeDelay bounds the time between a replica's termination and the close of its connections
+	reportRepeatTicks = 5
+	// connectionCloseDelay bounds the time between a replica's termination and the close of its connections
 	// being seen here.
-	closeDelay = 300 * time.Millisecond
-	// introductions limits the datagrams of each kind that are sent to a daemon that has just
+	connectionCloseDelay = 300 * time.Millisecond
+	// maxInitialDatagrams limits the datagrams of each kind that are sent to a daemon that has just
 	// started. They hold about 60 quarantined contents and 400 departures. The rest
 	// reaches it by repetition.
-	introductions = 4
+	maxInitialDatagrams = 4
 )
 
-// repeats is the state of the periodic repetition of reports.
-type repeats struct {
-	ticks    int
-	crashes  routing.ContentKey // position at which the next datagram begins
-	leavings routing.LoadKey
+// repeatState is the state of the periodic repetition of reports.
+type repeatState struct {
+	ticks      int
+	crashes    routing.ContentKey // position at which the next datagram begins
+	departures routing.LoadKey
 }
 
 // sendReports sends reports, if there are any, to the given daemons.
@@ -49,8 +49,8 @@
 	c.sendPayload(to, payload, err)
 }
 
-// spreadReports sends reports, if there are any, to the targets of a full heartbeat.
-func spreadReports[R any](c *control, reports []R, encode func([]R) ([]byte, error), now time.Time) {
+// sendReportsToTargets sends reports, if there are any, to the targets of a full heartbeat.
+func sendReportsToTargets[R any](c *control, reports []R, encode func([]R) ([]byte, error), now time.Time) {
 	if len(reports) > 0 {
 		sendReports(c, c.targets(false, now), reports, encode)
 	}
@@ -68,18 +68,18 @@
 // sendSilences forwards pending reports of silent replicas. They go to the targets of a full
 // heartbeat, because each daemon forwards a report only once.
 func (c *control) sendSilences(now time.Time) {
-	spreadReports(c, c.health.TakeSilences(gossip.MaxSilences, now), gossip.EncodeSilences, now)
+	sendReportsToTargets(c, c.health.TakeSilences(gossip.MaxSilences, now), gossip.EncodeSilences, now)
 }
 
-// awaitMoreReports posts the event due after reportsDelay, so that pending reports are sent together
+// scheduleReports posts the event due after reportsDelay, so that pending reports are sent together
 // with those that are added until then.
-func (c *control) awaitMoreReports(ctx context.Context, due event) {
-	time.AfterFunc(reportsDelay, func() { c.post(ctx, due) })
+func (c *control) scheduleReports(ctx context.Context, due event) {
+	time.AfterFunc(reportBatchDelay, func() { c.post(ctx, due) })
 }
 
-// sendCrowds forwards pending reports of overloaded replicas.
-func (c *control) sendCrowds(now time.Time) {
-	spreadReports(c, c.crowds.TakeReports(gossip.MaxCrowds, now), gossip.EncodeCrowds, now)
+// sendOverloads forwards pending reports of overloaded replicas.
+func (c *control) sendOverloads(now time.Time) {
+	sendReportsToTargets(c, c.overloads.TakeReports(gossip.MaxCrowds, now), gossip.EncodeCrowds, now)
 }
 
 // receiveSilences processes a peer's reports of silent replicas.
@@ -89,7 +89,7 @@
 
 // sendCrashes forwards pending crash reports.
 func (c *control) sendCrashes(now time.Time) {
-	spreadReports(c, c.crashes.TakeReports(gossip.MaxCrashes, now), gossip.EncodeCrashes, now)
+	sendReportsToTargets(c, c.crashes.TakeReports(gossip.MaxCrashes, now), gossip.EncodeCrashes, now)
 }
 
 // receiveCrashes processes a peer's crash reports.
@@ -101,49 +101,49 @@
 	}
 }
 
-// disproveEnds looks for open connections to replicas that are considered terminated. An open
+// disproveTerminations looks for open connections to replicas that are considered terminated. An open
 // connection proves that the replica has not terminated since it was opened.
-func (c *control) disproveEnds(now time.Time) {
+func (c *control) disproveTerminations(now time.Time) {
 	for _, key := range c.health.Ended(now) {
 		r := c.view.Load().Replica(key)
 		if r == nil {
 			continue
 		}
 		if opened, ok := c.openSince(r.Incarnation()); ok {
-			c.health.Lived(r, opened, now.Add(-closeDelay))
+			c.health.Lived(r, opened, now.Add(-connectionCloseDelay))
 		}
 	}
 }
 
-// sendLives forwards pending liveness reports.
-func (c *control) sendLives(now time.Time) {
-	spreadReports(c, c.health.TakeLives(gossip.MaxLives, now), gossip.EncodeLives, now)
+// sendLiveness forwards pending liveness reports.
+func (c *control) sendLiveness(now time.Time) {
+	sendReportsToTargets(c, c.health.TakeLives(gossip.MaxLives, now), gossip.EncodeLives, now)
 }
 
-// receiveLives processes a peer's liveness reports.
-func (c *control) receiveLives(reports []routing.LifeReport, now time.Time) {
+// receiveLiveness processes a peer's liveness reports.
+func (c *control) receiveLiveness(reports []routing.LifeReport, now time.Time) {
 	c.logReplicas(c.health.ObserveLives(reports, now), c.log.Lives)
 }
 
-// sendLeavings forwards pending reports of departures.
-func (c *control) sendLeavings(now time.Time) {
-	spreadReports(c, c.leavings.TakeReports(gossip.MaxLeavings, now), gossip.EncodeLeavings, now)
+// sendDepartures forwards pending reports of departures.
+func (c *control) sendDepartures(now time.Time) {
+	sendReportsToTargets(c, c.departures.TakeReports(gossip.MaxLeavings, now), gossip.EncodeLeavings, now)
 }
 
-// receiveLeavings processes a peer's reports of departures.
-func (c *control) receiveLeavings(reports []routing.LeavingReport, now time.Time) {
-	c.logReplicas(c.leavings.Observe(reports, now), c.log.LeavesByReport)
+// receiveDepartures processes a peer's reports of departures.
+func (c *control) receiveDepartures(reports []routing.LeavingReport, now time.Time) {
+	c.logReplicas(c.departures.Observe(reports, now), c.log.LeavesByReport)
 }
 
 // repeatReports sends a part of the known crashes and departures to one randomly chosen
 // daemon. Before that it updates the departures from the replicas' entries.
 func (c *control) repeatReports(now time.Time) {
 	r := &c.repeats
-	if r.ticks++; r.ticks%repeatTicks != 0 {
+	if r.ticks++; r.ticks%reportRepeatTicks != 0 {
 		return
 	}
-	if c.leavings.Known() {
-		c.leavings.Named(c.catalog.allReplicas(), now)
+	if c.departures.Known() {
+		c.departures.Named(c.catalog.allReplicas(), now)
 	}
 	targets := c.targets(false, now)
 	if len(targets) == 0 {
@@ -151,22 +151,22 @@
 	}
 	to := []membership.Address{targets[c.heartbeats.rng.IntN(len(targets))]}
 	r.crashes = c.sendKnownCrashes(to, r.crashes, now)
-	r.leavings = c.sendKnownLeavings(to, r.leavings, now)
+	r.departures = c.sendKnownDepartures(to, r.departures, now)
 }
 
-// introduceReports sends a newly found daemon the known crashes and departures, before it
+// sendKnownReports sends a newly found daemon the known crashes and departures, before it
 // learns of documents and accepts requests.
-func (c *control) introduceReports(to membership.Address, now time.Time) {
+func (c *control) sendKnownReports(to membership.Address, now time.Time) {
 	peer := []membership.Address{to}
 	var content routing.ContentKey
-	for range introductions {
+	for range maxInitialDatagrams {
 		if content = c.sendKnownCrashes(peer, content, now); content == 0 {
 			break
 		}
 	}
 	var replica routing.LoadKey
-	for range introductions {
-		if replica = c.sendKnownLeavings(peer, replica, now); replica == 0 {
+	for range maxInitialDatagrams {
+		if replica = c.sendKnownDepartures(peer, replica, now); replica == 0 {
 			break
 		}
 	}
@@ -180,9 +180,9 @@
 	return last
 }
 
-// sendKnownLeavings sends one datagram of departures, as sendKnownCrashes does for crashes.
-func (c *control) sendKnownLeavings(to []membership.Address, after routing.LoadKey, now time.Time) routing.LoadKey {
-	reports, last := c.leavings.All(after, gossip.MaxLeavings, now)
+// sendKnownDepartures sends one datagram of departures, as sendKnownCrashes does for crashes.
+func (c *control) sendKnownDepartures(to []membership.Address, after routing.LoadKey, now time.Time) routing.LoadKey {
+	reports, last := c.departures.All(after, gossip.MaxLeavings, now)
 	sendReports(c, to, reports, gossip.EncodeLeavings)
 	return last
 }
--- a/daemon/routes/statements_test.go
+++ b/daemon/routes/statements_test.go
@@ -31,8 +31,8 @@
 	now := time.Unix(1_000_000, 0)
 	entries(c, 2, now, map[string]string{"replica-1": "born=1", "replica-2": "born=1"})
 	r := c.view.Load().Pool("s").Ready[0]
-	c.leavings.Say(&r, now)
-	<-c.leavings.Waiting()
+	c.departures.Say(&r, now)
+	<-c.departures.Waiting()
 	c.publish(now)
 	check := func(when string, ready int) {
 		t.Helper()
@@ -78,7 +78,7 @@
 	peer := testMember(1)
 	here.receiveHeartbeat(context.Background(), &gossip.Heartbeat{Sender: peer, Partial: true}, now)
 	r := here.view.Load().Pool("s").Ready[0]
-	here.leavings.Say(&r, now)
+	here.departures.Say(&r, now)
 	here.handle(context.Background(), departuresDue{}, now)
 	if len(sent) != 1 {
 		t.Fatalf("%d datagrams, want 1 immediately", len(sent))
@@ -88,7 +88,7 @@
 		t.Fatal(err)
 	}
 	there.handle(context.Background(), e, now)
-	<-there.leavings.Waiting()
+	<-there.departures.Waiting()
 	there.publish(now)
 	if p := there.view.Load().Pool("s"); len(p.Ready) != 1 || len(p.Draining) != 1 {
 		t.Errorf("%d ready and %d draining at the other daemon, want 1 and 1", len(p.Ready), len(p.Draining))
@@ -100,7 +100,7 @@
 		t.Errorf("%d datagrams to a restarted daemon, want 1", len(sent))
 	}
 	sent = nil
-	for range 3 * repeatTicks {
+	for range 3 * reportRepeatTicks {
 		now = now.Add(heartbeatInterval)
 		here.tick(context.Background(), now)
 	}
