--- a/daemon/routes/catalog.go
+++ b/daemon/routes/catalog.go
@@ -230,7 +230,7 @@
 func (c *catalog) pool(name routing.ServiceName, entries *routing.Pool, departures *routing.Leavings, now time.Time) *routing.Pool {
 	p := entries.Overlay()
 	if restored := c.expired.Restore(name, p, now); len(restored) > 0 {
-		c.log.Restored(name, len(restored), len(entries.Ready))
+		c.log.ExpiredKept(name, len(restored), len(entries.Ready))
 	}
 	leaves := departures.Apply(p)
 	isEvacuated := c.evacuations.Apply(p, c.coldStart(name))
--- a/daemon/routes/control.go
+++ b/daemon/routes/control.go
@@ -212,7 +212,7 @@
 	case releaseCommand:
 		q.reply <- c.release(q.content, now)
 	case liftBackoffCommand:
-		q.reply <- c.liftRest(q.replica, now)
+		q.reply <- c.liftBackoff(q.replica, now)
 	}
 }
 
@@ -252,7 +252,7 @@
 	c.rests.Forget(now)
 	if now.Sub(c.statsLoggedAt) >= statsInterval {
 		c.statsLoggedAt = now
-		c.log.Figures(c.daemons, c.catalog.feed.Revision())
+		c.log.Statistics(c.daemons, c.catalog.feed.Revision())
 	}
 }
 
--- a/daemon/routes/daemon.go
+++ b/daemon/routes/daemon.go
@@ -124,7 +124,7 @@
 	d.control.publish(clock.Now())
 	d.reader = &reader{
 		store: d.outside.Store, control: d.control, historyGone: d.outside.HistoryGone,
-		countCall: func() { d.Metrics.StoreCalls.Inc(1) }, countOlder: func() { d.Metrics.StoreOlder.Inc(1) },
+		countCall: func() { d.Metrics.StoreCalls.Inc(1) }, countOlder: func() { d.Metrics.OlderStoreResponses.Inc(1) },
 	}
 	d.Relay = relay.New(relay.Options{
 		View: d.View, Placer: &routing.Placer{
--- a/daemon/routes/era.go
+++ b/daemon/routes/era.go
@@ -54,7 +54,7 @@
 	if from.Era > 0 {
 		c.era.restored = true
 		c.storeUnreachableAt = now // entries of live replicas may be missing
-		c.log.Era(from, at, source, changed, c.version())
+		c.log.StoreRestored(from, at, source, changed, c.version())
 	}
 	if source != sourceStore {
 		// Interrupt a watch that waits for changes of the old era.
@@ -70,13 +70,13 @@
 	f, age := c.catalog.feed, now.Sub(c.era.enteredAt)
 	if age >= missingDocumentGrace {
 		if gone := f.DropMissing(); len(gone) > 0 {
-			c.log.Former(len(gone), "documents were not rewritten after the store was restored; treating them as deleted")
+			c.log.PreRestoreDocuments(len(gone), "documents were not rewritten after the store was restored; treating them as deleted")
 			c.apply(gone, sourceStore, now)
 		}
 	}
 	if age >= newerDocumentGrace {
 		if yielded := f.Yield(); len(yielded) > 0 {
-			c.log.Former(len(yielded), "the restored store still has older documents than were known; using them")
+			c.log.PreRestoreDocuments(len(yielded), "the restored store still has older documents than were known; using them")
 			c.apply(yielded, sourceStore, now)
 		}
 	}
--- a/daemon/routes/golden_test.go
+++ b/daemon/routes/golden_test.go
@@ -59,7 +59,7 @@
 	}
 	for _, write := range []func(){
 		func() { l.Started("a") },
-		func() { l.Figures(1, 2) },
+		func() { l.Statistics(1, 2) },
 		func() { l.HeartbeatFailed(errors.New("e")) },
 		func() { l.Reloaded(true, nil) },
 		func() { l.Stopping() },
@@ -69,7 +69,7 @@
 		func() { l.Documents(1, "store", feed.Position{Revision: 2}) },
 		func() { l.Replica("i-1", "gone", 2) },
 		func() { l.Rejected("k", errors.New("e")) },
-		func() { l.Restored("s", 1, 2) },
+		func() { l.ExpiredKept("s", 1, 2) },
 		func() { l.Config(1, 2, "store") },
 		func() { l.Paused(time.Second) },
 		func() { l.Peer(membership.Member{Address: "10.0.0.1:1"}) },
@@ -87,13 +87,15 @@
 		func() { l.Restarted("i-1", 5, 2) },
 		func() { l.Unusable("k", 2, errors.New("e")) },
 		func() { l.Rests(&replica, call, time.Second) },
-		func() { l.RestLifted("i-1") },
-		func() { l.Lives("i-1") },
+		func() { l.BackoffLifted("i-1") },
+		func() { l.Alive("i-1") },
 		func() { l.Leaves(&replica, call) },
-		func() { l.LeavesByReport("i-1") },
+		func() { l.DepartureReported("i-1") },
 		func() { l.Replaced(&replica, call) },
-		func() { l.Era(feed.Position{Era: 1, Revision: 9}, feed.Position{Era: 2, Revision: 5}, "store", 3, 4) },
-		func() { l.Former(2, "gone") },
+		func() {
+			l.StoreRestored(feed.Position{Era: 1, Revision: 9}, feed.Position{Era: 2, Revision: 5}, "store", 3, 4)
+		},
+		func() { l.PreRestoreDocuments(2, "gone") },
 		func() { l.Said(&replica, call, relay.Statement{NotUnderstood: []string{"Retry-After: soon"}}) },
 	} {
 		write()
--- a/daemon/routes/loans.go
+++ b/daemon/routes/loans.go
@@ -31,7 +31,7 @@
 		w.reply <- 0
 		return
 	}
-	c.log.metrics.LoansAsked.Inc(1)
+	c.log.metrics.TransfersRequested.Inc(1)
 	l := &c.transfers
 	l.last++
 	if l.pending == nil {
@@ -47,7 +47,7 @@
 	for _, a := range asks {
 		loan := gossip.Loan{ID: a.ID, Lent: c.budgets.Lend(a.Service, a.Missing, now)}
 		if loan.Lent > 0 {
-			c.log.metrics.LoansGiven.Inc(1)
+			c.log.metrics.TransfersGranted.Inc(1)
 		}
 		sendReports(c, []membership.Address{a.From}, []gossip.Loan{loan}, gossip.EncodeLoans)
 	}
--- a/daemon/routes/loans_test.go
+++ b/daemon/routes/loans_test.go
@@ -75,7 +75,7 @@
 	if lent := p.want(1); lent != 0 {
 		t.Fatalf("lent %v from a spent budget", lent)
 	}
-	if asked, given := p.controls[borrower].log.metrics.LoansAsked.Count(), p.controls[lender].log.metrics.LoansGiven.Count(); asked != 3 || given != 2 {
+	if asked, given := p.controls[borrower].log.metrics.TransfersRequested.Count(), p.controls[lender].log.metrics.TransfersGranted.Count(); asked != 3 || given != 2 {
 		t.Errorf("counted %d requested and %d granted transfers, want 3 and 2", asked, given)
 	}
 	p.now = p.now.Add(11 * time.Second)
--- a/daemon/routes/log.go
+++ b/daemon/routes/log.go
@@ -44,14 +44,14 @@
 
 // Log is the log of a daemon. It is safe for concurrent use.
 type Log struct {
-	logger   log.Logger
-	writer   *backgroundWriter
-	timeline *transport.Recorder
-	metrics  *Metrics
-	done     chan struct{}
-	ended    chan struct{}
-	once     sync.Once
-	unreadAt atomic.Int64 // when invalid fields of a response were last logged, in Unix nanoseconds
+	logger                log.Logger
+	writer                *backgroundWriter
+	timeline              *transport.Recorder
+	metrics               *Metrics
+	done                  chan struct{}
+	ended                 chan struct{}
+	once                  sync.Once
+	invalidFieldsLoggedAt atomic.Int64 // when invalid fields of a response were last logged, in Unix nanoseconds
 }
 
 // newLog returns a log that writes to out until Close.
@@ -125,8 +125,8 @@
 	l.logger.Warn().Int64("ms", d.Milliseconds()).Msg(prefixControl + "process was paused; reading the store again")
 }
 
-// Figures logs the cost of the control loop since the daemon's start.
-func (l *Log) Figures(daemons int, at feed.Revision) {
+// Statistics logs the cost of the control loop since the daemon's start.
+func (l *Log) Statistics(daemons int, at feed.Revision) {
 	m := l.metrics
 	l.logger.Info().Int("daemons", daemons).Uint64("revision", uint64(at)).Int64("store_calls", m.StoreCalls.Count()).
 		Int64("beats", m.HeartbeatsSent.Count()).Int64("beat_bytes", m.HeartbeatBytes.Count()).
@@ -145,10 +145,10 @@
 	l.logger.Info().Uint64("revision", uint64(at)).Msg(prefixStore + "regained")
 }
 
-// Era logs that the store was restored from a backup. source is where this was learned from: the store
+// StoreRestored logs that the store was restored from a backup. source is where this was learned from: the store
 // or a peer's address. differs is the number of documents that changed, and kept is the version of the
 // active configuration.
-func (l *Log) Era(from, to feed.Position, source string, differs int, kept routing.ConfigVersion) {
+func (l *Log) StoreRestored(from, to feed.Position, source string, differs int, kept routing.ConfigVersion) {
 	l.timeline.Record(coordination.EventPlatform, "store", "", "restored from a backup; era %d begins", uint64(to.Era))
 	l.metrics.StoreEras.Inc(1)
 	l.logger.Warn().Uint64("from_era", uint64(from.Era)).Uint64("from_revision", uint64(from.Revision)).
@@ -156,9 +156,9 @@
 		Int("documents", differs).Uint64("version", uint64(kept)).Msg(prefixStore + "restored from a backup; changes made after the backup are missing until they are written again")
 }
 
-// Former logs how documents from before a restore were handled that the restored store lacks or has older
+// PreRestoreDocuments logs how documents from before a restore were handled that the restored store lacks or has older
 // versions of.
-func (l *Log) Former(n int, text string) {
+func (l *Log) PreRestoreDocuments(n int, text string) {
 	l.logger.Warn().Int("documents", n).Msg(prefixControl + text)
 }
 
@@ -199,7 +199,7 @@
 // while serving them.
 func (l *Log) HeldBack(content routing.ContentKey) {
 	l.timeline.Record(coordination.EventAttemptFailed, content.String(), "", "requests are quarantined: replicas crash while serving them")
-	l.metrics.ContentsHeld.Inc(1)
+	l.metrics.ContentsQuarantined.Inc(1)
 	l.logger.Warn().Str("content", content.String()).Msg(prefixRequest + "held back from now on; replicas end under it")
 }
 
@@ -242,7 +242,7 @@
 func (l *Log) Finished(c *relay.Call, s *relay.Summary) {
 	l.metrics.finished(s)
 	e := l.logger.Info()
-	if l.logger.Level > log.InfoLevel && !answeredWell(s) {
+	if l.logger.Level > log.InfoLevel && !answeredWithoutError(s) {
 		e = l.logger.Warn()
 	}
 	e.Str("request", string(c.ID)).Str("content", c.Content.String()).Str("route", c.Route.Name).Str("outcome", coordination.OutcomeName(s.Outcome)).
@@ -262,19 +262,19 @@
 	e.Msg(prefixRequest + "ended")
 }
 
-// noReport is logged as the reported load if the replica did not report any.
-const noReport = -1
+// noReportedLoad is logged as the reported load if the replica did not report any.
+const noReportedLoad = -1
 
 func reportedLoad(l relay.ReportedLoad) int {
 	if !l.Known {
-		return noReport
+		return noReportedLoad
 	}
 	return l.Requests
 }
 
-// answeredWell reports whether a request was answered without a server error, so that it is
+// answeredWithoutError reports whether a request was answered without a server error, so that it is
 // not logged above the info level.
-func answeredWell(s *relay.Summary) bool {
+func answeredWithoutError(s *relay.Summary) bool {
 	a, ok := s.Outcome.(coordination.Answered)
 	return ok && a.Status < http.StatusInternalServerError
 }
--- a/daemon/routes/log_replicas.go
+++ b/daemon/routes/log_replicas.go
@@ -38,15 +38,15 @@
 	stage := stateWarm
 	if d > 0 {
 		stage = stateCold
-		l.metrics.Cold.Inc(1)
+		l.metrics.TurnedCold.Inc(1)
 	}
 	l.timeline.Record(coordination.EventUpstreamState, string(id), "", "%s", stage)
 	l.logger.Info().Str("replica", string(id)).Str("state", stage).Int64("cold_ms", d.Milliseconds()).Uint64("revision", uint64(at)).Msg(prefixReplica + "state changed")
 }
 
-// Restored logs that replicas of a service are kept in use although their entries expired.
+// ExpiredKept logs that replicas of a service are kept in use although their entries expired.
 // left is the number of ready replicas with entries.
-func (l *Log) Restored(s routing.ServiceName, expired, left int) {
+func (l *Log) ExpiredKept(s routing.ServiceName, expired, left int) {
 	l.timeline.Record(coordination.EventListDoubted, string(s), "", "%d entries expired at about the same time, %d replicas are left", expired, left)
 	l.logger.Warn().Str("service", string(s)).Int("vanished", expired).Int("left", left).
 		Msg(prefixReplica + "entries expired while the store was unreachable; keeping the replicas in use")
@@ -61,13 +61,13 @@
 
 // EndedUnder logs that a replica crashed while serving a request.
 func (l *Log) EndedUnder(r *routing.Replica, c *relay.Call) {
-	l.metrics.EndedUnder.Inc(1)
+	l.metrics.Crashed.Inc(1)
 	l.logger.Warn().Str("replica", string(r.ID)).Str("request", string(c.ID)).Str("content", c.Content.String()).
 		Str("workspace", string(c.Workspace)).Str("route", c.Route.Name).Msg(prefixReplica + "ended while it had a request")
 }
 
-// Lives logs that a replica which was considered terminated is alive, as reported by other daemons.
-func (l *Log) Lives(id routing.ReplicaID) {
+// Alive logs that a replica which was considered terminated is alive, as reported by other daemons.
+func (l *Log) Alive(id routing.ReplicaID) {
 	l.timeline.Record(coordination.EventUpstreamState, string(id), "", "has not terminated: it answers other daemons")
 	l.logger.Info().Str("replica", string(id)).Msg(prefixReplica + "has not terminated; it answers other daemons on connections opened before its reported termination")
 }
@@ -75,7 +75,7 @@
 // Crowded logs that a replica is overloaded and briefly avoided. The prompt of the request may be
 // cached at additional replicas.
 func (l *Log) Crowded(r *routing.Replica, c *relay.Call, load relay.ReportedLoad) {
-	l.metrics.Crowded.Inc(1)
+	l.metrics.Overloaded.Inc(1)
 	l.logger.Info().Str("replica", string(r.ID)).Str("request", string(c.ID)).Str("prompt", strconv.FormatUint(c.Key(), 36)).
 		Int("reported_load", reportedLoad(load)).Msg(prefixReplica + "crowded; avoided for a moment")
 }
@@ -84,17 +84,17 @@
 // once per second, because a replica may send them in each response.
 func (l *Log) Said(r *routing.Replica, c *relay.Call, says relay.Statement) {
 	if says.Rest > 0 {
-		l.metrics.RestsAsked.Inc(1)
+		l.metrics.BackoffsRequested.Inc(1)
 	}
 	if says.Leaving {
-		l.metrics.LeavingSaid.Inc(1)
+		l.metrics.DeparturesAnnounced.Inc(1)
 	}
 	if len(says.NotUnderstood) == 0 {
 		return
 	}
-	l.metrics.NotUnderstood.Inc(int64(len(says.NotUnderstood)))
+	l.metrics.InvalidFields.Inc(int64(len(says.NotUnderstood)))
 	now := clock.Now().UnixNano()
-	if last := l.unreadAt.Load(); now-last >= int64(time.Second) && l.unreadAt.CompareAndSwap(last, now) {
+	if last := l.invalidFieldsLoggedAt.Load(); now-last >= int64(time.Second) && l.invalidFieldsLoggedAt.CompareAndSwap(last, now) {
 		l.logger.Warn().Str("replica", string(r.ID)).Str("request", string(c.ID)).Strs("fields", says.NotUnderstood).
 			Msg(prefixReplica + "ignoring invalid fields of a response")
 	}
@@ -104,12 +104,12 @@
 // nothing. Further requests for a backoff during that time are not logged.
 func (l *Log) Rests(r *routing.Replica, c *relay.Call, left time.Duration) {
 	l.timeline.Record(coordination.EventUpstreamState, string(r.ID), state.RequestID(c.ID), "requested a backoff of %s", left.Round(time.Millisecond))
-	l.metrics.Resting.Inc(1)
+	l.metrics.BackoffsBegun.Inc(1)
 	l.logger.Info().Str("replica", string(r.ID)).Str("request", string(c.ID)).Int64("rest_ms", left.Milliseconds()).Msg(prefixReplica + "requested a backoff; this daemon sends it no requests for that time")
 }
 
-// RestLifted logs that an operator ended the backoff that a replica requested.
-func (l *Log) RestLifted(id routing.ReplicaID) {
+// BackoffLifted logs that an operator ended the backoff that a replica requested.
+func (l *Log) BackoffLifted(id routing.ReplicaID) {
 	l.timeline.Record(coordination.EventUpstreamState, string(id), "", "its backoff was lifted by an operator")
 	l.logger.Warn().Str("replica", string(id)).Msg(prefixReplica + "rest was lifted by an operator")
 }
@@ -126,15 +126,15 @@
 	l.logger.Info().Str("replica", string(r.ID)).Str("request", string(c.ID)).Int64("born", int64(r.Born)).Msg(prefixReplica + "another replica answers at its address; it gets no more requests")
 }
 
-// LeavesByReport logs that another daemon reported a replica as shutting down or gone.
-func (l *Log) LeavesByReport(id routing.ReplicaID) {
+// DepartureReported logs that another daemon reported a replica as shutting down or gone.
+func (l *Log) DepartureReported(id routing.ReplicaID) {
 	l.timeline.Record(coordination.EventUpstreamState, string(id), "", "shutting down or gone, as reported by another daemon")
 	l.logger.Info().Str("replica", string(id)).Msg(prefixReplica + "shutting down or gone, as reported by another daemon; it gets no more requests")
 }
 
-// FoundSilent logs that a replica gets no requests because other daemons found it silent.
-func (l *Log) FoundSilent(id routing.ReplicaID) {
+// ReportedSilent logs that a replica gets no requests because other daemons found it silent.
+func (l *Log) ReportedSilent(id routing.ReplicaID) {
 	l.timeline.Record(coordination.EventAttemptFailed, string(id), "", "several daemons find it silent")
-	l.metrics.FoundSilent.Inc(1)
+	l.metrics.ReportedSilent.Inc(1)
 	l.logger.Warn().Str("replica", string(id)).Msg(prefixReplica + "several daemons find it silent; it gets no requests for a while")
 }
--- a/daemon/routes/metrics.go
+++ b/daemon/routes/metrics.go
@@ -23,44 +23,44 @@
 	CallerGone metrics.Counter
 	Denied     metrics.Counter
 	Retries    metrics.Counter
-	// LoansAsked counts the transfers of retry budget that this daemon requested from others, and
+	// TransfersRequested counts the transfers of retry budget that this daemon requested from others, and
 	// LoansGiven the transfers that it granted, in whole or in part.
-	LoansAsked     metrics.Counter
-	LoansGiven     metrics.Counter
-	Spilled        metrics.Counter
-	Copied         metrics.Counter
-	NewConnections metrics.Counter
-	Ejections      metrics.Counter
-	// FoundSilent counts the replicas that were silent according to other daemons' reports.
-	FoundSilent metrics.Counter
-	// Crowded counts the requests that found their replica overloaded.
-	Crowded metrics.Counter
-	// EndedUnder counts the requests whose replica crashed while serving them.
-	EndedUnder metrics.Counter
-	// ContentsHeld counts the contents that were quarantined because replicas crash while serving them.
-	ContentsHeld metrics.Counter
-	// RestsAsked counts the responses that requested a backoff, and LeavingSaid those that
+	TransfersRequested metrics.Counter
+	TransfersGranted   metrics.Counter
+	Spilled            metrics.Counter
+	Copied             metrics.Counter
+	NewConnections     metrics.Counter
+	Ejections          metrics.Counter
+	// ReportedSilent counts the replicas that were silent according to other daemons' reports.
+	ReportedSilent metrics.Counter
+	// Overloaded counts the requests that found their replica overloaded.
+	Overloaded metrics.Counter
+	// Crashed counts the requests whose replica crashed while serving them.
+	Crashed metrics.Counter
+	// ContentsQuarantined counts the contents that were quarantined because replicas crash while serving them.
+	ContentsQuarantined metrics.Counter
+	// BackoffsRequested counts the responses that requested a backoff, and LeavingSaid those that
 	// announced the departure of their replica.
-	RestsAsked metrics.Counter
-	// Resting counts the backoffs that began, not counting extensions. AllResting counts the
+	BackoffsRequested metrics.Counter
+	// BackoffsBegun counts the backoffs that began, not counting extensions. AllResting counts the
 	// requests refused because every replica that could serve them had requested a backoff.
-	Resting     metrics.Counter
-	AllResting  metrics.Counter
-	LeavingSaid metrics.Counter
-	// NotUnderstood counts the invalid fields of responses.
-	NotUnderstood metrics.Counter
+	BackoffsBegun       metrics.Counter
+	AllBackingOff       metrics.Counter
+	DeparturesAnnounced metrics.Counter
+	// InvalidFields counts the invalid fields of responses.
+	InvalidFields metrics.Counter
 	// UnusableEntries counts the changes of entries that made them, or left them, unusable.
 	UnusableEntries metrics.Counter
-	// Cold counts how often a replica became cold, Evacuations how often a failure domain was
+	// TurnedCold counts how often a replica became cold, Evacuations how often a failure domain was
 	// evacuated.
-	Cold        metrics.Counter
+	TurnedCold  metrics.Counter
 	Evacuations metrics.Counter
 	StoreCalls  metrics.Counter
 	// StoreEras counts the restores of the store from a backup. StoreOlder counts the store's
 	// responses that were rejected because they were older than the known documents.
-	StoreEras  metrics.Counter
-	StoreOlder metrics.Counter
-	Syncs      metrics.Counter
+	StoreEras           metrics.Counter
+	OlderStoreResponses metrics.Counter
+	Syncs               metrics.Counter
 	// SyncedBytes and HeartbeatBytes count payload bytes, without headers of lower layers.
 	SyncedBytes        metrics.Counter
 	HeartbeatBytes     metrics.Counter
@@ -93,27 +93,27 @@
 		"caller_gone_total":      &m.CallerGone,
 		"denied_total":           &m.Denied,
 		"repeats_total":          &m.Retries,
-		"loans_asked_total":      &m.LoansAsked,
-		"loans_given_total":      &m.LoansGiven,
+		"loans_asked_total":      &m.TransfersRequested,
+		"loans_given_total":      &m.TransfersGranted,
 		"spilled_total":          &m.Spilled,
 		"prompts_copied_total":   &m.Copied,
 		"new_connections_total":  &m.NewConnections,
 		"passed_over_total":      &m.Ejections,
-		"found_silent_total":     &m.FoundSilent,
-		"crowded_total":          &m.Crowded,
-		"ended_under_total":      &m.EndedUnder,
-		"contents_held_total":    &m.ContentsHeld,
-		"rests_asked_total":      &m.RestsAsked,
-		"resting_total":          &m.Resting,
-		"all_resting_total":      &m.AllResting,
-		"leaving_said_total":     &m.LeavingSaid,
-		"not_understood_total":   &m.NotUnderstood,
+		"found_silent_total":     &m.ReportedSilent,
+		"crowded_total":          &m.Overloaded,
+		"ended_under_total":      &m.Crashed,
+		"contents_held_total":    &m.ContentsQuarantined,
+		"rests_asked_total":      &m.BackoffsRequested,
+		"resting_total":          &m.BackoffsBegun,
+		"all_resting_total":      &m.AllBackingOff,
+		"leaving_said_total":     &m.DeparturesAnnounced,
+		"not_understood_total":   &m.InvalidFields,
 		"unusable_entries_total": &m.UnusableEntries,
-		"turned_cold_total":      &m.Cold,
+		"turned_cold_total":      &m.TurnedCold,
 		"evacuations_total":      &m.Evacuations,
 		"store_calls_total":      &m.StoreCalls,
 		"store_eras_total":       &m.StoreEras,
-		"store_older_total":      &m.StoreOlder,
+		"store_older_total":      &m.OlderStoreResponses,
 		"pulls_total":            &m.Syncs,
 		"pulled_bytes_total":     &m.SyncedBytes,
 		"beat_bytes_total":       &m.HeartbeatBytes,
@@ -141,7 +141,7 @@
 		m.MayHaveRun.Inc(1)
 	}
 	if reasonOf(s.Outcome) == string(coordination.ReasonResting) {
-		m.AllResting.Inc(1)
+		m.AllBackingOff.Inc(1)
 	}
 	if s.Gone {
 		m.CallerGone.Inc(1)
--- a/daemon/routes/operator.go
+++ b/daemon/routes/operator.go
@@ -80,25 +80,25 @@
 	Refused   int                   `json:"refused"`  // requests that this daemon refused
 }
 
-// askTimeout bounds the wait for the control loop's reply to an operator.
-const askTimeout = time.Second
+// queryTimeout bounds the wait for the control loop's reply to an operator.
+const queryTimeout = time.Second
 
 func (d *Daemon) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathStatus, func(w http.ResponseWriter, r *http.Request) {
-		ask(d.control, w, r, func(reply chan StatusAnswer) event { return statusQuery{reply} }, d.completeStatus)
+		serveQuery(d.control, w, r, func(reply chan StatusAnswer) event { return statusQuery{reply} }, d.completeStatus)
 	})
 	mux.HandleFunc("GET "+PathMembers, func(w http.ResponseWriter, r *http.Request) {
-		ask(d.control, w, r, func(reply chan []MemberAnswer) event { return membersQuery{reply} }, nil)
+		serveQuery(d.control, w, r, func(reply chan []MemberAnswer) event { return membersQuery{reply} }, nil)
 	})
 	mux.HandleFunc("GET "+PathReplicas, func(w http.ResponseWriter, r *http.Request) {
-		ask(d.control, w, r, func(reply chan []ReplicaAnswer) event { return replicasQuery{reply} }, nil)
+		serveQuery(d.control, w, r, func(reply chan []ReplicaAnswer) event { return replicasQuery{reply} }, nil)
 	})
 	mux.HandleFunc("GET "+PathHeld, func(w http.ResponseWriter, r *http.Request) {
-		ask(d.control, w, r, func(reply chan []HeldAnswer) event { return quarantineQuery{reply} }, nil)
+		serveQuery(d.control, w, r, func(reply chan []HeldAnswer) event { return quarantineQuery{reply} }, nil)
 	})
 	mux.HandleFunc("POST "+PathRelease, d.release)
-	mux.HandleFunc("POST "+PathLift, d.liftRest)
+	mux.HandleFunc("POST "+PathLift, d.liftBackoff)
 	mux.HandleFunc("GET "+transport.PathTimeline, func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, d.Log.timeline.Events())
 	})
@@ -115,10 +115,10 @@
 	return mux
 }
 
-// ask sends a query to the control loop and writes the reply as JSON. complete, unless nil,
+// serveQuery sends a query to the control loop and writes the reply as JSON. complete, unless nil,
 // first adds what the control loop does not know.
-func ask[T any](c *control, w http.ResponseWriter, r *http.Request, question func(reply chan T) event, complete func(*T)) {
-	a, ok := await(c, w, r, question)
+func serveQuery[T any](c *control, w http.ResponseWriter, r *http.Request, newEvent func(reply chan T) event, complete func(*T)) {
+	a, ok := awaitReply(c, w, r, newEvent)
 	if !ok {
 		return
 	}
@@ -128,15 +128,15 @@
 	writeJSON(w, a)
 }
 
-// await sends a query to the control loop and waits for the reply. If there is none, it
+// awaitReply sends a query to the control loop and waits for the reply. If there is none, it
 // responds with an error and returns false.
-func await[T any](c *control, w http.ResponseWriter, r *http.Request, question func(reply chan T) event) (a T, ok bool) {
+func awaitReply[T any](c *control, w http.ResponseWriter, r *http.Request, newEvent func(reply chan T) event) (a T, ok bool) {
 	reply := make(chan T, 1)
-	c.post(r.Context(), question(reply))
+	c.post(r.Context(), newEvent(reply))
 	select {
 	case a = <-reply:
 		return a, true
-	case <-time.After(askTimeout):
+	case <-time.After(queryTimeout):
 		http.Error(w, "the control loop does not respond", http.StatusServiceUnavailable)
 	case <-r.Context().Done():
 	}
@@ -179,8 +179,8 @@
 	a.LinesLost, a.Connections = d.Log.writer.droppedTotal(), d.pool.Idle()
 }
 
-// shownRevision is the number of characters shown of the build's revision.
-const shownRevision = 12
+// buildRevisionLength is the number of characters shown of the build's revision.
+const buildRevisionLength = 12
 
 // buildRevision returns the revision that the program was built from, or "unknown". A plus sign
 // marks a build from a modified work tree.
@@ -193,7 +193,7 @@
 	for _, s := range info.Settings {
 		switch {
 		case s.Key == "vcs.revision":
-			revision = s.Value[:min(len(s.Value), shownRevision)]
+			revision = s.Value[:min(len(s.Value), buildRevisionLength)]
 		case s.Key == "vcs.modified" && s.Value == "true":
 			changed = "+"
 		}
@@ -257,19 +257,19 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	order(d.control, w, r, func(reply chan bool) event { return releaseCommand{content, reply} },
+	serveCommand(d.control, w, r, func(reply chan bool) event { return releaseCommand{content, reply} },
 		"no replica is known to have crashed while serving this content; GET "+PathHeld+" lists the quarantined contents")
 }
 
-// order has the control loop execute an operator's command. If there was nothing to do, it responds
+// serveCommand has the control loop execute an operator's command. If there was nothing to do, it responds
 // with status 404 and the text in nothing.
-func order(c *control, w http.ResponseWriter, r *http.Request, question func(reply chan bool) event, nothing string) {
-	done, ok := await(c, w, r, question)
+func serveCommand(c *control, w http.ResponseWriter, r *http.Request, newEvent func(reply chan bool) event, notFound string) {
+	done, ok := awaitReply(c, w, r, newEvent)
 	switch {
 	case !ok:
 	case done:
 		w.WriteHeader(http.StatusNoContent)
 	default:
-		http.Error(w, nothing, http.StatusNotFound)
+		http.Error(w, notFound, http.StatusNotFound)
 	}
 }
--- a/daemon/routes/operator_replicas.go
+++ b/daemon/routes/operator_replicas.go
@@ -33,10 +33,10 @@
 
 // Reasons why a replica gets no or few requests, in addition to those of routing.Health.
 const (
-	whyEvacuated = "its failure domain is evacuated"
-	whyCold      = "it is cold and gets few requests or none"
-	whyResting   = "it asked this daemon for rest"
-	whyLeaving   = "it said in an answer that it leaves"
+	whyEvacuated  = "its failure domain is evacuated"
+	whyCold       = "it is cold and gets few requests or none"
+	whyBackingOff = "it asked this daemon for rest"
+	whyLeaving    = "it said in an answer that it leaves"
 )
 
 func (c *control) replicaAnswers(now time.Time) []ReplicaAnswer {
@@ -70,7 +70,7 @@
 	case a.Leaving:
 		why = whyLeaving
 	case a.RestMS > 0:
-		why = whyResting
+		why = whyBackingOff
 	case why == "" && a.ColdMS > 0:
 		why = whyCold
 	}
@@ -78,19 +78,19 @@
 	return a
 }
 
-// liftRest ends the backoff that a replica requested of this daemon. It returns false if there is
+// liftBackoff ends the backoff that a replica requested of this daemon. It returns false if there is
 // none.
-func (c *control) liftRest(id routing.ReplicaID, now time.Time) bool {
+func (c *control) liftBackoff(id routing.ReplicaID, now time.Time) bool {
 	rested := c.rests.Lift(id, now)
 	if rested {
-		c.log.RestLifted(id)
+		c.log.BackoffLifted(id)
 	}
 	return rested
 }
 
-// liftRest handles an operator's command to end the backoff that a replica requested.
-func (d *Daemon) liftRest(w http.ResponseWriter, r *http.Request) {
+// liftBackoff handles an operator's command to end the backoff that a replica requested.
+func (d *Daemon) liftBackoff(w http.ResponseWriter, r *http.Request) {
 	id := routing.ReplicaID(r.URL.Query().Get("replica"))
-	order(d.control, w, r, func(reply chan bool) event { return liftBackoffCommand{id, reply} },
+	serveCommand(d.control, w, r, func(reply chan bool) event { return liftBackoffCommand{id, reply} },
 		"this replica is not backing off at this daemon; GET "+PathReplicas+" shows the replicas that are")
 }
--- a/daemon/routes/reports.go
+++ b/daemon/routes/reports.go
@@ -84,7 +84,7 @@
 
 // receiveSilences processes a peer's reports of silent replicas.
 func (c *control) receiveSilences(reports []routing.SilenceReport, now time.Time) {
-	c.logReplicas(c.health.ObserveSilences(reports, now), c.log.FoundSilent)
+	c.logReplicas(c.health.ObserveSilences(reports, now), c.log.ReportedSilent)
 }
 
 // sendCrashes forwards pending crash reports.
@@ -122,7 +122,7 @@
 
 // receiveLiveness processes a peer's liveness reports.
 func (c *control) receiveLiveness(reports []routing.LifeReport, now time.Time) {
-	c.logReplicas(c.health.ObserveLives(reports, now), c.log.Lives)
+	c.logReplicas(c.health.ObserveLives(reports, now), c.log.Alive)
 }
 
 // sendDepartures forwards pending reports of departures.
@@ -132,7 +132,7 @@
 
 // receiveDepartures processes a peer's reports of departures.
 func (c *control) receiveDepartures(reports []routing.LeavingReport, now time.Time) {
-	c.logReplicas(c.departures.Observe(reports, now), c.log.LeavesByReport)
+	c.logReplicas(c.departures.Observe(reports, now), c.log.DepartureReported)
 }
 
 // repeatReports sends a part of the known crashes and departures to one randomly chosen
--- a/daemon/routes/statements_test.go
+++ b/daemon/routes/statements_test.go
@@ -125,7 +125,7 @@
 		}
 		return out
 	}
-	if got := resting(); len(got) != 1 || got[0].RestMS != 90_000 || got[0].RestBy != "q" || !got[0].Ejected || got[0].Why != whyResting {
+	if got := resting(); len(got) != 1 || got[0].RestMS != 90_000 || got[0].RestBy != "q" || !got[0].Ejected || got[0].Why != whyBackingOff {
 		t.Errorf("operators see %+v", got)
 	}
 	lift := func(id string) int {
@@ -133,7 +133,7 @@
 		c.events = make(chan event, 1)
 		go func() { c.handle(context.Background(), <-c.events, now) }()
 		w := httptest.NewRecorder()
-		d.liftRest(w, httptest.NewRequest(http.MethodPost, PathLift+"?replica="+id, nil))
+		d.liftBackoff(w, httptest.NewRequest(http.MethodPost, PathLift+"?replica="+id, nil))
 		return w.Code
 	}
 	if code := lift("other"); code != http.StatusNotFound {
