--- a/daemon/routes/control_test.go
+++ b/daemon/routes/control_test.go
@@ -88,7 +88,7 @@
 	var out bytes.Buffer
 	l := newLog(&out, "info", "d", newMetrics())
 	defer l.Close()
-	c := newTestControl(l, fewDocuments{})
+	c := newTestControl(l, fakeDocuments{})
 	sent := make(map[membership.Address]int)
 	c.heartbeats.send = func(to membership.Address, _ []byte) { sent[to]++ }
 	now := time.Unix(1_000_000, 0)
@@ -125,7 +125,7 @@
 	var out bytes.Buffer
 	l := newLog(&out, "info", "d", newMetrics())
 	defer l.Close()
-	c := newTestControl(l, fewDocuments{})
+	c := newTestControl(l, fakeDocuments{})
 	c.domain, c.events = "a", make(chan event, eventQueue)
 	c.syncs.newer = make(map[membership.Address]newerPeer)
 	asked := make(chan membership.Address, 2)
@@ -153,7 +153,7 @@
 func TestReportsOfSilenceArePassedOnAndLogged(t *testing.T) {
 	var out bytes.Buffer
 	l := newLog(&out, "info", "d", newMetrics())
-	c := newTestControl(l, fewDocuments{})
+	c := newTestControl(l, fakeDocuments{})
 	sent := 0
 	c.heartbeats.send = func(_ membership.Address, payload []byte) {
 		if gossip.IsSilences(payload) {
@@ -184,7 +184,7 @@
 func TestReportsOfCrowdsArePassedOn(t *testing.T) {
 	l := newLog(&bytes.Buffer{}, "info", "d", newMetrics())
 	defer l.Close()
-	c := newTestControl(l, fewDocuments{})
+	c := newTestControl(l, fakeDocuments{})
 	c.events = make(chan event, eventQueue)
 	sent := make(chan []byte, eventQueue)
 	c.heartbeats.send = func(_ membership.Address, payload []byte) {
@@ -255,14 +255,14 @@
 	return membership.Member{Address: membership.Address(fmt.Sprintf("10.0.%d.%d:1", i/100, 2+i%100)), Domain: "a", Incarnation: 1, Heartbeats: 1}
 }
 
-// fewDocuments implements Documents with a fixed configuration and replicas whose keys are
+// fakeDocuments implements Documents with a fixed configuration and replicas whose keys are
 // their ids. The value of a replica's document optionally sets one property: "cold",
 // "unreadable", "service=NAME" or "born=NUMBER".
-type fewDocuments struct{}
+type fakeDocuments struct{}
 
-func (fewDocuments) Config(f *feed.Feed) (feed.Item, bool) { return f.Get("config") }
+func (fakeDocuments) Config(f *feed.Feed) (feed.Item, bool) { return f.Get("config") }
 
-func (fewDocuments) ParseConfig(it feed.Item) (*routing.Table, error) {
+func (fakeDocuments) ParseConfig(it feed.Item) (*routing.Table, error) {
 	services := []routing.Service{{Name: "s", ColdStart: testColdStart, ColdPerSecond: 5}}
 	if len(it.Value) > 0 {
 		services = append(services, routing.Service{Name: routing.ServiceName(it.Value)})
@@ -272,7 +272,7 @@
 
 const testColdStart = 3 * time.Second
 
-func (fewDocuments) ParseReplica(it feed.Item) (routing.Replica, error) {
+func (fakeDocuments) ParseReplica(it feed.Item) (routing.Replica, error) {
 	r := routing.Replica{ID: routing.ReplicaID(it.Key), Service: "s", Domain: "z"}
 	what, value, _ := strings.Cut(string(it.Value), "=")
 	switch what {
@@ -293,16 +293,16 @@
 	return routing.NewReplica(r), nil
 }
 
-func (fewDocuments) EvacuatedDomain(key string) (state.FailureDomain, bool) {
+func (fakeDocuments) EvacuatedDomain(key string) (state.FailureDomain, bool) {
 	domain, ok := strings.CutPrefix(key, "evacuate-")
 	return state.FailureDomain(domain), ok
 }
 
-func (fewDocuments) Age(feed.Item) feed.Age { return feed.Age{} }
+func (fakeDocuments) Age(feed.Item) feed.Age { return feed.Age{} }
 
-func (fewDocuments) Lasts(key string) bool { return key == "config" }
+func (fakeDocuments) Lasts(key string) bool { return key == "config" }
 
-func (fewDocuments) ReplicaID(key string) (routing.ReplicaID, bool) {
+func (fakeDocuments) ReplicaID(key string) (routing.ReplicaID, bool) {
 	return routing.ReplicaID(key), strings.HasPrefix(key, "replica-")
 }
 
@@ -311,7 +311,7 @@
 func TestStartOfALargeFleetLeavesTheConfigurationInTheLog(t *testing.T) {
 	var out bytes.Buffer
 	l := newLog(&out, "info", "d", newMetrics())
-	c := newTestControl(l, fewDocuments{})
+	c := newTestControl(l, fakeDocuments{})
 	items := []feed.Item{{Key: "config", Revision: 5000}}
 	for i := range 4500 {
 		items = append(items, feed.Item{Key: fmt.Sprintf("replica-%d", i), Revision: feed.Revision(i + 1)})
@@ -348,7 +348,7 @@
 	var out bytes.Buffer
 	l := newLog(&out, "info", "d", newMetrics())
 	defer l.Close()
-	c := newTestControl(l, fewDocuments{})
+	c := newTestControl(l, fakeDocuments{})
 	for daemons, large := range map[int]bool{1: false, membership.FullMeshSize: false, membership.FullMeshSize + 1: true, 300: true} {
 		c.daemons = daemons
 		c.publish(time.Unix(1_000_000, 0))
@@ -362,7 +362,7 @@
 // writer blocks.
 func TestLogIsBoundedAndNeverBlocks(t *testing.T) {
 	release := make(chan struct{})
-	l := newLog(blocked{release}, "info", "d", newMetrics())
+	l := newLog(blockedWriter{release}, "info", "d", newMetrics())
 	done := make(chan struct{})
 	go func() {
 		for range 20_000 {
@@ -382,10 +382,10 @@
 	l.Close()
 }
 
-// blocked is a writer that blocks until release is closed.
-type blocked struct{ release chan struct{} }
+// blockedWriter is a writer that blocks until release is closed.
+type blockedWriter struct{ release chan struct{} }
 
-func (b blocked) Write(p []byte) (int, error) {
+func (b blockedWriter) Write(p []byte) (int, error) {
 	<-b.release
 	return len(p), nil
 }
@@ -395,7 +395,7 @@
 func TestEvacuatedReplicasLeaveTheView(t *testing.T) {
 	var out bytes.Buffer
 	l := newLog(&out, "info", "d", newMetrics())
-	c := newTestControl(l, fewDocuments{})
+	c := newTestControl(l, fakeDocuments{})
 	now := time.Unix(1_000_000, 0)
 	c.planReads(now)
 	apply := func(items ...feed.Item) {
@@ -438,7 +438,7 @@
 	var out bytes.Buffer
 	l := newLog(&out, "info", "d", newMetrics())
 	defer l.Close()
-	c := newTestControl(l, fewDocuments{})
+	c := newTestControl(l, fakeDocuments{})
 	now := time.Unix(1_000_000, 0)
 	for i, step := range []struct {
 		item feed.Item
--- a/daemon/routes/daemon_test.go
+++ b/daemon/routes/daemon_test.go
@@ -212,9 +212,9 @@
 	return resp.StatusCode
 }
 
-func (n *node) statusOfK1() int { s, _ := n.send("k1"); return s }
+func (n *node) statusForK1() int { s, _ := n.send("k1"); return s }
 
-func fine(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "fine") }
+func respondOK(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "fine") }
 
 var _ = Describe("Daemon", func() {
 	var s *site
@@ -234,7 +234,7 @@
 			var server *httptest.Server
 			server = s.replica(fmt.Sprint("i", i), func(w http.ResponseWriter, r *http.Request) {
 				if cured.Load() {
-					fine(w, r)
+					respondOK(w, r)
 					return
 				}
 				_ = server.Listener.Close()
@@ -249,21 +249,21 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 		Expect(b.held()).To(ConsistOf(And(HaveField("Workspace", routing.WorkspaceName("t")), HaveField("Replicas", HaveLen(3)))))
-		Expect(b.statusOfK1()).To(Equal(503))
+		Expect(b.statusForK1()).To(Equal(503))
 		c := s.start(0)
 		Eventually(c.ready, 3*time.Second).Should(BeTrue())
-		Expect(c.statusOfK1()).To(Equal(503))
+		Expect(c.statusForK1()).To(Equal(503))
 		content := b.held()[0].Content
 		cured.Store(true)
 		Expect(b.release("none such!")).To(Equal(400))
 		Expect(b.release("1")).To(Equal(404))
 		Expect(b.release(content)).To(Equal(204))
-		Eventually(a.statusOfK1, 3*time.Second).Should(Equal(200))
-		Eventually(c.statusOfK1, 3*time.Second).Should(Equal(200))
+		Eventually(a.statusForK1, 3*time.Second).Should(Equal(200))
+		Eventually(c.statusForK1, 3*time.Second).Should(Equal(200))
 	})
 
 	It("serves once it has a configuration, and is not ready before", func() {
-		s.replica("i1", fine)
+		s.replica("i1", respondOK)
 		endpoint, err := s.store.Open()
 		Expect(err).NotTo(HaveOccurred())
 		endpoint.Close()
@@ -275,34 +275,34 @@
 	})
 
 	It("starts while the store is unreachable: not ready and 503, never 401 or 404; then learns from a peer", func() {
-		s.replica("i1", fine)
+		s.replica("i1", respondOK)
 		a := s.start()
 		Eventually(a.ready, 3*time.Second).Should(BeTrue())
 		b := s.start(0)
 		b.endpoint.SetMode(standin.StoreSilent)
 		Eventually(b.ready, 3*time.Second).Should(BeTrue())
-		Expect(b.statusOfK1()).To(Equal(200))
+		Expect(b.statusForK1()).To(Equal(200))
 	})
 
 	It("responds with 503 while it has no configuration", func() {
 		n := s.startWhile(standin.StoreResets)
 		Expect(n.ready()).To(BeFalse())
-		Expect(n.statusOfK1()).To(Equal(503))
+		Expect(n.statusForK1()).To(Equal(503))
 	})
 
 	It("lets callers wait for its first configuration", func() {
-		s.replica("i1", fine)
+		s.replica("i1", respondOK)
 		n := s.startWhile(standin.StoreBusy)
 		status := make(chan int, 1)
-		go func() { status <- n.statusOfK1() }()
+		go func() { status <- n.statusForK1() }()
 		Consistently(status, 200*time.Millisecond).ShouldNot(Receive())
 		n.endpoint.SetMode(standin.StoreServes)
 		Eventually(status, 3*time.Second).Should(Receive(Equal(200)))
 	})
 
 	DescribeTable("applies changes that another daemon reads while the store rejects it", func(mode standin.StoreMode) {
-		server := s.replica("i1", fine)
-		s.replica("i2", fine)
+		server := s.replica("i1", respondOK)
+		s.replica("i2", respondOK)
 		a, b := s.start(), s.start(0)
 		Eventually(func() int { return a.status().Daemons }, 3*time.Second).Should(Equal(2))
 		Eventually(b.ready, 3*time.Second).Should(BeTrue())
@@ -311,7 +311,7 @@
 		s.configure("k2")
 		s.announce("i1", server, "draining")
 		for _, n := range []*node{a, b} {
-			Eventually(n.statusOfK1, 2*time.Second, 20*time.Millisecond).Should(Equal(401))
+			Eventually(n.statusForK1, 2*time.Second, 20*time.Millisecond).Should(Equal(401))
 			for range 20 {
 				status, by := n.send("k2")
 				Expect(status).To(Equal(200))
@@ -323,18 +323,18 @@
 	)
 
 	It("learns of changes that no watch returned, after the store's history is compacted", func() {
-		s.replica("i1", fine)
+		s.replica("i1", respondOK)
 		n := s.start()
 		Eventually(n.ready, 3*time.Second).Should(BeTrue())
 		s.store.SilenceWatches()
 		s.configure("k2")
 		time.Sleep(100 * time.Millisecond)
 		s.store.Compact()
-		Eventually(n.statusOfK1, 2*time.Second, 20*time.Millisecond).Should(Equal(401))
+		Eventually(n.statusForK1, 2*time.Second, 20*time.Millisecond).Should(Equal(401))
 	})
 
 	It("learns within a second of changes that no watch returned, in every daemon, also when the reader with short watches has just lost the store", func() {
-		s.replica("i1", fine)
+		s.replica("i1", respondOK)
 		a, b, c := s.start(), s.start(0), s.start(0)
 		for _, n := range []*node{a, b, c} {
 			Eventually(func() int { return n.status().Daemons }, 3*time.Second).Should(Equal(3))
@@ -347,13 +347,13 @@
 		s.store.CompactSilently()
 		begun := time.Now()
 		for _, n := range []*node{a, b, c} {
-			Eventually(n.statusOfK1, 2*time.Second, 10*time.Millisecond).Should(Equal(401))
+			Eventually(n.statusForK1, 2*time.Second, 10*time.Millisecond).Should(Equal(401))
 		}
 		Expect(time.Since(begun)).To(BeNumerically("<", 1500*time.Millisecond))
 	})
 
 	It("learns within a second of changes that no watch returned, while its watch is silently cut off", func() {
-		s.replica("i1", fine)
+		s.replica("i1", respondOK)
 		n := s.start()
 		Eventually(n.ready, 3*time.Second).Should(BeTrue())
 		time.Sleep(500 * time.Millisecond) // until the watch is waiting
@@ -361,7 +361,7 @@
 		s.configure("k2")
 		s.store.CompactSilently()
 		begun := time.Now()
-		Eventually(n.statusOfK1, 6*time.Second, 10*time.Millisecond).Should(Equal(401))
+		Eventually(n.statusForK1, 6*time.Second, 10*time.Millisecond).Should(Equal(401))
 		Expect(time.Since(begun)).To(BeNumerically("<", time.Second))
 	})
 
@@ -377,23 +377,23 @@
 	})
 
 	It("never goes back to an older configuration", func() {
-		s.replica("i1", fine)
+		s.replica("i1", respondOK)
 		a := s.start()
 		b := s.start(0)
 		Eventually(b.ready, 3*time.Second).Should(BeTrue())
 		s.configure("k2")
-		Eventually(b.statusOfK1, 2*time.Second).Should(Equal(401))
-		Eventually(a.statusOfK1, 2*time.Second).Should(Equal(401))
+		Eventually(b.statusForK1, 2*time.Second).Should(Equal(401))
+		Eventually(a.statusForK1, 2*time.Second).Should(Equal(401))
 		// A peer that was cut off may still have only the old configuration.
 		for range 20 {
-			Expect(a.statusOfK1()).To(Equal(401))
-			Expect(b.statusOfK1()).To(Equal(401))
+			Expect(a.statusForK1()).To(Equal(401))
+			Expect(b.statusForK1()).To(Equal(401))
 			time.Sleep(10 * time.Millisecond)
 		}
 	})
 
 	It("keeps the last valid configuration when a new one can't be parsed", func() {
-		s.replica("i1", fine)
+		s.replica("i1", respondOK)
 		n := s.start()
 		Eventually(n.ready, 3*time.Second).Should(BeTrue())
 		s.store.Put("op/config", []byte("{"))
@@ -403,24 +403,24 @@
 		var list []routes.ReplicaAnswer
 		n.ask(routes.PathReplicas, &list)
 		Expect(list).To(ConsistOf(HaveField("State", "ready"), HaveField("State", "unusable")))
-		Expect(n.statusOfK1()).To(Equal(200))
+		Expect(n.statusForK1()).To(Equal(200))
 	})
 
 	It("continues with the known documents while the store is down", func() {
-		s.replica("i1", fine)
+		s.replica("i1", respondOK)
 		n := s.start()
 		Eventually(n.ready, 3*time.Second).Should(BeTrue())
 		n.endpoint.SetMode(standin.StoreBusy)
 		Eventually(func() bool { return n.status().StoreLost }, 3*time.Second).Should(BeTrue())
-		Expect(n.statusOfK1()).To(Equal(200))
+		Expect(n.statusForK1()).To(Equal(200))
 		n.endpoint.SetMode(standin.StoreServes)
 		Eventually(func() bool { return n.status().StoreLost }, 3*time.Second).Should(BeFalse())
 	})
 
 	It("keeps using replicas whose entries expire together during a store outage", func() {
-		s.replica("i1", fine)
-		s.replica("i2", fine)
-		s.replica("i3", fine)
+		s.replica("i1", respondOK)
+		s.replica("i2", respondOK)
+		s.replica("i3", respondOK)
 		n := s.start()
 		Eventually(n.ready, 3*time.Second).Should(BeTrue())
 		n.endpoint.SetMode(standin.StoreBusy)
@@ -430,7 +430,7 @@
 		}
 		n.endpoint.SetMode(standin.StoreServes)
 		Eventually(func() int { return n.status().Replicas }, 3*time.Second).Should(BeZero())
-		Expect(n.statusOfK1()).To(Equal(200))
+		Expect(n.statusForK1()).To(Equal(200))
 		Eventually(n.log.String, time.Second).Should(ContainSubstring("keeping the replicas in use"))
 	})
 
@@ -447,10 +447,10 @@
 		s.store.Delete("servers/i2")
 		n.endpoint.SetMode(standin.StoreServes)
 		Eventually(func() int { return n.status().Replicas }, 3*time.Second).Should(BeZero())
-		Expect(n.statusOfK1()).To(Equal(200))
-		Eventually(n.statusOfK1, 3*time.Second, 100*time.Millisecond).Should(Equal(503))
+		Expect(n.statusForK1()).To(Equal(200))
+		Eventually(n.statusForK1, 3*time.Second, 100*time.Millisecond).Should(Equal(503))
 		before := ran.Load()
-		Consistently(n.statusOfK1, 500*time.Millisecond, 100*time.Millisecond).Should(Equal(503))
+		Consistently(n.statusForK1, 500*time.Millisecond, 100*time.Millisecond).Should(Equal(503))
 		Expect(ran.Load()).To(Equal(before))
 	})
 
@@ -469,7 +469,7 @@
 		n := s.start()
 		Eventually(n.ready, 3*time.Second).Should(BeTrue())
 		for i, id := range []string{"i1", "i2", "i3"} {
-			s.replica(fmt.Sprintf("new%d", i), fine)
+			s.replica(fmt.Sprintf("new%d", i), respondOK)
 			s.store.Delete("servers/" + id)
 			time.Sleep(pause)
 		}
@@ -478,7 +478,7 @@
 		Eventually(func() int { return n.status().Replicas }, 2*time.Second).Should(Equal(1))
 		left.Store(true)
 		for range 30 {
-			Expect(n.statusOfK1()).To(Equal(200))
+			Expect(n.statusForK1()).To(Equal(200))
 		}
 		Expect(late.Load()).To(BeZero())
 	},
@@ -509,11 +509,11 @@
 		n := s.start()
 		Eventually(n.ready, 3*time.Second).Should(BeTrue())
 		answers := make(chan int, 2)
-		go func() { answers <- n.statusOfK1() }()
+		go func() { answers <- n.statusForK1() }()
 		time.Sleep(100 * time.Millisecond)
 		n.stop()
 		Eventually(n.ready, 500*time.Millisecond).Should(BeFalse())
-		go func() { answers <- n.statusOfK1() }()
+		go func() { answers <- n.statusForK1() }()
 		time.Sleep(300 * time.Millisecond)
 		finish()
 		Expect(<-answers).To(Equal(200))
@@ -527,7 +527,7 @@
 		s.replica("i1", func(http.ResponseWriter, *http.Request) { time.Sleep(3 * time.Second) })
 		n := s.start()
 		Eventually(n.ready, 3*time.Second).Should(BeTrue())
-		go n.statusOfK1()
+		go n.statusForK1()
 		time.Sleep(50 * time.Millisecond)
 		begun := time.Now()
 		n.stop()
@@ -536,7 +536,7 @@
 	})
 
 	It("restarts after a kill and learns what changed in the meantime", func() {
-		s.replica("i1", fine)
+		s.replica("i1", respondOK)
 		a, b := s.start(), s.start(0)
 		Eventually(b.ready, 3*time.Second).Should(BeTrue())
 		b.stop()
@@ -544,7 +544,7 @@
 		s.configure("k2")
 		b.run()
 		Eventually(b.ready, 3*time.Second).Should(BeTrue())
-		Expect(b.statusOfK1()).To(Equal(401))
+		Expect(b.statusForK1()).To(Equal(401))
 		Eventually(func() int { return a.status().Daemons }, 4*time.Second).Should(Equal(2))
 	})
 
@@ -562,7 +562,7 @@
 	})
 
 	It("logs a line for each request with its id, its replica and its outcome", func() {
-		s.replica("i1", fine)
+		s.replica("i1", respondOK)
 		n := s.start()
 		Eventually(n.ready, 3*time.Second).Should(BeTrue())
 		n.send("k1")
@@ -575,8 +575,8 @@
 	})
 
 	It("shows operators its members, its replicas and why one is ejected, and the timeline", func() {
-		server := s.replica("i1", fine)
-		s.replica("i2", fine)
+		server := s.replica("i1", respondOK)
+		s.replica("i2", respondOK)
 		a, b := s.start(), s.start(0)
 		Eventually(b.ready, 3*time.Second).Should(BeTrue())
 		Eventually(func() int { return b.status().Daemons }, 3*time.Second).Should(Equal(2))
--- a/daemon/routes/loans_test.go
+++ b/daemon/routes/loans_test.go
@@ -11,8 +11,8 @@
 	"hingewinch.org/hingewinch/protocol/gossip"
 )
 
-// lendingPair simulates two daemons of one failure domain that send each other datagrams.
-type lendingPair struct {
+// transferPair simulates two daemons of one failure domain that send each other datagrams.
+type transferPair struct {
 	controls map[membership.Address]*control
 	copies   int // number of times that each datagram is delivered
 	now      time.Time
@@ -20,14 +20,14 @@
 
 const borrower, lender membership.Address = "10.0.0.1:1", "10.0.0.2:1"
 
-// newLendingPair returns daemons whose shares of the retry budget are 0.7 retries each.
-func newLendingPair(t *testing.T) *lendingPair {
+// newTransferPair returns daemons whose shares of the retry budget are 0.7 retries each.
+func newTransferPair(t *testing.T) *transferPair {
 	var out bytes.Buffer
 	l := newLog(&out, "info", "d", newMetrics())
 	t.Cleanup(l.Close)
-	p := &lendingPair{controls: make(map[membership.Address]*control), copies: 1, now: time.Unix(1_000_000, 0)}
+	p := &transferPair{controls: make(map[membership.Address]*control), copies: 1, now: time.Unix(1_000_000, 0)}
 	for _, a := range []membership.Address{borrower, lender} {
-		c := newTestControl(l, fewDocuments{})
+		c := newTestControl(l, fakeDocuments{})
 		c.domain = "a"
 		c.roster = membership.NewRoster(membership.Member{Address: a, Domain: "a"}, nil)
 		c.budgets = routing.NewRetryBudgets(routing.RetryRule{Extra: 2, Window: 10 * time.Second}, 2)
@@ -44,7 +44,7 @@
 	return p
 }
 
-func (p *lendingPair) deliver(to membership.Address, payload []byte) {
+func (p *transferPair) deliver(to membership.Address, payload []byte) {
 	for range p.copies {
 		if e, err := decodeDatagram(payload); err == nil {
 			p.controls[to].handle(context.Background(), e, p.now)
@@ -52,8 +52,8 @@
 	}
 }
 
-// want has the borrower request a transfer, and returns the amount received, or 0 if there was no response.
-func (p *lendingPair) want(missing routing.Retries) routing.Retries {
+// request has the borrower request a transfer, and returns the amount received, or 0 if there was no response.
+func (p *transferPair) request(missing routing.Retries) routing.Retries {
 	reply := make(chan routing.Retries, 1)
 	p.controls[borrower].handle(context.Background(), transferNeeded{service: "s", missing: missing, reply: reply}, p.now)
 	select {
@@ -65,14 +65,14 @@
 }
 
 func TestDaemonsLendWhatTheyHaveLeft(t *testing.T) {
-	p := newLendingPair(t)
-	if lent := p.want(0.3); lent < 0.3 {
+	p := newTransferPair(t)
+	if lent := p.request(0.3); lent < 0.3 {
 		t.Fatalf("lent %v, want 0.3", lent)
 	}
-	if lent := p.want(1); lent > 0.4 || lent < 0.39 {
+	if lent := p.request(1); lent > 0.4 || lent < 0.39 {
 		t.Fatalf("lent %v, want what is left of 0.7", lent)
 	}
-	if lent := p.want(1); lent != 0 {
+	if lent := p.request(1); lent != 0 {
 		t.Fatalf("lent %v from a spent budget", lent)
 	}
 	if asked, given := p.controls[borrower].log.metrics.TransfersRequested.Count(), p.controls[lender].log.metrics.TransfersGranted.Count(); asked != 3 || given != 2 {
@@ -80,7 +80,7 @@
 	}
 	p.now = p.now.Add(11 * time.Second)
 	p.controls[borrower].roster.Observe([]membership.Member{{Address: lender, Domain: "a", Incarnation: 1, Heartbeats: 2}}, p.now)
-	if lent := p.want(0.3); lent < 0.3 {
+	if lent := p.request(0.3); lent < 0.3 {
 		t.Fatalf("lent %v after a window, want 0.3", lent)
 	}
 }
@@ -88,9 +88,9 @@
 // TestALoanThatComesTwiceCountsOnce delivers each datagram twice. The lender then grants the transfer
 // twice, but the borrower must use only one of the two.
 func TestALoanThatComesTwiceCountsOnce(t *testing.T) {
-	p := newLendingPair(t)
+	p := newTransferPair(t)
 	p.copies = 2
-	if lent := p.want(0.3); lent < 0.3 || lent > 0.302 {
+	if lent := p.request(0.3); lent < 0.3 || lent > 0.302 {
 		t.Fatalf("lent %v, want 0.3 once", lent)
 	}
 }
@@ -98,7 +98,7 @@
 // TestALoanThatIsNotAnsweredIsGivenUp simulates a lender of an earlier build, which ignores requests
 // for transfers. The borrower must give up after LoanTimeout and drop the transfer.
 func TestALoanThatIsNotAnsweredIsGivenUp(t *testing.T) {
-	p := newLendingPair(t)
+	p := newTransferPair(t)
 	c := p.controls[borrower]
 	c.events = make(chan event, eventQueue)
 	var asked int
@@ -122,9 +122,9 @@
 // TestADaemonAloneBorrowsNothing checks that a daemon which knows no other daemon in its failure domain
 // gets an immediate response of 0.
 func TestADaemonAloneBorrowsNothing(t *testing.T) {
-	p := newLendingPair(t)
+	p := newTransferPair(t)
 	p.controls[borrower].roster = membership.NewRoster(membership.Member{Address: borrower, Domain: "a"}, nil)
-	if lent := p.want(0.3); lent != 0 {
+	if lent := p.request(0.3); lent != 0 {
 		t.Fatalf("lent %v without a lender", lent)
 	}
 }
--- a/daemon/routes/replicas_test.go
+++ b/daemon/routes/replicas_test.go
@@ -19,11 +19,11 @@
 // These tests cover how the control loop handles crashes of replicas, replicas that restart with
 // the same id, and unusable entries.
 
-// quietControl returns a control loop whose datagrams and log are discarded.
-func quietControl(t *testing.T) *control {
+// newQuietControl returns a control loop whose datagrams and log are discarded.
+func newQuietControl(t *testing.T) *control {
 	l := newLog(io.Discard, "info", "d", newMetrics())
 	t.Cleanup(l.Close)
-	c := newTestControl(l, fewDocuments{})
+	c := newTestControl(l, fakeDocuments{})
 	c.heartbeats.send = func(membership.Address, []byte) {}
 	return c
 }
@@ -32,7 +32,7 @@
 // restarts while it is still considered live. It must be sent the known crashes when it is found and
 // after its restart.
 func TestDaemonThatStartsIsSentWhatIsHeldBack(t *testing.T) {
-	c := quietControl(t)
+	c := newQuietControl(t)
 	now := time.Unix(1_000_000, 0)
 	c.planReads(now)
 	var kinds []bool // for each datagram to the peer, whether it contains crash reports
@@ -84,7 +84,7 @@
 // TestReplicasThatOthersSawEndGetNothing checks that a replica gets no requests after a peer reported
 // its crash.
 func TestReplicasThatOthersSawEndGetNothing(t *testing.T) {
-	c := quietControl(t)
+	c := newQuietControl(t)
 	r := routing.NewReplica(routing.Replica{ID: "replica-1", Service: "s"})
 	now := time.Unix(1_000_000, 0)
 	c.handle(context.Background(), crashesReceived{reports: []routing.CrashReport{{Content: 5, Replica: r.LoadKey()}}}, now)
@@ -98,7 +98,7 @@
 // peer's outdated report arrives later. Reports of daemons that do not distinguish incarnations
 // must still be understood.
 func TestReplicaThatStartsAgainUnderItsIdIsKnownForNothing(t *testing.T) {
-	c := quietControl(t)
+	c := newQuietControl(t)
 	now := time.Unix(1_000_000, 0)
 	c.planReads(now)
 	c.heartbeats.send = func(membership.Address, []byte) {}
@@ -165,7 +165,7 @@
 	var out bytes.Buffer
 	m := newMetrics()
 	l := newLog(&out, "info", "d", m)
-	c := newTestControl(l, fewDocuments{})
+	c := newTestControl(l, fakeDocuments{})
 	now := time.Unix(1_000_000, 0)
 	c.heartbeats.send = func(membership.Address, []byte) {}
 	items := []feed.Item{{Key: "config", Revision: 1}}
--- a/daemon/routes/restored_test.go
+++ b/daemon/routes/restored_test.go
@@ -16,11 +16,11 @@
 	"hingewinch.org/hingewinch/transport"
 )
 
-// writtenDocuments parses configurations whose version is their text, and replicas whose text begins
+// textDocuments parses configurations whose version is their text, and replicas whose text begins
 // with "draining" or "ready".
-type writtenDocuments struct{ fewDocuments }
+type textDocuments struct{ fakeDocuments }
 
-func (writtenDocuments) ParseConfig(it feed.Item) (*routing.Table, error) {
+func (textDocuments) ParseConfig(it feed.Item) (*routing.Table, error) {
 	v, err := strconv.Atoi(string(it.Value))
 	if err != nil {
 		return nil, err
@@ -28,13 +28,13 @@
 	return routing.NewTable(&routing.Config{Version: routing.ConfigVersion(v), Services: []routing.Service{{Name: "s"}}})
 }
 
-func (writtenDocuments) ParseReplica(it feed.Item) (routing.Replica, error) {
+func (textDocuments) ParseReplica(it feed.Item) (routing.Replica, error) {
 	return routing.NewReplica(routing.Replica{
 		ID: routing.ReplicaID(it.Key), Service: "s", Draining: strings.HasPrefix(string(it.Value), "draining"),
 	}), nil
 }
 
-func (writtenDocuments) Age(it feed.Item) feed.Age {
+func (textDocuments) Age(it feed.Item) feed.Age {
 	if it.Key != "config" {
 		return feed.Age{Known: true, Final: strings.HasPrefix(string(it.Value), "draining")}
 	}
@@ -56,7 +56,7 @@
 func newRestoredPair(t *testing.T) *syncedPair {
 	p := newSyncedPair(t)
 	for _, c := range []*control{p.daemon, p.peer} {
-		c.catalog = newCatalog(writtenDocuments{}, c.log)
+		c.catalog = newCatalog(textDocuments{}, c.log)
 	}
 	for _, c := range []*control{p.daemon, p.peer} {
 		c.handle(context.Background(), storeListed{
@@ -84,7 +84,7 @@
 	p.list(2, 26, config(20, 25), replica(1, "ready", 3), replica(2, "ready", 4))
 	p.watch(2, replica(2, "draining", 27))
 	p.watch(2, config(25, 28))
-	p.hear()
+	p.exchangeHeartbeat()
 	for name, c := range map[string]*control{"the reader": p.peer, "its peer": p.daemon} {
 		v := c.view.Load()
 		if got := v.Table.Version; got != 25 {
@@ -110,12 +110,12 @@
 	if got := p.daemon.version(); got != 20 {
 		t.Fatalf("a daemon that knows only the backup uses configuration %d, want 20", got)
 	}
-	p.hear()
+	p.exchangeHeartbeat()
 	if got := p.daemon.version(); got != 23 {
 		t.Errorf("after a peer's heartbeat it uses configuration %d, want 23", got)
 	}
 	p.peer.handle(context.Background(), storeChanged{feed.Changes{Items: []feed.Item{config(25, 27)}, At: feed.Position{Era: 2, Revision: 27}}}, p.now)
-	p.hear()
+	p.exchangeHeartbeat()
 	if got := p.daemon.version(); got != 25 {
 		t.Errorf("after a new configuration it uses %d, want 25", got)
 	}
@@ -124,7 +124,7 @@
 // start replaces the daemon by one that has just started and has no documents.
 func (p *syncedPair) start(t *testing.T) {
 	started := newSyncedPair(t)
-	started.daemon.catalog = newCatalog(writtenDocuments{}, started.daemon.log)
+	started.daemon.catalog = newCatalog(textDocuments{}, started.daemon.log)
 	started.daemon.syncs.fetch = p.daemon.syncs.fetch
 	p.daemon = started.daemon
 }
@@ -138,12 +138,12 @@
 	p.list(2, 26, copied...)
 	p.start(t)
 	p.daemon.handle(context.Background(), storeListed{items: copied, at: feed.Position{Era: 2, Revision: 26}}, p.now)
-	p.hear()
+	p.exchangeHeartbeat()
 	if got := len(p.daemon.view.Load().Pool("s").Ready); got != 1 {
 		t.Errorf("%d ready replicas, want 1: the other one is draining", got)
 	}
 	asked := p.asked
-	p.hear()
+	p.exchangeHeartbeat()
 	if p.asked != asked {
 		t.Error("it sends another request although nothing has changed")
 	}
@@ -160,7 +160,7 @@
 	if sent == 0 {
 		t.Error("the era is not sent to peers")
 	}
-	p.hear()
+	p.exchangeHeartbeat()
 	if got := p.daemon.catalog.feed.Position(); got != (feed.Position{Era: 2, Revision: 29}) {
 		t.Errorf("the peer is at %v", got)
 	}
@@ -271,7 +271,7 @@
 		items[7] = replica(6, "draining", at-1)
 		p.asked, p.sent, p.items = 0, 0, 0
 		p.list(2, at, items...)
-		p.hear()
+		p.exchangeHeartbeat()
 		if got, want := p.daemon.catalog.feed.Position(), (feed.Position{Era: 2, Revision: at}); got != want {
 			t.Errorf("%d entries: at position %v, want %v", replicas, got, want)
 		}
--- a/daemon/routes/statements_test.go
+++ b/daemon/routes/statements_test.go
@@ -15,8 +15,8 @@
 
 // These tests cover how the control loop handles what replicas report about themselves in responses.
 
-// entries applies replica entries, given as values by key, to a control loop.
-func entries(c *control, at feed.Revision, now time.Time, values map[string]string) {
+// applyEntries applies replica applyEntries, given as values by key, to a control loop.
+func applyEntries(c *control, at feed.Revision, now time.Time, values map[string]string) {
 	items := []feed.Item{{Key: "config", Revision: 1}}
 	for key, value := range values {
 		items = append(items, feed.Item{Key: key, Value: []byte(value), Revision: at})
@@ -27,9 +27,9 @@
 // TestLeavingByItsOwnWordIsFinal checks that a replica that announced its departure gets no requests until
 // it restarts, even if its entry says ready, disappears and reappears, or is part of a new list.
 func TestLeavingByItsOwnWordIsFinal(t *testing.T) {
-	c := quietControl(t)
+	c := newQuietControl(t)
 	now := time.Unix(1_000_000, 0)
-	entries(c, 2, now, map[string]string{"replica-1": "born=1", "replica-2": "born=1"})
+	applyEntries(c, 2, now, map[string]string{"replica-1": "born=1", "replica-2": "born=1"})
 	r := c.view.Load().Pool("s").Ready[0]
 	c.departures.Say(&r, now)
 	<-c.departures.Waiting()
@@ -41,7 +41,7 @@
 		}
 	}
 	check("after its announcement", 1)
-	entries(c, 3, now, map[string]string{"replica-1": "born=1"})
+	applyEntries(c, 3, now, map[string]string{"replica-1": "born=1"})
 	check("after its entry was written again", 1)
 	c.apply(c.catalog.feed.Apply([]feed.Item{{Key: "replica-1", Revision: 4, Gone: true}}), "store", now)
 	check("without its entry", 1)
@@ -49,14 +49,14 @@
 		now = now.Add(heartbeatInterval)
 		c.tick(context.Background(), now)
 	}
-	entries(c, 5, now, map[string]string{"replica-1": "born=1"})
+	applyEntries(c, 5, now, map[string]string{"replica-1": "born=1"})
 	check("after its entry reappeared", 1)
 	c.apply(c.catalog.feed.ApplyList([]feed.Item{{Key: "config", Revision: 1}, {Key: "replica-1", Value: []byte("born=1"), Revision: 6}, {Key: "replica-2", Value: []byte("born=1"), Revision: 6}}, 6), "store", now)
 	check("after a list", 1)
 	if len(c.view.Load().Pool("s").Draining) != 1 {
 		t.Error("it is not among the draining replicas, from which prompts are copied")
 	}
-	entries(c, 7, now, map[string]string{"replica-1": "born=2"})
+	applyEntries(c, 7, now, map[string]string{"replica-1": "born=2"})
 	check("after it restarted", 2)
 }
 
@@ -64,7 +64,7 @@
 // other daemon immediately and when that daemon restarts, and takes effect there.
 func TestLeavingIsToldToOtherDaemons(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	here, there := quietControl(t), quietControl(t)
+	here, there := newQuietControl(t), newQuietControl(t)
 	var sent [][]byte
 	here.heartbeats.send = func(_ membership.Address, payload []byte) {
 		if gossip.IsLeavings(payload) {
@@ -73,7 +73,7 @@
 	}
 	here.planReads(now)
 	for _, c := range []*control{here, there} {
-		entries(c, 2, now, map[string]string{"replica-1": "born=1", "replica-2": "born=1"})
+		applyEntries(c, 2, now, map[string]string{"replica-1": "born=1", "replica-2": "born=1"})
 	}
 	peer := testMember(1)
 	here.receiveHeartbeat(context.Background(), &gossip.Heartbeat{Sender: peer, Partial: true}, now)
@@ -112,9 +112,9 @@
 // TestOperatorsSeeAndLiftRests checks that operators see the backoffs that replicas requested and can end
 // them.
 func TestOperatorsSeeAndLiftRests(t *testing.T) {
-	c := quietControl(t)
+	c := newQuietControl(t)
 	now := time.Unix(1_000_000, 0)
-	entries(c, 2, now, map[string]string{"replica-1": "born=1", "replica-2": "born=1"})
+	applyEntries(c, 2, now, map[string]string{"replica-1": "born=1", "replica-2": "born=1"})
 	r := c.view.Load().Pool("s").Ready[0]
 	c.rests.Ask(&r, 90*time.Second, "q", now)
 	resting := func() (out []ReplicaAnswer) {
--- a/daemon/routes/store_test.go
+++ b/daemon/routes/store_test.go
@@ -12,18 +12,18 @@
 	"hingewinch.org/hingewinch/transport"
 )
 
-// crowdedStore rejects every third call, like a store that a whole fleet calls at the
+// rejectingStore rejects every third call, like a store that a whole fleet calls at the
 // same time.
-type crowdedStore struct {
+type rejectingStore struct {
 	pages, calls int
 	watched      chan feed.Revision
 }
 
-var errCrowded = errors.New("too many calls")
+var errRejected = errors.New("too many calls")
 
-func (s *crowdedStore) List(_ context.Context, after string, _ transport.Timeouts) (feed.Page, error) {
+func (s *rejectingStore) List(_ context.Context, after string, _ transport.Timeouts) (feed.Page, error) {
 	if s.calls++; s.calls%3 == 0 {
-		return feed.Page{}, errCrowded
+		return feed.Page{}, errRejected
 	}
 	n := 0
 	if after != "" {
@@ -39,7 +39,7 @@
 	return p, nil
 }
 
-func (s *crowdedStore) Watch(ctx context.Context, after feed.Revision, _ time.Duration, _ transport.Timeouts) (feed.Changes, error) {
+func (s *rejectingStore) Watch(ctx context.Context, after feed.Revision, _ time.Duration, _ transport.Timeouts) (feed.Changes, error) {
 	select {
 	case s.watched <- after:
 	default:
@@ -48,12 +48,12 @@
 	return feed.Changes{}, ctx.Err()
 }
 
-func (s *crowdedStore) Forget() {}
+func (s *rejectingStore) Forget() {}
 
 // TestListGoesOnWhereItWasTurnedAway lists 12 pages from a store that rejects calls. A
 // list that starts over after each rejection would never complete.
 func TestListGoesOnWhereItWasTurnedAway(t *testing.T) {
-	store := &crowdedStore{pages: 12, watched: make(chan feed.Revision, 1)}
+	store := &rejectingStore{pages: 12, watched: make(chan feed.Revision, 1)}
 	c := &control{events: make(chan event, eventQueue)}
 	c.readPlan.Store(&readPlan{ReadPlan: membership.ReadPlan{Reads: true, Wait: time.Second}, ended: make(chan struct{})})
 	r := &reader{store: store, control: c, historyGone: errors.New("gone"), countCall: func() {}}
--- a/daemon/routes/sync_test.go
+++ b/daemon/routes/sync_test.go
@@ -16,7 +16,7 @@
 )
 
 // versionedDocuments parses configurations whose version is the revision of their document.
-type versionedDocuments struct{ fewDocuments }
+type versionedDocuments struct{ fakeDocuments }
 
 func (versionedDocuments) ParseConfig(it feed.Item) (*routing.Table, error) {
 	return routing.NewTable(&routing.Config{Version: routing.ConfigVersion(it.Revision), Services: []routing.Service{{Name: "s"}}})
@@ -25,20 +25,20 @@
 // syncedPair is a daemon and a peer from which it fetches documents. There is no network between them,
 // but messages are encoded and decoded.
 type syncedPair struct {
-	daemon, peer *control
-	now          time.Time
-	asked        int // requests
-	failing      int // number of the next requests that fail
-	sent         int // bytes of the responses
-	items        int // documents in the responses
-	takesDigest  bool
+	daemon, peer  *control
+	now           time.Time
+	asked         int // requests
+	failNext      int // number of the next requests that fail
+	sent          int // bytes of the responses
+	items         int // documents in the responses
+	acceptsDigest bool
 }
 
 func newSyncedPair(t *testing.T) *syncedPair {
 	var out bytes.Buffer
 	l := newLog(&out, "info", "d", newMetrics())
 	t.Cleanup(l.Close)
-	p := &syncedPair{now: time.Unix(1_000_000, 0), takesDigest: true}
+	p := &syncedPair{now: time.Unix(1_000_000, 0), acceptsDigest: true}
 	for _, c := range []**control{&p.daemon, &p.peer} {
 		*c = newTestControl(l, versionedDocuments{})
 		(*c).events = make(chan event, eventQueue)
@@ -55,15 +55,15 @@
 
 func (p *syncedPair) answer(q documentsRequest) (documentsResponse, error) {
 	p.asked++
-	if p.failing > 0 {
-		p.failing--
+	if p.failNext > 0 {
+		p.failNext--
 		return documentsResponse{}, errors.New("no response")
 	}
 	query, err := url.ParseQuery(q.encode())
 	if err != nil {
 		return documentsResponse{}, err
 	}
-	if !p.takesDigest {
+	if !p.acceptsDigest {
 		query.Del(paramDigest) // as in requests of the previous build
 	}
 	asked, err := decodeRequest(query)
@@ -80,8 +80,8 @@
 	return got, err
 }
 
-// hear has the daemon process a heartbeat of the peer and the responses to all requests that follow from it.
-func (p *syncedPair) hear() {
+// exchangeHeartbeat has the daemon process a heartbeat of the peer and the responses to all requests that follow from it.
+func (p *syncedPair) exchangeHeartbeat() {
 	h := p.peer.newHeartbeat(p.now)
 	p.daemon.observePosition(context.Background(), &h, p.now)
 	for p.daemon.syncs.inFlight {
@@ -109,7 +109,7 @@
 		}
 		all[0].Revision = at + 1
 		p.peer.apply(p.peer.catalog.feed.ApplyList(append(all[:5:5], all[6:]...), at+3), sourceStore, p.now) // one entry is gone
-		p.hear()
+		p.exchangeHeartbeat()
 		if got := p.daemon.catalog.feed.Revision(); got != at+3 {
 			t.Fatalf("%d replicas: at revision %d, want %d", replicas, got, at+3)
 		}
@@ -129,10 +129,10 @@
 // digest, is up to date after one response.
 func TestADaemonOfTheBuildBeforeIsSentEverything(t *testing.T) {
 	p := newSyncedPair(t)
-	p.takesDigest = false
+	p.acceptsDigest = false
 	p.daemon.apply(p.daemon.catalog.feed.ApplyList(fleetEntries(20), 21), sourceStore, p.now)
 	p.peer.apply(p.peer.catalog.feed.ApplyList(fleetEntries(30), 40), sourceStore, p.now)
-	p.hear()
+	p.exchangeHeartbeat()
 	if got := p.daemon.catalog.feed.Revision(); got != 40 || p.asked != 1 {
 		t.Fatalf("at revision %d after %d responses", got, p.asked)
 	}
@@ -148,14 +148,14 @@
 	}
 	page := storePageRead{items: []feed.Item{{Key: "config", Revision: 300}}, upTo: "config", at: feed.Position{Revision: 310}}
 	p.peer.handle(context.Background(), page, p.now)
-	p.failing = 1
-	p.hear()
+	p.failNext = 1
+	p.exchangeHeartbeat()
 	p.asked = 0
-	p.hear()
+	p.exchangeHeartbeat()
 	if got := p.daemon.catalog.table.Version; got != 300 {
 		t.Fatalf("configuration %d is active, want 300", got)
 	}
-	p.hear()
+	p.exchangeHeartbeat()
 	if p.asked != 1 || p.items > 1 {
 		t.Errorf("%d requests and %d documents", p.asked, p.items)
 	}
@@ -256,11 +256,11 @@
 			l := newLog(&out, "info", "d", newMetrics())
 			defer l.Close()
 			for range b.N {
-				before := heldBytes()
+				before := heapBytes()
 				c := newCatalog(versionedDocuments{}, l)
 				c.apply(c.feed.ApplyList(fleetEntries(replicas), feed.Revision(replicas+1)), sourceStore, false, time.Unix(1, 0))
 				v := c.view(routing.NewLeavings(), time.Unix(1, 0))
-				b.ReportMetric(float64(heldBytes()-before)/float64(replicas), "B/replica")
+				b.ReportMetric(float64(heapBytes()-before)/float64(replicas), "B/replica")
 				runtime.KeepAlive(v)
 				runtime.KeepAlive(c)
 			}
@@ -268,8 +268,8 @@
 	}
 }
 
-// heldBytes returns the heap size after a garbage collection.
-func heldBytes() int64 {
+// heapBytes returns the heap size after a garbage collection.
+func heapBytes() int64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
