--- a/daemon/routes/catalog.go
+++ b/daemon/routes/catalog.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// apply updates the catalog from documents that changed in the feed. storeTrouble says
+// apply updates the catalog from documents that changed in the feed. storeOutage says
 // that the store was unreachable recently, so that entries of healthy replicas may have
 // expired. It returns the replicas that lost their prompt cache because they became cold
 // or restarted.
@@ -225,8 +225,8 @@
 }
 
 // pool returns the pool of a service: the replicas of the entries, adjusted for expired entries,
-// departures and evacuated failure domains. It returns entries itself if there is
-// nothing to adjust.
+// departures and evacuated failure domains. It returns entries itself if there is nothing to
+// adjust.
 func (c *catalog) pool(name routing.ServiceName, entries *routing.Pool, departures *routing.Leavings, now time.Time) *routing.Pool {
 	p := entries.Overlay()
 	if restored := c.expired.Restore(name, p, now); len(restored) > 0 {
--- a/daemon/routes/events.go
+++ b/daemon/routes/events.go
@@ -60,8 +60,8 @@
 	departuresReceived struct{ reports []routing.LeavingReport }
 	// departuresDue says that reports of departures are to be sent.
 	departuresDue struct{}
-	// transferNeeded requests a budget transfer, because the budget of a service lacks the missing amount for
-	// one retry. The reply channel has a buffer of one.
+	// transferNeeded requests a budget transfer, because the retry budget of a service lacks the
+	// missing amount for one retry. The reply channel has a buffer of one.
 	transferNeeded struct {
 		service routing.ServiceName
 		missing routing.Retries
@@ -89,19 +89,20 @@
 		request documentsRequest
 		reply   chan<- documentsResponse
 	}
-	// statusQuery, membersAsked, replicasAsked and heldAsked are queries of operators. Their
-	// reply channels have a buffer of one.
+	// statusQuery, membersQuery, replicasQuery and quarantineQuery are queries of operators.
+	// Their reply channels have a buffer of one.
 	statusQuery     struct{ reply chan<- StatusAnswer }
 	membersQuery    struct{ reply chan<- []MemberAnswer }
 	replicasQuery   struct{ reply chan<- []ReplicaAnswer }
 	quarantineQuery struct{ reply chan<- []HeldAnswer }
-	// releaseCommand is an operator's command to release a quarantined content. The reply says whether the content was known.
+	// releaseCommand is an operator's command to release a quarantined content. The reply says
+	// whether the content was known.
 	releaseCommand struct {
 		content routing.ContentKey
 		reply   chan<- bool
 	}
-	// liftBackoffCommand is an operator's command to end the backoff that a replica requested. The reply
-	// says whether there was one.
+	// liftBackoffCommand is an operator's command to end the backoff that a replica requested. The
+	// reply says whether there was one.
 	liftBackoffCommand struct {
 		replica routing.ReplicaID
 		reply   chan<- bool
--- a/daemon/routes/metrics.go
+++ b/daemon/routes/metrics.go
@@ -24,7 +24,7 @@
 	Denied     metrics.Counter
 	Retries    metrics.Counter
 	// TransfersRequested counts the transfers of retry budget that this daemon requested from others, and
-	// LoansGiven the transfers that it granted, in whole or in part.
+	// TransfersGranted the transfers that it granted, in whole or in part.
 	TransfersRequested metrics.Counter
 	TransfersGranted   metrics.Counter
 	Spilled            metrics.Counter
@@ -39,11 +39,11 @@
 	Crashed metrics.Counter
 	// ContentsQuarantined counts the contents that were quarantined because replicas crash while serving them.
 	ContentsQuarantined metrics.Counter
-	// BackoffsRequested counts the responses that requested a backoff, and LeavingSaid those that
-	// announced the departure of their replica.
+	// BackoffsRequested counts the responses that requested a backoff, and DeparturesAnnounced
+	// those that announced the departure of their replica.
 	BackoffsRequested metrics.Counter
-	// BackoffsBegun counts the backoffs that began, not counting extensions. AllResting counts the
-	// requests refused because every replica that could serve them had requested a backoff.
+	// BackoffsBegun counts the backoffs that began, not counting extensions. AllBackingOff counts
+	// the requests refused because every replica that could serve them was backing off.
 	BackoffsBegun       metrics.Counter
 	AllBackingOff       metrics.Counter
 	DeparturesAnnounced metrics.Counter
@@ -56,8 +56,8 @@
 	TurnedCold  metrics.Counter
 	Evacuations metrics.Counter
 	StoreCalls  metrics.Counter
-	// StoreEras counts the restores of the store from a backup. StoreOlder counts the store's
-	// responses that were rejected because they were older than the known documents.
+	// StoreEras counts the restores of the store from a backup. OlderStoreResponses counts the
+	// store's responses that were rejected because they were older than the known position.
 	StoreEras           metrics.Counter
 	OlderStoreResponses metrics.Counter
 	Syncs               metrics.Counter
--- a/daemon/routes/operator.go
+++ b/daemon/routes/operator.go
@@ -261,8 +261,8 @@
 		"no replica is known to have crashed while serving this content; GET "+PathHeld+" lists the quarantined contents")
 }
 
-// serveCommand has the control loop execute an operator's command. If there was nothing to do, it responds
-// with status 404 and the text in nothing.
+// serveCommand has the control loop execute an operator's command. If the control loop found nothing to
+// do, it responds with status 404 and the text in notFound.
 func serveCommand(c *control, w http.ResponseWriter, r *http.Request, newEvent func(reply chan bool) event, notFound string) {
 	done, ok := awaitReply(c, w, r, newEvent)
 	switch {
--- a/daemon/routes/reports.go
+++ b/daemon/routes/reports.go
@@ -71,8 +71,8 @@
 	sendReportsToTargets(c, c.health.TakeSilences(gossip.MaxSilences, now), gossip.EncodeSilences, now)
 }
 
-// scheduleReports posts the event due after reportsDelay, so that pending reports are sent together
-// with those that are added until then.
+// scheduleReports posts the event due after reportBatchDelay, so that pending reports are sent
+// together with those that are added until then.
 func (c *control) scheduleReports(ctx context.Context, due event) {
 	time.AfterFunc(reportBatchDelay, func() { c.post(ctx, due) })
 }
--- a/daemon/routes/store.go
+++ b/daemon/routes/store.go
@@ -46,7 +46,7 @@
 	maxListAge = 10 * time.Second
 )
 
-// OlderResponseError means that the store answered from an earlier era or revision than before. At is the
+// OlderResponseError means that the store responded from an earlier era or revision than before. At is the
 // position of the response, Known the position that the daemon had reached.
 type OlderResponseError struct{ At, Known feed.Position }
 
--- a/daemon/routes/sync.go
+++ b/daemon/routes/sync.go
@@ -48,7 +48,7 @@
 	newerSince     time.Time
 	inFlight       bool
 	needsPeerCheck bool // the first documents came from the store, and no peer has responded since
-	// respondedVersion is the highest configuration version that a peer was asked for and responded to.
+	// respondedVersion is the highest configuration version for which a peer answered a request.
 	respondedVersion routing.ConfigVersion
 }
 
@@ -82,9 +82,9 @@
 	version       routing.ConfigVersion // of the configuration that the peer is known to hold
 }
 
-// documentsResponse is the response to a documentsRequest: a digest, all documents (everything), or the
-// requested documents if both are nil. In a received response everything is always nil, and all
-// documents are in documents.
+// documentsResponse is the response to a documentsRequest: a digest, a snapshot of all documents, or
+// the requested documents if both are nil. In a received response snapshot is always nil, and a
+// snapshot's documents are in documents.
 type documentsResponse struct {
 	documents gossip.Documents
 	digest    *feed.Digest
