--- a/cmd/hingectl/held.go
+++ b/cmd/hingectl/held.go
@@ -28,7 +28,7 @@
 			return err
 		}
 		for _, h := range list {
-			ended := time.Duration(h.EndedMS) * time.Millisecond
+			ended := time.Duration(h.CrashedMS) * time.Millisecond
 			fmt.Fprintf(w, "%s\t%s\t%s ago\t%d\t%s\n", h.Content, h.Workspace, ended.Round(time.Second), h.Refused, strings.Join(h.Replicas, ","))
 		}
 		return nil
--- a/cmd/hingectl/router.go
+++ b/cmd/hingectl/router.go
@@ -113,7 +113,7 @@
 			if c.Ejected && !r.Ejected {
 				continue
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%.0f%%\t%dms\t%dms\t%s\t%s\n", r.Service, r.ID, r.Domain, r.Address, r.State, r.Load, 100*r.FailRate, r.ColdMS, r.RestMS, r.RestBy, r.Why)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%.0f%%\t%dms\t%dms\t%s\t%s\n", r.Service, r.ID, r.Domain, r.Address, r.State, r.Load, 100*r.FailRate, r.ColdMS, r.BackoffMS, r.BackoffBy, r.Why)
 		}
 		return nil
 	})
--- a/cmd/hingewinchd/routes.go
+++ b/cmd/hingewinchd/routes.go
@@ -24,7 +24,7 @@
 	if check {
 		return 0
 	}
-	d, err := routes.New(settings, outside(settings), os.Stdout)
+	d, err := routes.New(settings, usersPlatform(settings), os.Stdout)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitFailed
@@ -38,9 +38,9 @@
 	return 0
 }
 
-// outside is the users' platform.
-func outside(s *routes.Settings) routes.Outside {
-	return routes.Outside{
+// usersPlatform returns the implementation of the users' platform.
+func usersPlatform(s *routes.Settings) routes.Platform {
+	return routes.Platform{
 		Store: platform.NewStore(s.Store), HistoryGone: platform.ErrHistoryGone,
 		Documents: platform.Documents{}, Codec: platform.Codec{}, ReadyPath: platform.PathReady,
 		Front: func(d *routes.Daemon) http.Handler {
--- a/daemon/routes/control.go
+++ b/daemon/routes/control.go
@@ -49,7 +49,7 @@
 	crashes   *routing.Crashes
 	cold      *routing.ColdRates
 	budgets   *routing.RetryBudgets
-	rests     *routing.Rests
+	backoffs  *routing.Rests
 	// departures is applied to each view that is built.
 	departures *routing.Leavings
 }
@@ -60,7 +60,7 @@
 	return sharedTables{
 		loads: routing.NewLoads(), health: routing.NewHealth(), cache: routing.NewCacheTable(), overloads: routing.NewCrowds(),
 		crashes: routing.NewCrashes(), cold: routing.NewColdRates(daemon), budgets: routing.NewRetryBudgets(rule, daemons),
-		rests: routing.NewRests(), departures: routing.NewLeavings(),
+		backoffs: routing.NewRests(), departures: routing.NewLeavings(),
 	}
 }
 
@@ -178,9 +178,9 @@
 	case transferNeeded:
 		c.requestTransfer(&e, now)
 	case transferRequestsReceived:
-		c.grantTransfers(e.asks, now)
+		c.grantTransfers(e.requests, now)
 	case transfersReceived:
-		c.receiveTransfers(e.loans)
+		c.receiveTransfers(e.transfers)
 	case syncDue:
 		c.syncIfBehind(ctx, now)
 	case syncCompleted:
@@ -249,7 +249,7 @@
 	c.crashes.Disprove(c.health.Disproves)
 	c.health.Forget(c.domain, now)
 	c.crashes.Forget(now)
-	c.rests.Forget(now)
+	c.backoffs.Forget(now)
 	if now.Sub(c.statsLoggedAt) >= statsInterval {
 		c.statsLoggedAt = now
 		c.log.Statistics(c.daemons, c.catalog.feed.Revision())
--- a/daemon/routes/daemon.go
+++ b/daemon/routes/daemon.go
@@ -28,8 +28,8 @@
 	maxHeaderBytes    = 64 << 10
 )
 
-// Outside is the platform-specific part of a daemon.
-type Outside struct {
+// Platform is the platform-specific part of a daemon.
+type Platform struct {
 	Store Store
 	// HistoryGone is the error of a watch whose start revision the store no longer has; the
 	// store must be listed again.
@@ -49,7 +49,7 @@
 	Metrics *Metrics
 
 	settings *Settings
-	outside  Outside
+	platform Platform
 	control  *control
 	peers    *peers
 	pool     *relay.Pool
@@ -61,10 +61,10 @@
 }
 
 // New opens the listeners and assembles a daemon. Nothing is served before Run.
-func New(s *Settings, o Outside, logTo io.Writer) (*Daemon, error) {
-	d := &Daemon{settings: s, outside: o, Metrics: newMetrics(), started: clock.Now(), pool: relay.NewPool()}
-	d.Log = newLog(logTo, s.Level, string(s.ID), d.Metrics)
-	limitMemory(s.Memory)
+func New(s *Settings, o Platform, logTo io.Writer) (*Daemon, error) {
+	d := &Daemon{settings: s, platform: o, Metrics: newMetrics(), started: clock.Now(), pool: relay.NewPool()}
+	d.Log = newLog(logTo, s.LogLevel, string(s.ID), d.Metrics)
+	limitMemory(s.MemoryMB)
 	if err := d.open(); err != nil {
 		d.close()
 		return nil, err
@@ -123,17 +123,17 @@
 	d.control = d.newControl(t)
 	d.control.publish(clock.Now())
 	d.reader = &reader{
-		store: d.outside.Store, control: d.control, historyGone: d.outside.HistoryGone,
+		store: d.platform.Store, control: d.control, historyGone: d.platform.HistoryGone,
 		countCall: func() { d.Metrics.StoreCalls.Inc(1) }, countOlder: func() { d.Metrics.OlderStoreResponses.Inc(1) },
 	}
 	d.Relay = relay.New(relay.Options{
 		View: d.View, Placer: &routing.Placer{
-			Loads: t.loads, Health: t.health, Cache: t.cache, Crowds: t.overloads, Cold: t.cold, Rests: t.rests, Leavings: t.departures,
+			Loads: t.loads, Health: t.health, Cache: t.cache, Crowds: t.overloads, Cold: t.cold, Rests: t.backoffs, Leavings: t.departures,
 		},
-		Budgets: t.budgets, Codec: d.outside.Codec, Observer: d.Log, Pool: d.pool, Crashes: t.crashes,
+		Budgets: t.budgets, Codec: d.platform.Codec, Observer: d.Log, Pool: d.pool, Crashes: t.crashes,
 		Borrow: d.control.borrow,
 	})
-	d.callers.Server.Handler = d.outside.Front(d)
+	d.callers.Server.Handler = d.platform.Front(d)
 	d.readiness.Server.Handler = d.readyHandler()
 	d.operators.Server.Handler = d.operatorHandler()
 	d.documents.Server.Handler = documentsHandler(d.control)
@@ -148,7 +148,7 @@
 	return &control{
 		sharedTables: t, domain: s.Domain, log: d.Log, daemons: 1,
 		roster:     membership.NewRoster(self, s.seedPeers()),
-		catalog:    newCatalog(d.outside.Documents, d.Log),
+		catalog:    newCatalog(d.platform.Documents, d.Log),
 		heartbeats: heartbeatState{send: d.peers.send, rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))},
 		syncs:      syncState{fetch: d.peers.fetch, newer: make(map[membership.Address]newerPeer)},
 		events:     make(chan event, eventQueue),
@@ -201,7 +201,7 @@
 
 func (d *Daemon) readyHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+d.outside.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc("GET "+d.platform.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !d.ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
--- a/daemon/routes/daemon_test.go
+++ b/daemon/routes/daemon_test.go
@@ -115,7 +115,7 @@
 	ip := fmt.Sprintf("%s.%d", s.network, 10+i)
 	settings := &routes.Settings{
 		ID: "d", Listen: routes.Listeners{Callers: ip + ":0", Readiness: ip + ":0", Operators: ip + ":0", Peers: fmt.Sprintf("%s:%d", ip, peersPort)},
-		Store: endpoint.Address(), Level: "info",
+		Store: endpoint.Address(), LogLevel: "info",
 	}
 	settings.Domain = "z0"
 	settings.Stop.Grace = 2 * time.Second
@@ -131,7 +131,7 @@
 }
 
 func (n *node) run() {
-	d, err := routes.New(n.settings, routes.Outside{
+	d, err := routes.New(n.settings, routes.Platform{
 		Store: platform.NewStore(n.endpoint.Address()), HistoryGone: platform.ErrHistoryGone, Documents: platform.Documents{},
 		Codec: platform.Codec{}, ReadyPath: platform.PathReady,
 		Front: func(d *routes.Daemon) http.Handler {
--- a/daemon/routes/doc.go
+++ b/daemon/routes/doc.go
@@ -10,11 +10,11 @@
 //
 // Decisions are made in coordination/routing and coordination/membership, requests are
 // forwarded by transport/relay, and everything specific to a platform is in an
-// [Outside].
+// [Platform].
 //
 // # Usage
 //
 //	settings, err := routes.LoadSettings(file)
-//	d, err := routes.New(settings, outside, os.Stdout)
+//	d, err := routes.New(settings, platform, os.Stdout)
 //	err = d.Run(ctx) // until ctx is canceled, then shuts down gracefully
 package routes
--- a/daemon/routes/events.go
+++ b/daemon/routes/events.go
@@ -68,17 +68,17 @@
 		reply   chan<- routing.Retries
 	}
 	// transferRequestsReceived carries a peer's requests for budget transfers.
-	transferRequestsReceived struct{ asks []gossip.LoanAsk }
+	transferRequestsReceived struct{ requests []gossip.LoanAsk }
 	// transfersReceived carries a peer's budget transfers.
-	transfersReceived struct{ loans []gossip.Loan }
+	transfersReceived struct{ transfers []gossip.Loan }
 	// syncDue says that the delay before fetching documents from a peer has passed.
 	syncDue struct{}
 	// syncCompleted carries a peer's response to a request for documents, or the error.
 	syncCompleted struct {
-		asked  documentsRequest
-		answer documentsResponse
-		from   membership.Address
-		err    error
+		request  documentsRequest
+		response documentsResponse
+		from     membership.Address
+		err      error
 	}
 	// callerWaiting says that a caller waits for the first configuration.
 	callerWaiting struct{}
--- a/daemon/routes/golden_test.go
+++ b/daemon/routes/golden_test.go
@@ -138,7 +138,7 @@
 		t.Fatal(err)
 	}
 	want := Settings{
-		ID: "d1", Domain: "z", Peer: "10.0.0.9:4", Store: "10.0.0.2:5", Seeds: []string{"10.0.0.3:3"}, Memory: 284, Level: "warn",
+		ID: "d1", Domain: "z", PeerAddress: "10.0.0.9:4", Store: "10.0.0.2:5", Seeds: []string{"10.0.0.3:3"}, MemoryMB: 284, LogLevel: "warn",
 		Listen: Listeners{Callers: "10.0.0.1:1", Readiness: "10.0.0.1:2", Operators: "10.0.0.1:3", Peers: "10.0.0.1:4", Metrics: "10.0.0.1:5"},
 		Stop:   StopSettings{Grace: 8 * time.Second}, Retry: RetrySettings{Ratio: 0.3, Extra: 56, Window: 11 * time.Second},
 	}
--- a/daemon/routes/loans.go
+++ b/daemon/routes/loans.go
@@ -43,8 +43,8 @@
 }
 
 // grantTransfers responds to a peer's requests for budget transfers.
-func (c *control) grantTransfers(asks []gossip.LoanAsk, now time.Time) {
-	for _, a := range asks {
+func (c *control) grantTransfers(requests []gossip.LoanAsk, now time.Time) {
+	for _, a := range requests {
 		loan := gossip.Loan{ID: a.ID, Lent: c.budgets.Lend(a.Service, a.Missing, now)}
 		if loan.Lent > 0 {
 			c.log.metrics.TransfersGranted.Inc(1)
@@ -54,11 +54,11 @@
 }
 
 // receiveTransfers delivers transfers to their requesters. Duplicates are ignored.
-func (c *control) receiveTransfers(loans []gossip.Loan) {
-	for _, l := range loans {
-		if o, ok := c.transfers.pending[l.ID]; ok {
-			delete(c.transfers.pending, l.ID)
-			o.reply <- l.Lent
+func (c *control) receiveTransfers(received []gossip.Loan) {
+	for _, t := range received {
+		if o, ok := c.transfers.pending[t.ID]; ok {
+			delete(c.transfers.pending, t.ID)
+			o.reply <- t.Lent
 		}
 	}
 }
--- a/daemon/routes/operator.go
+++ b/daemon/routes/operator.go
@@ -37,22 +37,22 @@
 
 // StatusAnswer is the response to GET /status.
 type StatusAnswer struct {
-	Daemon      state.DaemonID        `json:"daemon"`
-	Domain      state.FailureDomain   `json:"domain"`
-	Ready       bool                  `json:"ready"`
-	Stopping    bool                  `json:"stopping"`
-	UptimeMS    int64                 `json:"uptime_ms"`
-	Version     routing.ConfigVersion `json:"config_version"`
-	Revision    feed.Revision         `json:"revision"`
-	Era         feed.Era              `json:"era"`            // of the revision: how often the store was restored from a backup
-	ChangedMS   int64                 `json:"changed_ms_ago"` // since the documents changed; -1: never
-	StoreLost   bool                  `json:"store_lost"`
-	ReadsStore  bool                  `json:"reads_store"`
-	Daemons     int                   `json:"daemons"`
-	Routes      int                   `json:"routes"`
-	Replicas    int                   `json:"replicas"`
-	LinesLost   int64                 `json:"log_lines_left_out"`
-	Connections int                   `json:"idle_connections"`
+	Daemon          state.DaemonID        `json:"daemon"`
+	Domain          state.FailureDomain   `json:"domain"`
+	Ready           bool                  `json:"ready"`
+	Stopping        bool                  `json:"stopping"`
+	UptimeMS        int64                 `json:"uptime_ms"`
+	Version         routing.ConfigVersion `json:"config_version"`
+	Revision        feed.Revision         `json:"revision"`
+	Era             feed.Era              `json:"era"`            // of the revision: how often the store was restored from a backup
+	ChangedMS       int64                 `json:"changed_ms_ago"` // since the documents changed; -1: never
+	StoreLost       bool                  `json:"store_lost"`
+	ReadsStore      bool                  `json:"reads_store"`
+	Daemons         int                   `json:"daemons"`
+	Routes          int                   `json:"routes"`
+	Replicas        int                   `json:"replicas"`
+	LogLinesDropped int64                 `json:"log_lines_left_out"`
+	Connections     int                   `json:"idle_connections"`
 	// Evacuated lists the evacuated failure domains.
 	Evacuated []state.FailureDomain `json:"evacuated_domains"`
 	Cold      int                   `json:"cold_replicas"`
@@ -76,7 +76,7 @@
 	// Workspace is empty if the active configuration no longer has the caller's workspace.
 	Workspace routing.WorkspaceName `json:"workspace"`
 	Replicas  []string              `json:"replicas"` // that crashed; a number for a replica that is no longer known
-	EndedMS   int64                 `json:"ended_ms"` // since the last of them crashed
+	CrashedMS int64                 `json:"ended_ms"` // since the last of them crashed
 	Refused   int                   `json:"refused"`  // requests that this daemon refused
 }
 
@@ -176,7 +176,7 @@
 	a.Daemon, a.Ready, a.Stopping = d.settings.ID, d.ready(), d.Stopping()
 	a.UptimeMS = clock.Since(d.started).Milliseconds()
 	a.Build, a.Reads = buildRevision(), gossip.Kinds()
-	a.LinesLost, a.Connections = d.Log.writer.droppedTotal(), d.pool.Idle()
+	a.LogLinesDropped, a.Connections = d.Log.writer.droppedTotal(), d.pool.Idle()
 }
 
 // buildRevisionLength is the number of characters shown of the build's revision.
@@ -213,7 +213,7 @@
 func (c *control) heldAnswers(now time.Time) []HeldAnswer {
 	out := []HeldAnswer{}
 	for _, h := range c.crashes.AllHeld(now) {
-		a := HeldAnswer{Content: h.Content.String(), Workspace: c.workspace(h.Caller), EndedMS: h.For.Milliseconds(), Refused: h.Refused}
+		a := HeldAnswer{Content: h.Content.String(), Workspace: c.workspace(h.Caller), CrashedMS: h.For.Milliseconds(), Refused: h.Refused}
 		for _, key := range h.Replicas {
 			a.Replicas = append(a.Replicas, c.replicaName(key))
 		}
--- a/daemon/routes/operator_replicas.go
+++ b/daemon/routes/operator_replicas.go
@@ -24,11 +24,11 @@
 	FailRate float64             `json:"fail_rate"`     // share of failed requests, as counted by this daemon
 	ColdMS   int64               `json:"cold_ms"`       // remaining time for which it is cold
 	Born     routing.Born        `json:"born"`          // when it started, in Unix milliseconds; 0 if its entry does not say
-	// RestMS is the remaining backoff that the replica requested of this daemon, and RestBy the
+	// BackoffMS is the remaining backoff that the replica requested of this daemon, and BackoffBy the
 	// request in whose response it did.
-	RestMS  int64             `json:"rest_ms"`
-	RestBy  routing.RequestID `json:"rest_by,omitempty"`
-	Leaving bool              `json:"leaving"` // it announced its departure in a response, whatever its entry says
+	BackoffMS int64             `json:"rest_ms"`
+	BackoffBy routing.RequestID `json:"rest_by,omitempty"`
+	Departing bool              `json:"leaving"` // it announced its departure in a response, whatever its entry says
 }
 
 // Reasons why a replica gets no or few requests, in addition to those of routing.Health.
@@ -64,12 +64,12 @@
 	a := ReplicaAnswer{
 		ID: r.ID, Service: r.Service, Domain: r.Domain, Address: r.Address, State: stateName(r),
 		Load: c.loads.Of(r.LoadKey(), now), FailRate: rate, ColdMS: max(0, r.ColdUntil.Sub(now)).Milliseconds(), Born: r.Born,
-		RestMS: c.rests.Left(r, now).Milliseconds(), RestBy: c.rests.AskedBy(r, now), Leaving: c.departures.Leaves(r),
+		BackoffMS: c.backoffs.Left(r, now).Milliseconds(), BackoffBy: c.backoffs.AskedBy(r, now), Departing: c.departures.Leaves(r),
 	}
 	switch {
-	case a.Leaving:
+	case a.Departing:
 		why = whyLeaving
-	case a.RestMS > 0:
+	case a.BackoffMS > 0:
 		why = whyBackingOff
 	case why == "" && a.ColdMS > 0:
 		why = whyCold
@@ -81,11 +81,11 @@
 // liftBackoff ends the backoff that a replica requested of this daemon. It returns false if there is
 // none.
 func (c *control) liftBackoff(id routing.ReplicaID, now time.Time) bool {
-	rested := c.rests.Lift(id, now)
-	if rested {
+	lifted := c.backoffs.Lift(id, now)
+	if lifted {
 		c.log.BackoffLifted(id)
 	}
-	return rested
+	return lifted
 }
 
 // liftBackoff handles an operator's command to end the backoff that a replica requested.
--- a/daemon/routes/peers.go
+++ b/daemon/routes/peers.go
@@ -115,10 +115,10 @@
 		return departuresReceived{reports: reports}, err
 	case gossip.IsLoanAsks(payload):
 		asks, err := gossip.DecodeLoanAsks(payload)
-		return transferRequestsReceived{asks: asks}, err
+		return transferRequestsReceived{requests: asks}, err
 	case gossip.IsLoans(payload):
 		loans, err := gossip.DecodeLoans(payload)
-		return transfersReceived{loans: loans}, err
+		return transfersReceived{transfers: loans}, err
 	}
 	h, err := gossip.DecodeHeartbeat(payload)
 	return heartbeatReceived{heartbeat: h}, err
--- a/daemon/routes/restored_test.go
+++ b/daemon/routes/restored_test.go
@@ -208,7 +208,7 @@
 		t.Fatal(err)
 	}
 	p.daemon.handle(context.Background(), storeListed{items: []feed.Item{config(23, 20), replica(1, "draining", 21)}, at: feed.Position{Era: 2, Revision: 22}}, p.now)
-	p.daemon.handle(context.Background(), syncCompleted{answer: late}, p.now)
+	p.daemon.handle(context.Background(), syncCompleted{response: late}, p.now)
 	if got := p.daemon.catalog.feed.Position(); got != (feed.Position{Era: 2, Revision: 22}) {
 		t.Errorf("at position %v", got)
 	}
--- a/daemon/routes/run.go
+++ b/daemon/routes/run.go
@@ -31,7 +31,7 @@
 	wg.Go(func() { d.control.run(work) })
 	wg.Go(func() { d.reader.run(work) })
 	wg.Go(func() { d.peers.receive(work, d.control) })
-	wg.Go(func() { d.sweep(work) })
+	wg.Go(func() { d.sweepConnections(work) })
 	failed := make(chan error, len(d.listeners()))
 	for _, l := range d.listeners() {
 		wg.Go(func() { l.Serve(failed) })
@@ -50,9 +50,9 @@
 	return err
 }
 
-// sweep periodically closes connections to replicas that were idle for too long, or whose
+// sweepConnections periodically closes connections to replicas that were idle for too long, or whose
 // replica is gone or shutting down.
-func (d *Daemon) sweep(ctx context.Context) {
+func (d *Daemon) sweepConnections(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause(ctx, sweepInterval)
 		d.pool.Sweep(d.View().KeepsConnections, clock.Now())
--- a/daemon/routes/settings.go
+++ b/daemon/routes/settings.go
@@ -17,15 +17,15 @@
 	ID     state.DaemonID      `yaml:"id"`
 	Domain state.FailureDomain `yaml:"domain"`
 	Listen Listeners           `yaml:"listen"`
-	// Peer is the address at which peers reach listen.peers, if it is another one, as
+	// PeerAddress is the address at which peers reach listen.peers, if it is another one, as
 	// behind NAT. If empty, it is listen.peers itself.
-	Peer   string        `yaml:"peer_address"`
-	Store  string        `yaml:"store"` // IP:PORT of the operators' store
-	Seeds  []string      `yaml:"seeds"` // IP:PORT of other daemons; the port is ignored
-	Stop   StopSettings  `yaml:"stop"`
-	Retry  RetrySettings `yaml:"repeat"`
-	Memory int           `yaml:"memory_mb"` // memory of the process; 0 if no limit is known
-	Level  string        `yaml:"log_level"`
+	PeerAddress string        `yaml:"peer_address"`
+	Store       string        `yaml:"store"` // IP:PORT of the operators' store
+	Seeds       []string      `yaml:"seeds"` // IP:PORT of other daemons; the port is ignored
+	Stop        StopSettings  `yaml:"stop"`
+	Retry       RetrySettings `yaml:"repeat"`
+	MemoryMB    int           `yaml:"memory_mb"` // memory of the process; 0 if no limit is known
+	LogLevel    string        `yaml:"log_level"`
 }
 
 // Listeners are the addresses that a daemon listens on, each IP:PORT.
@@ -63,9 +63,9 @@
 
 func defaultSettings() Settings {
 	return Settings{
-		Stop:  StopSettings{Grace: defaultGrace},
-		Retry: RetrySettings{Ratio: defaultRetryRatio, Extra: defaultRetryExtra, Window: defaultRetryWindow},
-		Level: defaultLevel,
+		Stop:     StopSettings{Grace: defaultGrace},
+		Retry:    RetrySettings{Ratio: defaultRetryRatio, Extra: defaultRetryExtra, Window: defaultRetryWindow},
+		LogLevel: defaultLevel,
 	}
 }
 
@@ -89,8 +89,8 @@
 	if s.Listen.Metrics != "" {
 		c.Address(s.Listen.Metrics, "listen", "metrics")
 	}
-	if s.Peer != "" {
-		c.Address(s.Peer, "peer_address")
+	if s.PeerAddress != "" {
+		c.Address(s.PeerAddress, "peer_address")
 	}
 	c.Address(s.Store, "store")
 	for i, seed := range s.Seeds {
@@ -102,10 +102,10 @@
 	if s.Retry.Ratio < 0 || s.Retry.Extra < 0 || s.Retry.Window <= 0 {
 		c.Add("repeat has a negative value or no window", "write ratio and extra of 0 or more and a window such as 10s", "repeat")
 	}
-	if s.Memory < 0 {
+	if s.MemoryMB < 0 {
 		c.Add("memory_mb is negative", "write the memory of the process, or leave it out", "memory_mb")
 	}
-	c.LogLevel(s.Level, "log_level")
+	c.LogLevel(s.LogLevel, "log_level")
 }
 
 // seedPeers returns the addresses at which the seeds receive heartbeats. The port is that of
@@ -122,8 +122,8 @@
 
 // advertised returns the address at which peers reach this daemon.
 func (s *Settings) advertised() membership.Address {
-	if s.Peer != "" {
-		return membership.Address(s.Peer)
+	if s.PeerAddress != "" {
+		return membership.Address(s.PeerAddress)
 	}
 	return membership.Address(s.Listen.Peers)
 }
--- a/daemon/routes/settings_test.go
+++ b/daemon/routes/settings_test.go
@@ -28,7 +28,7 @@
 		s, err := routes.ParseSettings("f", []byte(goodSettings))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Retry.Ratio).To(Equal(0.2))
-		Expect(s.Level).To(Equal("info"))
+		Expect(s.LogLevel).To(Equal("info"))
 	})
 
 	DescribeTable("reports file, line and remedy of a problem", func(from, to, want string) {
--- a/daemon/routes/statements_test.go
+++ b/daemon/routes/statements_test.go
@@ -116,16 +116,16 @@
 	now := time.Unix(1_000_000, 0)
 	applyEntries(c, 2, now, map[string]string{"replica-1": "born=1", "replica-2": "born=1"})
 	r := c.view.Load().Pool("s").Ready[0]
-	c.rests.Ask(&r, 90*time.Second, "q", now)
+	c.backoffs.Ask(&r, 90*time.Second, "q", now)
 	resting := func() (out []ReplicaAnswer) {
 		for _, a := range c.replicaAnswers(now) {
-			if a.RestMS > 0 {
+			if a.BackoffMS > 0 {
 				out = append(out, a)
 			}
 		}
 		return out
 	}
-	if got := resting(); len(got) != 1 || got[0].RestMS != 90_000 || got[0].RestBy != "q" || !got[0].Ejected || got[0].Why != whyBackingOff {
+	if got := resting(); len(got) != 1 || got[0].BackoffMS != 90_000 || got[0].BackoffBy != "q" || !got[0].Ejected || got[0].Why != whyBackingOff {
 		t.Errorf("operators see %+v", got)
 	}
 	lift := func(id string) int {
--- a/daemon/routes/sync.go
+++ b/daemon/routes/sync.go
@@ -203,7 +203,7 @@
 	q.knowsEras = true
 	go func() {
 		answer, err := c.syncs.fetch(ctx, from, q)
-		c.post(ctx, syncCompleted{asked: q, answer: answer, from: from, err: err})
+		c.post(ctx, syncCompleted{request: q, response: answer, from: from, err: err})
 	}()
 }
 
@@ -226,11 +226,11 @@
 		c.log.SyncFailed(s.from, s.err)
 		return
 	}
-	c.syncs.respondedVersion = max(c.syncs.respondedVersion, s.asked.version)
+	c.syncs.respondedVersion = max(c.syncs.respondedVersion, s.request.version)
 	c.syncs.needsPeerCheck = false
-	f, d, source := c.catalog.feed, &s.answer.documents, string(s.from)
-	if s.answer.digest != nil {
-		c.requestParts(ctx, s.from, *s.answer.digest, now)
+	f, d, source := c.catalog.feed, &s.response.documents, string(s.from)
+	if s.response.digest != nil {
+		c.requestParts(ctx, s.from, *s.response.digest, now)
 		return
 	}
 	at := feed.Position{Era: c.resolveEra(d.Era, now), Revision: d.Revision}
@@ -240,11 +240,11 @@
 		c.apply(f.ApplyFormer(d.Items), source, now)
 	case d.Whole:
 		c.applyList(d.Items, at, source, now)
-	case s.asked.parts != nil && s.asked.digest.Era == at.Era:
-		changed := f.ApplyParts(d.Items, d.Revision, s.asked.digest, s.asked.parts)
+	case s.request.parts != nil && s.request.digest.Era == at.Era:
+		changed := f.ApplyParts(d.Items, d.Revision, s.request.digest, s.request.parts)
 		c.apply(changed, source, now)
 		c.recordEraChange(own, source, len(changed), now)
-	case s.asked.parts == nil && own.Era == at.Era && s.asked.after.Era == at.Era:
+	case s.request.parts == nil && own.Era == at.Era && s.request.after.Era == at.Era:
 		c.apply(f.ApplyChanges(d.Items, d.Revision), source, now)
 	}
 }
--- a/internal/soak/plants_test.go
+++ b/internal/soak/plants_test.go
@@ -72,7 +72,7 @@
 	{name: "does not read for how long a replica asks for rest", promise: "BUDGET", subject: restSubject, file: "platform/statement.go",
 		text: "s.Rest = max(s.Rest, rest)", instead: "s.Rest = max(s.Rest, 0*rest)"},
 	{name: "forgets a rest when the entry goes", promise: "BUDGET", subject: restSubject, file: "daemon/routes/control.go",
-		text: "\tc.cache.Forget(", instead: "\tfor _, it := range changed {\n\t\tif id, ok := c.catalog.documents.ReplicaID(it.Key); ok && it.Gone {\n\t\t\tc.rests.Lift(id, now)\n\t\t}\n\t}\n\tc.cache.Forget("},
+		text: "\tc.cache.Forget(", instead: "\tfor _, it := range changed {\n\t\tif id, ok := c.catalog.documents.ReplicaID(it.Key); ok && it.Gone {\n\t\t\tc.backoffs.Lift(id, now)\n\t\t}\n\t}\n\tc.cache.Forget("},
 	{name: "sends to replicas at rest where nothing else is left", promise: "BUDGET", subject: restSubject, file: "coordination/routing/usable.go",
 		text: "markDespiteEjections(c.usable, c.leftOut, pool, now)", instead: "markDespiteEjections(c.usable, nil, pool, now)",
 		also: []edit{{"transport/relay/relay.go", "s.Placer.Bars(&t.Replica, now)", "s.Placer.Leavings.Leaves(&t.Replica)"}}},
