--- a/daemon/routes/catalog.go
+++ b/daemon/routes/catalog.go
@@ -37,10 +37,10 @@
 // peers are logged with the peer's address.
 const sourceStore = "store"
 
-// maxReplicaLines is the largest number of simultaneous document changes for which the
+// maxReplicaLogLines is the largest number of simultaneous document changes for which the
 // log has a line for each replica. A start in a large fleet changes thousands; the
 // summary line about the documents gives their number.
-const maxReplicaLines = 100
+const maxReplicaLogLines = 100
 
 // catalog holds the documents and the state parsed from them. It is owned by the
 // control loop.
@@ -56,7 +56,7 @@
 	unusable    map[string]unusableEntry // by document key
 	expired     *routing.ExpiredEntries
 	evacuations *routing.Evacuations
-	everything  *packing // nil if no peer has requested all documents since the last change
+	snapshot    *encodedSnapshot // nil if no peer has requested all documents since the last change
 	changedAt   time.Time
 }
 
@@ -73,23 +73,23 @@
 	}
 }
 
-// apply updates the catalog from documents that changed in the feed. storeTrouble says
+// apply updates the catalog from documents that changed in the feed. storeOutage says
 // that the store was unreachable recently, so that entries of healthy replicas may have
 // expired. It returns the replicas that lost their prompt cache because they became cold
 // or restarted.
-func (c *catalog) apply(changed []feed.Item, source string, storeTrouble bool, now time.Time) (emptied []routing.LoadKey) {
-	c.everything = nil
-	logEach := len(changed) <= maxReplicaLines
+func (c *catalog) apply(changed []feed.Item, source string, storeOutage bool, now time.Time) (cacheLost []routing.LoadKey) {
+	c.snapshot = nil
+	logEach := len(changed) <= maxReplicaLogLines
 	for _, it := range changed {
-		if key, ok := c.applyReplica(it, storeTrouble, logEach, now); ok {
-			emptied = append(emptied, key)
+		if key, ok := c.applyReplica(it, storeOutage, logEach, now); ok {
+			cacheLost = append(cacheLost, key)
 		}
 		c.applyEvacuation(it, now)
 	}
 	c.applyConfig(source)
 	c.changedAt = now
 	c.log.Documents(len(changed), source, c.feed.Position())
-	return emptied
+	return cacheLost
 }
 
 // States of replicas in the log and in responses to operators.
@@ -113,7 +113,7 @@
 // applyReplica updates a replica from its entry, and ignores other documents. If a known
 // incarnation lost its prompt cache because the replica became cold or restarted, it returns
 // the key of that incarnation.
-func (c *catalog) applyReplica(it feed.Item, storeTrouble, logEach bool, now time.Time) (emptied routing.LoadKey, ok bool) {
+func (c *catalog) applyReplica(it feed.Item, storeOutage, logEach bool, now time.Time) (cacheLost routing.LoadKey, ok bool) {
 	id, ok := c.documents.ReplicaID(it.Key)
 	if !ok {
 		return 0, false
@@ -126,7 +126,7 @@
 	delete(c.unusable, it.Key)
 	if it.Deleted {
 		if known && !before.Draining {
-			c.expired.Add(before, storeTrouble, now)
+			c.expired.Add(before, storeOutage, now)
 		}
 		if logEach {
 			c.log.Replica(id, stateGone, it.Revision)
@@ -214,25 +214,25 @@
 
 // view builds a view from the documents. Replicas that announced their departure in a response
 // are draining in the view, whatever their entries say.
-func (c *catalog) view(leavings *routing.Departures, now time.Time) *routing.View {
+func (c *catalog) view(departures *routing.Departures, now time.Time) *routing.View {
 	v := &routing.View{Table: c.table, Position: c.feed.Position(), Pools: make(map[routing.ServiceName]*routing.Pool)}
 	for name, list := range c.lists {
 		if c.isService(name) {
-			v.Pools[name] = c.pool(name, list.Pool(), leavings, now)
+			v.Pools[name] = c.pool(name, list.Pool(), departures, now)
 		}
 	}
 	return v
 }
 
 // pool returns the pool of a service: the replicas of the entries, adjusted for expired entries,
-// departures and evacuated failure domains. It returns entries itself if there is
-// nothing to adjust.
-func (c *catalog) pool(name routing.ServiceName, entries *routing.Pool, leavings *routing.Departures, now time.Time) *routing.Pool {
+// departures and evacuated failure domains. It returns entries itself if there is nothing to
+// adjust.
+func (c *catalog) pool(name routing.ServiceName, entries *routing.Pool, departures *routing.Departures, now time.Time) *routing.Pool {
 	p := entries.Overlay()
 	if restored := c.expired.Restore(name, p, now); len(restored) > 0 {
-		c.log.Restored(name, len(restored), len(entries.Ready))
+		c.log.ExpiredKept(name, len(restored), len(entries.Ready))
 	}
-	leaves := leavings.Apply(p)
+	leaves := departures.Apply(p)
 	isEvacuated := c.evacuations.Apply(p, c.coldStart(name))
 	if !leaves && !isEvacuated && len(p.Expired) == 0 {
 		return entries
@@ -273,36 +273,36 @@
 	return l
 }
 
-// answer returns the response to a peer's request for documents.
-func (c *catalog) answer(q *documentsRequest) documentsAnswer {
+// respond returns the response to a peer's request for documents.
+func (c *catalog) respond(q *documentsRequest) documentsResponse {
 	at := c.feed.Position()
 	if q.knowsEras && at.Era < q.after.Era {
-		return documentsAnswer{documents: gossip.Documents{Items: c.feed.Retained(), Era: at.Era, Revision: at.Revision}}
+		return documentsResponse{documents: gossip.Documents{Items: c.feed.Retained(), Era: at.Era, Revision: at.Revision}}
 	}
 	after := q.after.Revision
 	if q.knowsEras && q.after.Era != at.Era {
 		after = 0 // revisions of different eras can't be compared
 	}
-	if after == 0 && !q.takesDigest {
-		return documentsAnswer{everything: c.packEverything()}
+	if after == 0 && !q.acceptsDigest {
+		return documentsResponse{snapshot: c.fullSnapshot()}
 	}
 	items, whole := c.feed.SinceWith(after, q.parts)
 	switch {
-	case whole && q.takesDigest:
+	case whole && q.acceptsDigest:
 		d := c.feed.Digest(!q.knowsEras || q.after.Era == at.Era)
-		return documentsAnswer{digest: &d}
+		return documentsResponse{digest: &d}
 	case whole:
-		return documentsAnswer{everything: c.packEverything()}
+		return documentsResponse{snapshot: c.fullSnapshot()}
 	}
-	return documentsAnswer{documents: gossip.Documents{Items: items, Era: at.Era, Revision: at.Revision}}
+	return documentsResponse{documents: gossip.Documents{Items: items, Era: at.Era, Revision: at.Revision}}
 }
 
-// packEverything returns all documents. They are encoded when the first peer is sent them.
-func (c *catalog) packEverything() *packing {
+// fullSnapshot returns all documents. They are encoded when the first peer is sent them.
+func (c *catalog) fullSnapshot() *encodedSnapshot {
 	at := c.feed.Position()
-	if c.everything == nil || c.everything.at != at {
+	if c.snapshot == nil || c.snapshot.at != at {
 		items, _ := c.feed.Since(0)
-		c.everything = &packing{at: at, documents: gossip.Documents{Items: items, Era: at.Era, Revision: at.Revision, Whole: true}}
+		c.snapshot = &encodedSnapshot{at: at, documents: gossip.Documents{Items: items, Era: at.Era, Revision: at.Revision, Whole: true}}
 	}
-	return c.everything
+	return c.snapshot
 }
--- a/daemon/routes/control.go
+++ b/daemon/routes/control.go
@@ -22,59 +22,59 @@
 	// heartbeatInterval is the time between two ticks. A small fleet's daemon sends a
 	// heartbeat at each tick.
 	heartbeatInterval = 200 * time.Millisecond
-	// storeTroubleMemory is how long after a store outage an expired replica entry is not
+	// storeOutageWindow is how long after a store outage an expired replica entry is not
 	// taken as proof that the replica is gone.
-	storeTroubleMemory = 5 * time.Second
-	// entriesReturn is how long entries may still be outdated after the store became readable
+	storeOutageWindow = 5 * time.Second
+	// entryRenewalTime is how long entries may still be outdated after the store became readable
 	// again: live replicas renew their entries within about two seconds, and peers forward them.
-	entriesReturn = 3 * time.Second
-	// figuresInterval is how often the cost of the control loop is logged.
-	figuresInterval = 10 * time.Second
-	// pauseLimit is the time between two ticks above which the process is considered to have
+	entryRenewalTime = 3 * time.Second
+	// statsInterval is how often the cost of the control loop is logged.
+	statsInterval = 10 * time.Second
+	// pauseThreshold is the time between two ticks above which the process is considered to have
 	// been paused, so that its state is as old as the pause.
-	pauseLimit = time.Second
-	// sizeTolerance limits how often a view is built because the size of a large fleet
-	// changed: the size must change by more than 1/sizeTolerance of its value. In a large
+	pauseThreshold = time.Second
+	// sizeChangeDivisor limits how often a view is built because the size of a large fleet
+	// changed: the size must change by more than 1/sizeChangeDivisor of its value. In a large
 	// fleet the size is an estimate that changes with each heartbeat.
-	sizeTolerance = 10
+	sizeChangeDivisor = 10
 )
 
-// tables is the state that the control loop shares with the request path. Each table is safe
+// sharedTables is the state that the control loop shares with the request path. Each table is safe
 // for concurrent use.
-type tables struct {
-	loads   *routing.Loads
-	health  *routing.Health
-	cache   *routing.CacheTable
-	crowds  *routing.Overloads
-	crashes *routing.Crashes
-	cold    *routing.ColdLimiter
-	budgets *routing.RetryBudgets
-	rests   *routing.Backoffs
-	// leavings is applied to each view that is built.
-	leavings *routing.Departures
+type sharedTables struct {
+	loads     *routing.Loads
+	health    *routing.Health
+	cache     *routing.CacheTable
+	overloads *routing.Overloads
+	crashes   *routing.Crashes
+	cold      *routing.ColdLimiter
+	budgets   *routing.RetryBudgets
+	backoffs  *routing.Backoffs
+	// departures is applied to each view that is built.
+	departures *routing.Departures
 }
 
-// newTables returns empty tables for a daemon of a fleet that is assumed to have at least the
+// newSharedTables returns empty tables for a daemon of a fleet that is assumed to have at least the
 // given number of daemons, among which the retry budget is divided.
-func newTables(daemon routing.PeerID, rule routing.RetryRule, daemons int) tables {
-	return tables{
-		loads: routing.NewLoads(), health: routing.NewHealth(), cache: routing.NewCacheTable(), crowds: routing.NewOverloads(),
+func newSharedTables(daemon routing.PeerID, rule routing.RetryRule, daemons int) sharedTables {
+	return sharedTables{
+		loads: routing.NewLoads(), health: routing.NewHealth(), cache: routing.NewCacheTable(), overloads: routing.NewOverloads(),
 		crashes: routing.NewCrashes(), cold: routing.NewColdLimiter(daemon), budgets: routing.NewRetryBudgets(rule, daemons),
-		rests: routing.NewBackoffs(), leavings: routing.NewDepartures(),
+		backoffs: routing.NewBackoffs(), departures: routing.NewDepartures(),
 	}
 }
 
 // control is the state of the control loop.
 type control struct {
-	tables
+	sharedTables
 	domain     state.FailureDomain
 	log        *Log
 	roster     *membership.Roster
 	catalog    *catalog
-	heartbeats heartbeats
-	repeats    repeats
-	syncs      syncs
-	loans      loans
+	heartbeats heartbeatState
+	repeats    repeatState
+	syncs      syncState
+	transfers  transfers
 
 	// openSince returns when the oldest open idle connection to a replica was opened.
 	openSince func(routing.Incarnation) (time.Time, bool)
@@ -86,17 +86,17 @@
 	readPlan   atomic.Pointer[readPlan]
 
 	daemons int // in the view; see sizeChanged
-	// viewIsOld says that replicas which are ready in the view have announced their departure. They
+	// viewStale says that replicas which are ready in the view have announced their departure. They
 	// get no requests in any case (coordination/routing/barred.go). The next tick builds one view
 	// for all such replicas.
-	viewIsOld      bool
-	storeLost      bool
-	storeUnreadAt  time.Time // when the store was last unreadable for every known daemon
-	era            eraState
-	storeTroubleAt time.Time // when the store was last known to be unreachable for this daemon or a peer
-	tickedAt       time.Time
-	startedAt      time.Time
-	figuresAt      time.Time
+	viewStale          bool
+	storeLost          bool
+	storeUnreadableAt  time.Time // when the store was last unreadable for every known daemon
+	era                eraState
+	storeUnreachableAt time.Time // when the store was last known to be unreachable for this daemon or a peer
+	lastTickAt         time.Time
+	startedAt          time.Time
+	statsLoggedAt      time.Time
 }
 
 // readPlan says whether and how the reader reads the store.
@@ -127,15 +127,15 @@
 			return
 		case <-ticker.C:
 			c.tick(ctx, clock.Now())
-		case <-c.crowds.Waiting():
-			c.awaitMoreReports(ctx, crowdsDue{})
+		case <-c.overloads.Waiting():
+			c.scheduleReports(ctx, overloadsDue{})
 		case <-c.crashes.Waiting():
-			c.awaitMoreReports(ctx, crashesDue{})
+			c.scheduleReports(ctx, crashesDue{})
 		case <-c.health.LivenessWaiting():
-			c.awaitMoreReports(ctx, livesDue{})
-		case <-c.leavings.Waiting():
-			c.viewIsOld = true
-			c.awaitMoreReports(ctx, leavingsDue{})
+			c.scheduleReports(ctx, livenessDue{})
+		case <-c.departures.Waiting():
+			c.viewStale = true
+			c.scheduleReports(ctx, departuresDue{})
 		case e := <-c.events:
 			c.handle(ctx, e, clock.Now())
 		}
@@ -145,123 +145,123 @@
 func (c *control) handle(ctx context.Context, e event, now time.Time) {
 	switch e := e.(type) {
 	case storeListed:
-		c.syncs.unasked = c.syncs.unasked || c.catalog.feed.Revision() == 0
-		c.takeList(e.items, e.at, sourceStore, now)
-	case storePaged:
-		c.takePage(&e, now)
+		c.syncs.needsPeerCheck = c.syncs.needsPeerCheck || c.catalog.feed.Revision() == 0
+		c.applyList(e.items, e.at, sourceStore, now)
+	case storePageRead:
+		c.applyPage(&e, now)
 	case storeChanged:
 		if e.At.Era == c.catalog.feed.Position().Era {
 			c.apply(c.catalog.feed.Apply(e.Items), sourceStore, now)
 		}
-	case storeReachable:
+	case storeReachabilityChanged:
 		c.setStoreLost(e, now)
 	case heartbeatReceived:
 		c.receiveHeartbeat(ctx, &e.heartbeat, now)
 	case silencesReceived:
 		c.receiveSilences(e.reports, now)
-	case crowdsReceived:
-		c.crowds.Observe(e.reports, now)
-	case crowdsDue:
-		c.sendCrowds(now)
+	case overloadsReceived:
+		c.overloads.Observe(e.reports, now)
+	case overloadsDue:
+		c.sendOverloads(now)
 	case crashesReceived:
 		c.receiveCrashes(e.reports, now)
 	case crashesDue:
 		c.sendCrashes(now)
-	case livesReceived:
-		c.receiveLives(e.reports, now)
-	case livesDue:
-		c.sendLives(now)
-	case leavingsReceived:
-		c.receiveLeavings(e.reports, now)
-	case leavingsDue:
-		c.sendLeavings(now)
-	case loanWanted:
-		c.askForLoan(&e, now)
-	case loanAsksReceived:
-		c.lend(e.asks, now)
-	case loansReceived:
-		c.takeLoans(e.loans)
+	case livenessReceived:
+		c.receiveLiveness(e.reports, now)
+	case livenessDue:
+		c.sendLiveness(now)
+	case departuresReceived:
+		c.receiveDepartures(e.reports, now)
+	case departuresDue:
+		c.sendDepartures(now)
+	case transferNeeded:
+		c.requestTransfer(&e, now)
+	case transferRequestsReceived:
+		c.grantTransfers(e.requests, now)
+	case transfersReceived:
+		c.receiveTransfers(e.transfers)
 	case syncDue:
 		c.syncIfBehind(ctx, now)
-	case synced:
+	case syncCompleted:
 		c.finishSync(ctx, &e, now)
-	case callerWaits:
+	case callerWaiting:
 		c.roster.StopListening()
 		c.planReads(now)
-	case stopBegun:
+	case shutdownStarted:
 		c.roster.SetLeaving()
 		c.sendHeartbeat(now)
-	case documentsAsked:
-		e.reply <- c.catalog.answer(&e.request)
-	case question:
-		c.answer(e, now)
+	case documentsRequested:
+		e.reply <- c.catalog.respond(&e.request)
+	case operatorRequest:
+		c.handleOperator(e, now)
 	}
 }
 
-// answer handles a query or command of an operator.
-func (c *control) answer(q question, now time.Time) {
+// handleOperator handles a query or command of an operator.
+func (c *control) handleOperator(q operatorRequest, now time.Time) {
 	switch q := q.(type) {
-	case statusAsked:
+	case statusQuery:
 		q.reply <- c.statusAnswer(now)
-	case membersAsked:
+	case membersQuery:
 		q.reply <- c.memberAnswers(now)
-	case replicasAsked:
+	case replicasQuery:
 		q.reply <- c.replicaAnswers(now)
-	case heldAsked:
+	case quarantineQuery:
 		q.reply <- c.heldAnswers(now)
-	case releaseAsked:
+	case releaseCommand:
 		q.reply <- c.release(q.content, now)
-	case restLifted:
-		q.reply <- c.liftRest(q.replica, now)
+	case liftBackoffCommand:
+		q.reply <- c.liftBackoff(q.replica, now)
 	}
 }
 
 // tick sends a heartbeat if one is due and runs all periodic work.
 func (c *control) tick(ctx context.Context, now time.Time) {
-	c.checkPause(now)
+	c.detectPause(now)
 	if c.storeLost {
-		c.storeTroubleAt = now
+		c.storeUnreachableAt = now
 	}
 	c.planReads(now)
 	c.tickHeartbeat(now)
 	c.sendSilences(now)
 	c.sendCrashes(now)
-	c.sendLives(now)
-	c.sendLeavings(now)
+	c.sendLiveness(now)
+	c.sendDepartures(now)
 	c.repeatReports(now)
-	c.settleFormer(now)
-	c.loans.forget(now)
+	c.expirePreRestore(now)
+	c.transfers.dropExpired(now)
 	c.syncIfBehind(ctx, now)
 	if now.Sub(c.startedAt) >= routing.FleetSizeKnownAfter {
 		c.cold.SetFleetSize(c.roster.PeakSize())
 	}
 	expired := c.catalog.expired.Expire(now)
-	if n := c.roster.Size(now); c.sizeChanged(n) || expired || c.viewIsOld {
+	if n := c.roster.Size(now); c.sizeChanged(n) || expired || c.viewStale {
 		c.daemons = n
 		c.publish(now)
 	}
 	c.roster.Forget(now)
 	if !c.roster.HasStoreReader(now) {
-		c.storeUnreadAt = now
+		c.storeUnreadableAt = now
 	}
-	c.health.SetEntriesStale(now.Sub(c.storeUnreadAt) < entriesReturn)
-	c.disproveEnds(now)
+	c.health.SetEntriesStale(now.Sub(c.storeUnreadableAt) < entryRenewalTime)
+	c.disproveTerminations(now)
 	c.crashes.Disprove(c.health.Disproves)
 	c.health.Forget(c.domain, now)
 	c.crashes.Forget(now)
-	c.rests.Forget(now)
-	if now.Sub(c.figuresAt) >= figuresInterval {
-		c.figuresAt = now
-		c.log.Figures(c.daemons, c.catalog.feed.Revision())
+	c.backoffs.Forget(now)
+	if now.Sub(c.statsLoggedAt) >= statsInterval {
+		c.statsLoggedAt = now
+		c.log.Statistics(c.daemons, c.catalog.feed.Revision())
 	}
 }
 
-// checkPause detects that the process was paused. It then interrupts the reader's watch:
+// detectPause detects that the process was paused. It then interrupts the reader's watch:
 // the connection may have been lost during the pause, and the last result is outdated.
-func (c *control) checkPause(now time.Time) {
-	last := c.tickedAt
-	c.tickedAt = now
-	if last.IsZero() || now.Sub(last) < pauseLimit {
+func (c *control) detectPause(now time.Time) {
+	last := c.lastTickAt
+	c.lastTickAt = now
+	if last.IsZero() || now.Sub(last) < pauseThreshold {
 		return
 	}
 	c.log.Paused(now.Sub(last))
@@ -288,12 +288,12 @@
 }
 
 // setStoreLost records that the store became unreachable or reachable for this daemon.
-func (c *control) setStoreLost(e storeReachable, now time.Time) {
+func (c *control) setStoreLost(e storeReachabilityChanged, now time.Time) {
 	if e.lost == c.storeLost {
 		return
 	}
 	c.storeLost = e.lost
-	c.storeTroubleAt = now
+	c.storeUnreachableAt = now
 	c.roster.SetStoreUnreachable(e.lost)
 	c.planReads(now)
 	c.sendHeartbeat(now)
@@ -306,22 +306,22 @@
 	if len(changed) == 0 {
 		return
 	}
-	c.cache.Forget(c.catalog.apply(changed, source, now.Sub(c.storeTroubleAt) < storeTroubleMemory, now))
+	c.cache.Forget(c.catalog.apply(changed, source, now.Sub(c.storeUnreachableAt) < storeOutageWindow, now))
 	c.announce(now)
 }
 
 // announce publishes a view and sends the new position to peers.
 func (c *control) announce(now time.Time) {
 	c.publish(now)
-	c.sendPartial(c.pendingLocations(), now)
+	c.sendPartial(c.takePendingLocations(), now)
 }
 
-// takePage applies one page of a list that is still being read. The first page contains the
+// applyPage applies one page of a list that is still being read. The first page contains the
 // configuration, and with ten thousand replicas the last page follows seconds later. A daemon
 // without documents waits for the whole list, because otherwise it would accept callers before it
 // knows most replicas. So does a daemon in another era, because entering the era turns all of its
 // documents into documents from before the restore.
-func (c *control) takePage(p *storePaged, now time.Time) {
+func (c *control) applyPage(p *storePageRead, now time.Time) {
 	f := c.catalog.feed
 	if f.Revision() > 0 && f.Position().Era == p.at.Era {
 		c.apply(f.ApplyPage(p.items, p.after, p.upTo, p.at.Revision), sourceStore, now)
@@ -330,8 +330,8 @@
 
 // publish builds a view and makes it visible to the request path.
 func (c *control) publish(now time.Time) {
-	c.viewIsOld = false
-	v := c.catalog.view(c.leavings, now)
+	c.viewStale = false
+	v := c.catalog.view(c.departures, now)
 	v.Domain, v.Daemons, v.LargeFleet = c.domain, c.daemons, c.largeFleet()
 	old := c.view.Swap(v)
 	if v.Table != nil && (old == nil || old.Table == nil) {
@@ -356,5 +356,5 @@
 	if !c.largeFleet() {
 		return n != c.daemons
 	}
-	return sizeTolerance*max(n-c.daemons, c.daemons-n) > c.daemons
+	return sizeChangeDivisor*max(n-c.daemons, c.daemons-n) > c.daemons
 }
--- a/daemon/routes/loans.go
+++ b/daemon/routes/loans.go
@@ -12,62 +12,62 @@
 	"hingewinch.org/hingewinch/protocol/gossip"
 )
 
-// loans is the state of the budget transfers that this daemon requested.
-type loans struct {
-	last gossip.LoanID
-	open map[gossip.LoanID]openLoan
+// transfers is the state of the budget transfers that this daemon requested.
+type transfers struct {
+	last    gossip.LoanID
+	pending map[gossip.LoanID]pendingTransfer
 }
 
-// openLoan is a requested transfer that has not arrived yet.
-type openLoan struct {
+// pendingTransfer is a requested transfer that has not arrived yet.
+type pendingTransfer struct {
 	reply chan<- routing.Retries
 	until time.Time // deadline of the requester
 }
 
-// askForLoan requests a transfer from another daemon of this daemon's failure domain.
-func (c *control) askForLoan(w *loanWanted, now time.Time) {
+// requestTransfer requests a transfer from another daemon of this daemon's failure domain.
+func (c *control) requestTransfer(w *transferNeeded, now time.Time) {
 	lender, ok := c.roster.RandomLocalMember(now, c.heartbeats.rng)
 	if !ok {
 		w.reply <- 0
 		return
 	}
-	c.log.metrics.LoansAsked.Inc(1)
-	l := &c.loans
+	c.log.metrics.TransfersRequested.Inc(1)
+	l := &c.transfers
 	l.last++
-	if l.open == nil {
-		l.open = make(map[gossip.LoanID]openLoan)
+	if l.pending == nil {
+		l.pending = make(map[gossip.LoanID]pendingTransfer)
 	}
-	l.open[l.last] = openLoan{reply: w.reply, until: now.Add(routing.TransferTimeout)}
+	l.pending[l.last] = pendingTransfer{reply: w.reply, until: now.Add(routing.TransferTimeout)}
 	ask := gossip.LoanAsk{ID: l.last, From: c.roster.Self().Address, Service: w.service, Missing: w.missing}
 	sendReports(c, []membership.Address{lender}, []gossip.LoanAsk{ask}, gossip.EncodeLoanAsks)
 }
 
-// lend responds to a peer's requests for budget transfers.
-func (c *control) lend(asks []gossip.LoanAsk, now time.Time) {
-	for _, a := range asks {
+// grantTransfers responds to a peer's requests for budget transfers.
+func (c *control) grantTransfers(requests []gossip.LoanAsk, now time.Time) {
+	for _, a := range requests {
 		loan := gossip.Loan{ID: a.ID, Lent: c.budgets.GrantTransfer(a.Service, a.Missing, now)}
 		if loan.Lent > 0 {
-			c.log.metrics.LoansGiven.Inc(1)
+			c.log.metrics.TransfersGranted.Inc(1)
 		}
 		sendReports(c, []membership.Address{a.From}, []gossip.Loan{loan}, gossip.EncodeLoans)
 	}
 }
 
-// takeLoans delivers transfers to their requesters. Duplicates are ignored.
-func (c *control) takeLoans(loans []gossip.Loan) {
-	for _, l := range loans {
-		if o, ok := c.loans.open[l.ID]; ok {
-			delete(c.loans.open, l.ID)
-			o.reply <- l.Lent
+// receiveTransfers delivers transfers to their requesters. Duplicates are ignored.
+func (c *control) receiveTransfers(received []gossip.Loan) {
+	for _, t := range received {
+		if o, ok := c.transfers.pending[t.ID]; ok {
+			delete(c.transfers.pending, t.ID)
+			o.reply <- t.Lent
 		}
 	}
 }
 
-// forget drops transfers whose deadline has passed.
-func (l *loans) forget(now time.Time) {
-	for id, o := range l.open {
+// dropExpired drops transfers whose deadline has passed.
+func (l *transfers) dropExpired(now time.Time) {
+	for id, o := range l.pending {
 		if now.After(o.until) {
-			delete(l.open, id)
+			delete(l.pending, id)
 		}
 	}
 }
@@ -78,7 +78,7 @@
 	ctx, cancel := context.WithTimeout(ctx, routing.TransferTimeout)
 	defer cancel()
 	reply := make(chan routing.Retries, 1)
-	c.post(ctx, loanWanted{service: service, missing: missing, reply: reply})
+	c.post(ctx, transferNeeded{service: service, missing: missing, reply: reply})
 	select {
 	case lent := <-reply:
 		return lent
--- a/daemon/routes/operator_replicas.go
+++ b/daemon/routes/operator_replicas.go
@@ -24,19 +24,19 @@
 	FailRate  float64             `json:"fail_rate"`     // share of failed requests, as counted by this daemon
 	ColdMS    int64               `json:"cold_ms"`       // remaining time for which it is cold
 	StartTime routing.StartTime   `json:"born"`          // when it started, in Unix milliseconds; 0 if its entry does not say
-	// RestMS is the remaining backoff that the replica requested of this daemon, and RestBy the
+	// BackoffMS is the remaining backoff that the replica requested of this daemon, and BackoffBy the
 	// request in whose response it did.
-	RestMS  int64             `json:"rest_ms"`
-	RestBy  routing.RequestID `json:"rest_by,omitempty"`
-	Leaving bool              `json:"leaving"` // it announced its departure in a response, whatever its entry says
+	BackoffMS int64             `json:"rest_ms"`
+	BackoffBy routing.RequestID `json:"rest_by,omitempty"`
+	Departing bool              `json:"leaving"` // it announced its departure in a response, whatever its entry says
 }
 
 // Reasons why a replica gets no or few requests, in addition to those of routing.Health.
 const (
-	whyEvacuated = "its failure domain is evacuated"
-	whyCold      = "it is cold and gets few requests or none"
-	whyResting   = "it asked this daemon for rest"
-	whyLeaving   = "it said in an answer that it leaves"
+	whyEvacuated  = "its failure domain is evacuated"
+	whyCold       = "it is cold and gets few requests or none"
+	whyBackingOff = "it asked this daemon for rest"
+	whyLeaving    = "it said in an answer that it leaves"
 )
 
 func (c *control) replicaAnswers(now time.Time) []ReplicaAnswer {
@@ -64,13 +64,13 @@
 	a := ReplicaAnswer{
 		ID: r.ID, Service: r.Service, Domain: r.Domain, Address: r.Address, State: stateName(r),
 		Load: c.loads.Estimate(r.LoadKey(), now), FailRate: rate, ColdMS: max(0, r.ColdUntil.Sub(now)).Milliseconds(), StartTime: r.StartTime,
-		RestMS: c.rests.Remaining(r, now).Milliseconds(), RestBy: c.rests.RequestedBy(r, now), Leaving: c.leavings.IsLeaving(r),
+		BackoffMS: c.backoffs.Remaining(r, now).Milliseconds(), BackoffBy: c.backoffs.RequestedBy(r, now), Departing: c.departures.IsLeaving(r),
 	}
 	switch {
-	case a.Leaving:
+	case a.Departing:
 		why = whyLeaving
-	case a.RestMS > 0:
-		why = whyResting
+	case a.BackoffMS > 0:
+		why = whyBackingOff
 	case why == "" && a.ColdMS > 0:
 		why = whyCold
 	}
@@ -78,19 +78,19 @@
 	return a
 }
 
-// liftRest ends the backoff that a replica requested of this daemon. It returns false if there is
+// liftBackoff ends the backoff that a replica requested of this daemon. It returns false if there is
 // none.
-func (c *control) liftRest(id routing.ReplicaID, now time.Time) bool {
-	rested := c.rests.Lift(id, now)
-	if rested {
-		c.log.RestLifted(id)
+func (c *control) liftBackoff(id routing.ReplicaID, now time.Time) bool {
+	lifted := c.backoffs.Lift(id, now)
+	if lifted {
+		c.log.BackoffLifted(id)
 	}
-	return rested
+	return lifted
 }
 
-// liftRest handles an operator's command to end the backoff that a replica requested.
-func (d *Daemon) liftRest(w http.ResponseWriter, r *http.Request) {
+// liftBackoff handles an operator's command to end the backoff that a replica requested.
+func (d *Daemon) liftBackoff(w http.ResponseWriter, r *http.Request) {
 	id := routing.ReplicaID(r.URL.Query().Get("replica"))
-	order(d.control, w, r, func(reply chan bool) event { return restLifted{id, reply} },
+	serveCommand(d.control, w, r, func(reply chan bool) event { return liftBackoffCommand{id, reply} },
 		"this replica is not backing off at this daemon; GET "+PathReplicas+" shows the replicas that are")
 }
--- a/daemon/routes/run.go
+++ b/daemon/routes/run.go
@@ -16,11 +16,11 @@
 const sweepInterval = 2 * time.Second
 
 // Phases of a graceful shutdown, as fractions of the grace period. New connections are accepted until
-// stopAccept, because the load balancer stops sending callers only after two failed readiness checks.
-// Open requests may finish until stopWait.
+// acceptFraction, because the load balancer stops sending callers only after two failed readiness checks.
+// Open requests may finish until drainFraction.
 const (
-	stopAccept = 0.35
-	stopWait   = 0.94
+	acceptFraction = 0.35
+	drainFraction  = 0.94
 )
 
 // Run serves until ctx is canceled, and then shuts down gracefully.
@@ -31,7 +31,7 @@
 	wg.Go(func() { d.control.run(work) })
 	wg.Go(func() { d.reader.run(work) })
 	wg.Go(func() { d.peers.receive(work, d.control) })
-	wg.Go(func() { d.sweep(work) })
+	wg.Go(func() { d.sweepConnections(work) })
 	failed := make(chan error, len(d.listeners()))
 	for _, l := range d.listeners() {
 		wg.Go(func() { l.Serve(failed) })
@@ -50,9 +50,9 @@
 	return err
 }
 
-// sweep periodically closes connections to replicas that were idle for too long, or whose
+// sweepConnections periodically closes connections to replicas that were idle for too long, or whose
 // replica is gone or shutting down.
-func (d *Daemon) sweep(ctx context.Context) {
+func (d *Daemon) sweepConnections(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause(ctx, sweepInterval)
 		d.pool.Sweep(d.View().KeepsConnections, clock.Now())
@@ -66,10 +66,10 @@
 	begun := time.Now()
 	d.Log.Stopping()
 	d.stopping.Store(true)
-	d.control.post(ctx, stopBegun{})
+	d.control.post(ctx, shutdownStarted{})
 	grace := d.settings.Stop.Grace
-	pause(ctx, time.Duration(stopAccept*float64(grace)))
-	wait, cancel := context.WithDeadline(ctx, begun.Add(time.Duration(stopWait*float64(grace))))
+	pause(ctx, time.Duration(acceptFraction*float64(grace)))
+	wait, cancel := context.WithDeadline(ctx, begun.Add(time.Duration(drainFraction*float64(grace))))
 	defer cancel()
 	_ = d.callers.Server.Shutdown(wait) // an error means that the grace period is over
 }
--- a/daemon/routes/statements_test.go
+++ b/daemon/routes/statements_test.go
@@ -15,8 +15,8 @@
 
 // These tests cover how the control loop handles what replicas report about themselves in responses.
 
-// entries applies replica entries, given as values by key, to a control loop.
-func entries(c *control, at feed.Revision, now time.Time, values map[string]string) {
+// applyEntries applies replica applyEntries, given as values by key, to a control loop.
+func applyEntries(c *control, at feed.Revision, now time.Time, values map[string]string) {
 	items := []feed.Item{{Key: "config", Revision: 1}}
 	for key, value := range values {
 		items = append(items, feed.Item{Key: key, Value: []byte(value), Revision: at})
@@ -27,12 +27,12 @@
 // TestLeavingByItsOwnWordIsFinal checks that a replica that announced its departure gets no requests until
 // it restarts, even if its entry says ready, disappears and reappears, or is part of a new list.
 func TestLeavingByItsOwnWordIsFinal(t *testing.T) {
-	c := quietControl(t)
+	c := newQuietControl(t)
 	now := time.Unix(1_000_000, 0)
-	entries(c, 2, now, map[string]string{"replica-1": "born=1", "replica-2": "born=1"})
+	applyEntries(c, 2, now, map[string]string{"replica-1": "born=1", "replica-2": "born=1"})
 	r := c.view.Load().Pool("s").Ready[0]
-	c.leavings.RecordAnnounced(&r, now)
-	<-c.leavings.Waiting()
+	c.departures.RecordAnnounced(&r, now)
+	<-c.departures.Waiting()
 	c.publish(now)
 	check := func(when string, ready int) {
 		t.Helper()
@@ -41,7 +41,7 @@
 		}
 	}
 	check("after its announcement", 1)
-	entries(c, 3, now, map[string]string{"replica-1": "born=1"})
+	applyEntries(c, 3, now, map[string]string{"replica-1": "born=1"})
 	check("after its entry was written again", 1)
 	c.apply(c.catalog.feed.Apply([]feed.Item{{Key: "replica-1", Revision: 4, Deleted: true}}), "store", now)
 	check("without its entry", 1)
@@ -49,14 +49,14 @@
 		now = now.Add(heartbeatInterval)
 		c.tick(context.Background(), now)
 	}
-	entries(c, 5, now, map[string]string{"replica-1": "born=1"})
+	applyEntries(c, 5, now, map[string]string{"replica-1": "born=1"})
 	check("after its entry reappeared", 1)
 	c.apply(c.catalog.feed.ApplyList([]feed.Item{{Key: "config", Revision: 1}, {Key: "replica-1", Value: []byte("born=1"), Revision: 6}, {Key: "replica-2", Value: []byte("born=1"), Revision: 6}}, 6), "store", now)
 	check("after a list", 1)
 	if len(c.view.Load().Pool("s").Draining) != 1 {
 		t.Error("it is not among the draining replicas, from which prompts are copied")
 	}
-	entries(c, 7, now, map[string]string{"replica-1": "born=2"})
+	applyEntries(c, 7, now, map[string]string{"replica-1": "born=2"})
 	check("after it restarted", 2)
 }
 
@@ -64,7 +64,7 @@
 // other daemon immediately and when that daemon restarts, and takes effect there.
 func TestLeavingIsToldToOtherDaemons(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	here, there := quietControl(t), quietControl(t)
+	here, there := newQuietControl(t), newQuietControl(t)
 	var sent [][]byte
 	here.heartbeats.send = func(_ membership.Address, payload []byte) {
 		if gossip.IsLeavings(payload) {
@@ -73,13 +73,13 @@
 	}
 	here.planReads(now)
 	for _, c := range []*control{here, there} {
-		entries(c, 2, now, map[string]string{"replica-1": "born=1", "replica-2": "born=1"})
+		applyEntries(c, 2, now, map[string]string{"replica-1": "born=1", "replica-2": "born=1"})
 	}
 	peer := testMember(1)
 	here.receiveHeartbeat(context.Background(), &gossip.Heartbeat{Sender: peer, Partial: true}, now)
 	r := here.view.Load().Pool("s").Ready[0]
-	here.leavings.RecordAnnounced(&r, now)
-	here.handle(context.Background(), leavingsDue{}, now)
+	here.departures.RecordAnnounced(&r, now)
+	here.handle(context.Background(), departuresDue{}, now)
 	if len(sent) != 1 {
 		t.Fatalf("%d datagrams, want 1 immediately", len(sent))
 	}
@@ -88,7 +88,7 @@
 		t.Fatal(err)
 	}
 	there.handle(context.Background(), e, now)
-	<-there.leavings.Waiting()
+	<-there.departures.Waiting()
 	there.publish(now)
 	if p := there.view.Load().Pool("s"); len(p.Ready) != 1 || len(p.Draining) != 1 {
 		t.Errorf("%d ready and %d draining at the other daemon, want 1 and 1", len(p.Ready), len(p.Draining))
@@ -100,7 +100,7 @@
 		t.Errorf("%d datagrams to a restarted daemon, want 1", len(sent))
 	}
 	sent = nil
-	for range 3 * repeatTicks {
+	for range 3 * reportRepeatTicks {
 		now = now.Add(heartbeatInterval)
 		here.tick(context.Background(), now)
 	}
@@ -112,20 +112,20 @@
 // TestOperatorsSeeAndLiftRests checks that operators see the backoffs that replicas requested and can end
 // them.
 func TestOperatorsSeeAndLiftRests(t *testing.T) {
-	c := quietControl(t)
+	c := newQuietControl(t)
 	now := time.Unix(1_000_000, 0)
-	entries(c, 2, now, map[string]string{"replica-1": "born=1", "replica-2": "born=1"})
+	applyEntries(c, 2, now, map[string]string{"replica-1": "born=1", "replica-2": "born=1"})
 	r := c.view.Load().Pool("s").Ready[0]
-	c.rests.Record(&r, 90*time.Second, "q", now)
+	c.backoffs.Record(&r, 90*time.Second, "q", now)
 	resting := func() (out []ReplicaAnswer) {
 		for _, a := range c.replicaAnswers(now) {
-			if a.RestMS > 0 {
+			if a.BackoffMS > 0 {
 				out = append(out, a)
 			}
 		}
 		return out
 	}
-	if got := resting(); len(got) != 1 || got[0].RestMS != 90_000 || got[0].RestBy != "q" || !got[0].Ejected || got[0].Why != whyResting {
+	if got := resting(); len(got) != 1 || got[0].BackoffMS != 90_000 || got[0].BackoffBy != "q" || !got[0].Ejected || got[0].Why != whyBackingOff {
 		t.Errorf("operators see %+v", got)
 	}
 	lift := func(id string) int {
@@ -133,7 +133,7 @@
 		c.events = make(chan event, 1)
 		go func() { c.handle(context.Background(), <-c.events, now) }()
 		w := httptest.NewRecorder()
-		d.liftRest(w, httptest.NewRequest(http.MethodPost, PathLift+"?replica="+id, nil))
+		d.liftBackoff(w, httptest.NewRequest(http.MethodPost, PathLift+"?replica="+id, nil))
 		return w.Code
 	}
 	if code := lift("other"); code != http.StatusNotFound {
--- a/daemon/routes/sync_test.go
+++ b/daemon/routes/sync_test.go
@@ -16,7 +16,7 @@
 )
 
 // versionedDocuments parses configurations whose version is the revision of their document.
-type versionedDocuments struct{ fewDocuments }
+type versionedDocuments struct{ fakeDocuments }
 
 func (versionedDocuments) ParseConfig(it feed.Item) (*routing.Table, error) {
 	return routing.NewTable(&routing.Config{Version: routing.ConfigVersion(it.Revision), Services: []routing.Service{{Name: "s"}}})
@@ -25,20 +25,20 @@
 // syncedPair is a daemon and a peer from which it fetches documents. There is no network between them,
 // but messages are encoded and decoded.
 type syncedPair struct {
-	daemon, peer *control
-	now          time.Time
-	asked        int // requests
-	failing      int // number of the next requests that fail
-	sent         int // bytes of the responses
-	items        int // documents in the responses
-	takesDigest  bool
+	daemon, peer  *control
+	now           time.Time
+	asked         int // requests
+	failNext      int // number of the next requests that fail
+	sent          int // bytes of the responses
+	items         int // documents in the responses
+	acceptsDigest bool
 }
 
 func newSyncedPair(t *testing.T) *syncedPair {
 	var out bytes.Buffer
 	l := newLog(&out, "info", "d", newMetrics())
 	t.Cleanup(l.Close)
-	p := &syncedPair{now: time.Unix(1_000_000, 0), takesDigest: true}
+	p := &syncedPair{now: time.Unix(1_000_000, 0), acceptsDigest: true}
 	for _, c := range []**control{&p.daemon, &p.peer} {
 		*c = newTestControl(l, versionedDocuments{})
 		(*c).events = make(chan event, eventQueue)
@@ -47,44 +47,44 @@
 		(*c).planReads(p.now)
 		(*c).setReadPlan(membership.ReadPlan{}) // neither reads the store
 	}
-	p.daemon.syncs.fetch = func(_ context.Context, _ membership.Address, q documentsRequest) (documentsAnswer, error) {
+	p.daemon.syncs.fetch = func(_ context.Context, _ membership.Address, q documentsRequest) (documentsResponse, error) {
 		return p.answer(q)
 	}
 	return p
 }
 
-func (p *syncedPair) answer(q documentsRequest) (documentsAnswer, error) {
+func (p *syncedPair) answer(q documentsRequest) (documentsResponse, error) {
 	p.asked++
-	if p.failing > 0 {
-		p.failing--
-		return documentsAnswer{}, errors.New("no response")
+	if p.failNext > 0 {
+		p.failNext--
+		return documentsResponse{}, errors.New("no response")
 	}
 	query, err := url.ParseQuery(q.encode())
 	if err != nil {
-		return documentsAnswer{}, err
+		return documentsResponse{}, err
 	}
-	if !p.takesDigest {
+	if !p.acceptsDigest {
 		query.Del(paramDigest) // as in requests of the previous build
 	}
 	asked, err := decodeRequest(query)
 	if err != nil {
-		return documentsAnswer{}, err
+		return documentsResponse{}, err
 	}
-	a := p.peer.catalog.answer(&asked)
+	a := p.peer.catalog.respond(&asked)
 	status, payload, err := a.encode()
 	if err != nil {
 		return a, err
 	}
-	got, err := decodeAnswer(payload, status == statusDigest)
+	got, err := decodeResponse(payload, status == statusDigest)
 	p.sent, p.items = p.sent+len(payload), p.items+len(got.documents.Items)
 	return got, err
 }
 
-// hear has the daemon process a heartbeat of the peer and the responses to all requests that follow from it.
-func (p *syncedPair) hear() {
+// exchangeHeartbeat has the daemon process a heartbeat of the peer and the responses to all requests that follow from it.
+func (p *syncedPair) exchangeHeartbeat() {
 	h := p.peer.newHeartbeat(p.now)
-	p.daemon.noteRevision(context.Background(), &h, p.now)
-	for p.daemon.syncs.underWay {
+	p.daemon.observePosition(context.Background(), &h, p.now)
+	for p.daemon.syncs.inFlight {
 		p.daemon.handle(context.Background(), <-p.daemon.events, p.now)
 	}
 }
@@ -109,7 +109,7 @@
 		}
 		all[0].Revision = at + 1
 		p.peer.apply(p.peer.catalog.feed.ApplyList(append(all[:5:5], all[6:]...), at+3), sourceStore, p.now) // one entry is gone
-		p.hear()
+		p.exchangeHeartbeat()
 		if got := p.daemon.catalog.feed.Revision(); got != at+3 {
 			t.Fatalf("%d replicas: at revision %d, want %d", replicas, got, at+3)
 		}
@@ -129,10 +129,10 @@
 // digest, is up to date after one response.
 func TestADaemonOfTheBuildBeforeIsSentEverything(t *testing.T) {
 	p := newSyncedPair(t)
-	p.takesDigest = false
+	p.acceptsDigest = false
 	p.daemon.apply(p.daemon.catalog.feed.ApplyList(fleetEntries(20), 21), sourceStore, p.now)
 	p.peer.apply(p.peer.catalog.feed.ApplyList(fleetEntries(30), 40), sourceStore, p.now)
-	p.hear()
+	p.exchangeHeartbeat()
 	if got := p.daemon.catalog.feed.Revision(); got != 40 || p.asked != 1 {
 		t.Fatalf("at revision %d after %d responses", got, p.asked)
 	}
@@ -146,16 +146,16 @@
 	for _, c := range []*control{p.daemon, p.peer} {
 		c.apply(c.catalog.feed.ApplyList(fleetEntries(200), 201), sourceStore, p.now)
 	}
-	page := storePaged{items: []feed.Item{{Key: "config", Revision: 300}}, upTo: "config", at: feed.Position{Revision: 310}}
+	page := storePageRead{items: []feed.Item{{Key: "config", Revision: 300}}, upTo: "config", at: feed.Position{Revision: 310}}
 	p.peer.handle(context.Background(), page, p.now)
-	p.failing = 1
-	p.hear()
+	p.failNext = 1
+	p.exchangeHeartbeat()
 	p.asked = 0
-	p.hear()
+	p.exchangeHeartbeat()
 	if got := p.daemon.catalog.table.Version; got != 300 {
 		t.Fatalf("configuration %d is active, want 300", got)
 	}
-	p.hear()
+	p.exchangeHeartbeat()
 	if p.asked != 1 || p.items > 1 {
 		t.Errorf("%d requests and %d documents", p.asked, p.items)
 	}
@@ -168,7 +168,7 @@
 // callers after the first page, which has the configuration but hardly any replicas.
 func TestADaemonWithoutDocumentsWaitsForTheWholeList(t *testing.T) {
 	p := newSyncedPair(t)
-	p.daemon.handle(context.Background(), storePaged{items: fleetEntries(3), upTo: "replica-00002", at: feed.Position{Revision: 310}}, p.now)
+	p.daemon.handle(context.Background(), storePageRead{items: fleetEntries(3), upTo: "replica-00002", at: feed.Position{Revision: 310}}, p.now)
 	if v := p.daemon.view.Load(); v != nil && v.Table != nil {
 		t.Fatal("a configuration is active after one page")
 	}
@@ -197,21 +197,21 @@
 	p := newSyncedPair(t)
 	c := p.peer.catalog
 	p.peer.apply(c.feed.ApplyList(fleetEntries(50), 51), sourceStore, p.now)
-	first, second := c.answer(&documentsRequest{}), c.answer(&documentsRequest{})
-	if first.everything == nil || first.everything != second.everything {
+	first, second := c.respond(&documentsRequest{}), c.respond(&documentsRequest{})
+	if first.snapshot == nil || first.snapshot != second.snapshot {
 		t.Fatal("the same documents were encoded twice")
 	}
 	p.peer.apply(c.feed.Apply([]feed.Item{{Key: "replica-00007", Revision: 60, Deleted: true}}), sourceStore, p.now)
-	_, payload, err := func() (int, []byte, error) { a := c.answer(&documentsRequest{}); return a.encode() }()
+	_, payload, err := func() (int, []byte, error) { a := c.respond(&documentsRequest{}); return a.encode() }()
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := decodeAnswer(payload, false)
+	got, err := decodeResponse(payload, false)
 	if err != nil || got.documents.Revision != 60 || !got.documents.Whole {
 		t.Fatalf("at revision %d, whole %t, %v", got.documents.Revision, got.documents.Whole, err)
 	}
 	c.feed.Advance(70)
-	if a := c.answer(&documentsRequest{}); a.everything.documents.Revision != 70 {
+	if a := c.respond(&documentsRequest{}); a.snapshot.documents.Revision != 70 {
 		t.Fatal("the encoding is of an earlier revision")
 	}
 }
@@ -226,7 +226,7 @@
 		c := newCatalog(versionedDocuments{}, l)
 		c.feed.ApplyList(fleetEntries(replicas), feed.Revision(replicas+1))
 		answer := func(b *testing.B) {
-			a := c.answer(&documentsRequest{})
+			a := c.respond(&documentsRequest{})
 			if _, _, err := a.encode(); err != nil {
 				b.Fatal(err)
 			}
@@ -234,7 +234,7 @@
 		b.Run(fmt.Sprintf("first/%d", replicas), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				c.everything = nil
+				c.snapshot = nil
 				answer(b)
 			}
 		})
@@ -256,11 +256,11 @@
 			l := newLog(&out, "info", "d", newMetrics())
 			defer l.Close()
 			for range b.N {
-				before := heldBytes()
+				before := heapBytes()
 				c := newCatalog(versionedDocuments{}, l)
 				c.apply(c.feed.ApplyList(fleetEntries(replicas), feed.Revision(replicas+1)), sourceStore, false, time.Unix(1, 0))
 				v := c.view(routing.NewDepartures(), time.Unix(1, 0))
-				b.ReportMetric(float64(heldBytes()-before)/float64(replicas), "B/replica")
+				b.ReportMetric(float64(heapBytes()-before)/float64(replicas), "B/replica")
 				runtime.KeepAlive(v)
 				runtime.KeepAlive(c)
 			}
@@ -268,8 +268,8 @@
 	}
 }
 
-// heldBytes returns the heap size after a garbage collection.
-func heldBytes() int64 {
+// heapBytes returns the heap size after a garbage collection.
+func heapBytes() int64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
