--- a/transport/clock/clock.go
+++ b/transport/clock/clock.go
@@ -1,21 +1,21 @@
-// Package clock is the time by which daemons of the front end in production judge how old
-// things are. It is the runtime's steady clock and, beyond that, counts the time for which the
-// VM was suspended: the runtime's clock and timers stand still then, while replicas, peers, the
-// store and callers go on. What a daemon believes is as old after a suspension as after a pause
-// of its process, and the same code deals with both.
+// Package clock provides the clock by which daemons of the production front end measure ages
+// and deadlines: the Go runtime's monotonic clock plus the time for which the VM was suspended.
+// The runtime's clock and timers stop during a suspension, while replicas, peers, the store and
+// callers go on. With this clock, the state of a daemon has the same age after a suspension of
+// the VM as after a pause of the process, and the same code handles both.
 //
-// It owns how long the VM was suspended, as far as it has found out. It relies on the time of
-// day, which counts a suspension, to notice one at the next look, and on CLOCK_BOOTTIME to tell
-// it from a step of the time of day. Where the system does not give that clock, a suspension
-// counts as no time, as it does for the runtime.
+// A clock keeps the total suspended time that it has detected. It detects a suspension at the
+// next call of Now, by the wall clock, which advances during a suspension, and uses
+// CLOCK_BOOTTIME to tell it from a step of the wall clock. On systems without CLOCK_BOOTTIME
+// suspensions are not counted, just as the runtime does not count them.
 //
 // # Usage
 //
-//	now := clock.Now()                         // for ages and deadlines of the product
+//	now := clock.Now()                         // for ages and deadlines
 //	left := clock.Until(deadline)
-//	conn.SetReadDeadline(clock.Timer(deadline)) // what the runtime waits for
+//	conn.SetReadDeadline(clock.Timer(deadline)) // for deadlines that the runtime enforces
 //
-// The time of day itself (incarnations, stamps of the time line) is the time package's.
+// For the wall clock (incarnations, timeline stamps) use the time package.
 package clock
 
 import (
@@ -26,37 +26,37 @@
 	"golang.org/x/sys/unix"
 )
 
-// noticed is by how much the time of day must move against the steady clock before it is
-// looked at why. Both are adjusted by less in any second.
+// noticed is the change of the offset between the wall clock and the monotonic clock from which
+// a suspension is checked for. Gradual adjustments change the offset by less in any second.
 const noticed = 100 * time.Millisecond
 
-// Reading is what the system's clocks show at a moment.
+// Reading is a simultaneous reading of the system's clocks.
 type Reading struct {
-	At     time.Time     // as the runtime has it
-	Steady time.Duration // of the steady clock, since some begin
-	Wall   time.Duration // of the time of day, since some begin
+	At     time.Time     // of the runtime's clock
+	Steady time.Duration // of the monotonic clock, since a fixed but arbitrary time
+	Wall   time.Duration // of the wall clock, since a fixed but arbitrary time
 }
 
-// Source gives readings of the system's clocks.
+// Source reads the system's clocks.
 type Source interface {
 	Read() Reading
-	// Lead returns by how much the clock that counts suspensions is ahead of the steady one,
-	// or false if that is not known.
+	// Lead returns by how much the clock that counts suspensions (CLOCK_BOOTTIME) is ahead of
+	// the monotonic clock, or false if that is not known.
 	Lead() (time.Duration, bool)
 }
 
-// Clock counts suspensions. It is safe for use by many goroutines.
+// Clock is a monotonic clock that includes suspensions of the VM. It is safe for concurrent use.
 type Clock struct {
 	source Source
 
-	suspended atomic.Int64 // in nanoseconds, so far
-	drift     atomic.Int64 // of the time of day against the steady clock, at the last look
+	suspended atomic.Int64 // total suspended time detected so far, in nanoseconds
+	drift     atomic.Int64 // wall clock minus monotonic clock at the last check, in nanoseconds
 
 	mu   sync.Mutex
-	lead time.Duration // at the last look
+	lead time.Duration // Source.Lead at the last check
 }
 
-// New returns a clock on a source.
+// New returns a clock that reads the given source.
 func New(s Source) *Clock {
 	c := &Clock{source: s}
 	r := s.Read()
@@ -65,7 +65,7 @@
 	return c
 }
 
-// Now returns the time, suspensions counted.
+// Now returns the current time, suspensions included.
 func (c *Clock) Now() time.Time {
 	r := c.source.Read()
 	drift := r.Wall - r.Steady
@@ -75,8 +75,9 @@
 	return r.At.Add(c.Suspended())
 }
 
-// look finds out whether the time of day moved because of a suspension, which moves it ahead
-// by as much.
+// look is called when the wall clock has moved against the monotonic clock. It adds to the
+// suspended time what CLOCK_BOOTTIME gained since the last check. A suspension moves the wall
+// clock ahead by the same amount, so that at most noticed more than that is added.
 func (c *Clock) look(drift time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,21 +91,21 @@
 	c.lead = lead
 }
 
-// Suspended returns for how long the VM was suspended, as far as that was noticed.
+// Suspended returns the total suspended time detected so far.
 func (c *Clock) Suspended() time.Duration { return time.Duration(c.suspended.Load()) }
 
-// Timer returns a time of this clock as the runtime's timers and deadlines understand it.
+// Timer converts a time of this clock to the runtime's clock, for timers and I/O deadlines.
 func (c *Clock) Timer(t time.Time) time.Time { return t.Add(-c.Suspended()) }
 
-// system is the clock of the process.
+// system is the clock behind the package-level functions.
 var system = New(processSource{begun: time.Now()})
 
-// processSource reads the clocks of the machine.
+// processSource reads the operating system's clocks.
 type processSource struct{ begun time.Time }
 
 var _ Source = processSource{}
 
-// Read implements [Source]. It makes no system call.
+// Read implements [Source]. It makes no system call: Clock.Now calls it each time.
 func (s processSource) Read() Reading {
 	t := time.Now()
 	return Reading{At: t, Steady: t.Sub(s.begun), Wall: time.Duration(t.UnixNano())}
@@ -119,14 +120,14 @@
 	return time.Duration(counting.Nano() - steady.Nano()), true
 }
 
-// Now returns the time by the clock of the process.
+// Now returns the current time, suspensions of the VM included.
 func Now() time.Time { return system.Now() }
 
-// Since returns how long ago a time of [Now] is.
+// Since returns the time elapsed since t, which is a time of [Now].
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns how long it is until a time of [Now].
+// Until returns the duration until t, which is a time of [Now].
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Timer returns a time of [Now] as the runtime's timers and deadlines understand it.
+// Timer converts a time of [Now] to the runtime's clock, for timers and I/O deadlines.
 func Timer(t time.Time) time.Time { return system.Timer(t) }
--- a/transport/clock/clock_test.go
+++ b/transport/clock/clock_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// fakeSource is a machine whose clocks a test moves.
+// fakeSource is a Source whose clocks are set by the test.
 type fakeSource struct {
 	steady, wall, boot time.Duration
-	unknown            bool // there is no clock that counts suspensions
+	unknown            bool // CLOCK_BOOTTIME is not available
 }
 
 func (f *fakeSource) Read() Reading {
@@ -25,22 +25,22 @@
 	for _, c := range []struct {
 		name string
 		play func(f *fakeSource, look func())
-		want time.Duration // that has passed by the clock
+		want time.Duration // elapsed by the clock
 	}{
-		{"nothing happens", func(f *fakeSource, _ func()) { f.run(time.Minute) }, time.Minute},
-		{"suspended for 5 s", func(f *fakeSource, _ func()) { f.run(time.Second); f.suspend(5 * time.Second); f.run(time.Second) }, 7 * time.Second},
-		{"twice", func(f *fakeSource, look func()) {
+		{"no suspension", func(f *fakeSource, _ func()) { f.run(time.Minute) }, time.Minute},
+		{"one suspension", func(f *fakeSource, _ func()) { f.run(time.Second); f.suspend(5 * time.Second); f.run(time.Second) }, 7 * time.Second},
+		{"two suspensions", func(f *fakeSource, look func()) {
 			f.suspend(5 * time.Second)
 			look()
 			f.run(time.Second)
 			f.suspend(3 * time.Second)
 		}, 9 * time.Second},
-		{"the time of day steps ahead", func(f *fakeSource, _ func()) { f.run(time.Second); f.step(time.Hour) }, time.Second},
-		{"and back", func(f *fakeSource, look func()) { f.step(time.Hour); look(); f.run(time.Second); f.step(-time.Hour) }, time.Second},
-		{"a suspension after a step back", func(f *fakeSource, look func()) { f.step(-time.Hour); look(); f.suspend(4 * time.Second) }, 4 * time.Second},
-		{"no clock counts suspensions", func(f *fakeSource, _ func()) { f.unknown = true; f.run(time.Second); f.suspend(5 * time.Second) }, time.Second},
-		{"a clock that says nonsense", func(f *fakeSource, _ func()) { f.boot += 1000 * time.Hour; f.step(time.Second) }, time.Second + noticed},
-		{"small adjustments", func(f *fakeSource, look func()) {
+		{"wall clock steps forward", func(f *fakeSource, _ func()) { f.run(time.Second); f.step(time.Hour) }, time.Second},
+		{"wall clock steps forward and back", func(f *fakeSource, look func()) { f.step(time.Hour); look(); f.run(time.Second); f.step(-time.Hour) }, time.Second},
+		{"suspension after the wall clock stepped back", func(f *fakeSource, look func()) { f.step(-time.Hour); look(); f.suspend(4 * time.Second) }, 4 * time.Second},
+		{"CLOCK_BOOTTIME is not available", func(f *fakeSource, _ func()) { f.unknown = true; f.run(time.Second); f.suspend(5 * time.Second) }, time.Second},
+		{"CLOCK_BOOTTIME jumps by itself", func(f *fakeSource, _ func()) { f.boot += 1000 * time.Hour; f.step(time.Second) }, time.Second + noticed},
+		{"gradual wall clock adjustments", func(f *fakeSource, look func()) {
 			for range 50 {
 				f.run(time.Second)
 				f.step(time.Millisecond)
@@ -53,13 +53,13 @@
 		begun := clock.Now()
 		c.play(f, func() { clock.Now() })
 		if got := clock.Now().Sub(begun); got != c.want {
-			t.Errorf("%s: %v have passed, want %v", c.name, got, c.want)
+			t.Errorf("%s: %v elapsed, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// TestTimersAreThoseOfTheRuntime holds that a deadline that passed in a suspension is over for
-// the runtime too, and one that has not is as far away as it is.
+// TestTimersAreThoseOfTheRuntime checks that a deadline converted to the runtime's clock
+// leaves the same time as it does on this clock after a suspension.
 func TestTimersAreThoseOfTheRuntime(t *testing.T) {
 	f := &fakeSource{}
 	clock := New(f)
@@ -67,22 +67,22 @@
 	f.suspend(5 * time.Second)
 	clock.Now()
 	if left := clock.Timer(deadline).Sub(f.Read().At); left != 3*time.Second {
-		t.Errorf("the runtime would wait %v, want 3 s", left)
+		t.Errorf("the runtime would wait %v, want 3s", left)
 	}
 }
 
-// TestProcessClockRuns reads the clocks of this machine.
+// TestProcessClockRuns uses the real clocks of the machine that runs the test.
 func TestProcessClockRuns(t *testing.T) {
 	a := Now()
 	time.Sleep(2 * time.Millisecond)
 	if d := Since(a); d < 2*time.Millisecond || d > time.Minute {
-		t.Errorf("%v have passed", d)
+		t.Errorf("%v elapsed, want at least 2ms and at most a minute", d)
 	}
 	if lead, ok := (processSource{}).Lead(); !ok || lead < 0 {
 		t.Errorf("lead %v, known %t", lead, ok)
 	}
 	if left := Until(a.Add(time.Hour)); left > time.Hour || left < 59*time.Minute {
-		t.Errorf("%v are left of an hour", left)
+		t.Errorf("%v until a time one hour ahead, want between 59 and 60 minutes", left)
 	}
 }
 
--- a/transport/doc.go
+++ b/transport/doc.go
@@ -1,10 +1,9 @@
-// Package transport holds what every part that talks over a network shares:
-// mutual TLS between processes, calls bounded by the other side's silence, and
-// the recorder behind the time line. The parts themselves stand below it: relay
-// carries requests of the front end in production to replicas, gateway serves
-// the OpenAI front end.
+// Package transport holds the networking code that daemons share: mutual TLS
+// between processes, HTTP requests with an idle timeout, and the recorder of
+// timeline events. Its subpackages are the front ends: relay proxies requests of
+// the production front end to replicas, gateway serves the OpenAI front end.
 //
-// It decides nothing; decisions are in coordination.
+// The package makes no decisions; those are in coordination.
 //
 // # Usage
 //
--- a/transport/fetch.go
+++ b/transport/fetch.go
@@ -1,6 +1,6 @@
-// This file bounds a call by the other side's silence and not by the call's
-// length: a large answer may take long on a small link, while a peer that sends
-// nothing is given up soon.
+// This file sends HTTP requests with an idle timeout in place of a total one: a
+// large response may take long on a slow link, while a peer that sends nothing is
+// given up soon.
 
 package transport
 
@@ -13,15 +13,15 @@
 	"github.com/rotisserie/eris"
 )
 
-// Timeouts bound the silence of the other side of a call.
+// Timeouts bound how long a peer may send nothing.
 type Timeouts struct {
-	FirstByte time.Duration // until the answer begins
-	Idle      time.Duration // between two reads of its body
+	FirstByte time.Duration // until the response header
+	Idle      time.Duration // between two reads of the response body
 }
 
-// Fetch sends a request and passes the answer to read, whose error it returns. The
-// call ends with an error when the other side is silent for longer than t allows,
-// and when the request's context ends.
+// Fetch sends a request, passes the response to read and returns read's error. It
+// fails when the peer sends nothing for longer than t allows, and when the request's
+// context is done.
 func Fetch(client *http.Client, req *http.Request, t Timeouts, read func(*http.Response) error) error {
 	ctx, cancel := context.WithCancel(req.Context())
 	defer cancel()
@@ -37,14 +37,14 @@
 	return read(resp)
 }
 
-// timedBody restarts the idle timeout with each read.
+// timedBody is a response body that restarts the idle timeout after each read.
 type timedBody struct {
 	io.ReadCloser
 	timer *time.Timer
 	idle  time.Duration
 }
 
-// Read reads a piece.
+// Read implements [io.Reader].
 func (b *timedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	b.timer.Reset(b.idle)
--- a/transport/fetch_test.go
+++ b/transport/fetch_test.go
@@ -15,7 +15,8 @@
 var _ = Describe("Fetch", func() {
 	timeouts := transport.Timeouts{FirstByte: 150 * time.Millisecond, Idle: 150 * time.Millisecond}
 
-	// fetch asks a server that waits, then writes pieces with pauses between.
+	// fetch requests a response of which the server sends the first piece after wait, and
+	// each further one after gap. It returns the number of bytes read.
 	fetch := func(wait, gap time.Duration, pieces int) (int, error) {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			time.Sleep(wait)
@@ -40,18 +41,18 @@
 		return n, err
 	}
 
-	It("takes an answer that comes slowly, though it takes much longer than any silence may last", func() {
+	It("reads a slow response that takes longer in all than the idle timeout", func() {
 		n, err := fetch(0, 50*time.Millisecond, 10)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(n).To(Equal(50))
 	})
 
-	It("gives up one that does not begin", func() {
+	It("fails if the response does not start within the first-byte timeout", func() {
 		_, err := fetch(400*time.Millisecond, 0, 1)
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("gives up one that falls silent", func() {
+	It("fails if the body pauses for longer than the idle timeout", func() {
 		_, err := fetch(0, 500*time.Millisecond, 3)
 		Expect(err).To(HaveOccurred())
 	})
--- a/transport/metrics.go
+++ b/transport/metrics.go
@@ -1,4 +1,4 @@
-// This file writes a metrics page.
+// This file writes metrics in the Prometheus text format.
 
 package transport
 
@@ -12,12 +12,12 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// metricPrefix begins the name of each metric.
+// metricPrefix is the prefix of all metric names.
 const metricPrefix = "hingewinch_"
 
-// WriteMetrics writes the metrics of a registry, sorted by name, in the text form
-// that scrapers read. Timers are in seconds; quantiles are those of timers and
-// histograms.
+// WriteMetrics writes the metrics of a registry in the Prometheus text format, sorted
+// by line. Timers are in seconds. Timers and histograms are written as the given
+// quantiles and a count.
 func WriteMetrics(w io.Writer, r metrics.Registry, quantiles []float64) error {
 	var lines []string
 	r.Each(func(name string, v any) {
--- a/transport/recorder.go
+++ b/transport/recorder.go
@@ -1,5 +1,5 @@
-// This file defines the recorder of a daemon: its events go to the ring behind
-// the time line, stamped by the hybrid clock, and to the log.
+// This file defines the event recorder of a daemon. Events are stamped by the hybrid
+// clock, kept in a ring buffer for the timeline, and written to the log.
 
 package transport
 
@@ -14,13 +14,13 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// PathTimeline is where the operators' listeners serve a daemon's events.
+// PathTimeline is the path under which the operators' listener serves a daemon's events.
 const PathTimeline = "/timeline"
 
-// ringSize is how many events a daemon keeps.
+// defaultRingSize is the number of events that a daemon keeps.
 const ringSize = 4096
 
-// Recorder is safe for use by many goroutines.
+// Recorder records the timeline events of one daemon. It is safe for concurrent use.
 type Recorder struct {
 	daemon state.DaemonID
 	logger *log.Logger
@@ -30,17 +30,18 @@
 	ring  *coordination.Ring
 }
 
-// NewRecorder returns the recorder of a daemon. logger may be nil.
+// NewRecorder returns a recorder for a daemon. If logger is nil, events are not logged.
 func NewRecorder(d state.DaemonID, logger *log.Logger) *Recorder {
 	return NewRecorderSize(d, logger, ringSize)
 }
 
-// NewRecorderSize returns a recorder that keeps so many events.
+// NewRecorderSize is like [NewRecorder] but keeps the given number of events.
 func NewRecorderSize(d state.DaemonID, logger *log.Logger, events int) *Recorder {
 	return &Recorder{daemon: d, logger: logger, ring: coordination.NewRing(events)}
 }
 
-// Record adds an event.
+// Record adds an event to the ring buffer and logs it. about names the subject of the
+// event, and id the request that caused it, if any.
 func (r *Recorder) Record(kind coordination.EventKind, about string, id state.RequestID, format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	r.mu.Lock()
@@ -52,28 +53,28 @@
 	}
 }
 
-// Stamp returns a stamp for a message.
+// Stamp returns a hybrid clock timestamp for an outgoing message.
 func (r *Recorder) Stamp() coordination.Stamp {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.clock.Next(time.Now())
 }
 
-// Observe takes in the stamp of a received message.
+// Observe advances the hybrid clock by the stamp of a received message.
 func (r *Recorder) Observe(s coordination.Stamp) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.clock.Observe(time.Now(), s)
 }
 
-// Events returns the ring's events, oldest first.
+// Events returns the recorded events that are still kept, oldest first.
 func (r *Recorder) Events() []coordination.TimelineEvent {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ring.Events()
 }
 
-// Prefixes of log lines, one for each part.
+// Log message prefixes, one for each component.
 const (
 	prefixEvents  = "events: "
 	PrefixGateway = "gateway: "
--- a/transport/tls.go
+++ b/transport/tls.go
@@ -1,5 +1,5 @@
-// This file reads keys and certificates. A renewed file is taken up without a
-// restart; a broken one leaves the last good one in force.
+// This file loads TLS keys and certificates and reloads them when the files change.
+// If a changed file can't be loaded, the last valid certificate stays in use.
 
 package transport
 
@@ -13,20 +13,20 @@
 	"github.com/rotisserie/eris"
 )
 
-// TLSFiles names the files of one TLS identity, in PEM.
+// TLSFiles names the PEM files of one TLS identity.
 type TLSFiles struct {
 	Certificate string `yaml:"certificate"`
 	Key         string `yaml:"key"`
-	Authority   string `yaml:"authority"` // who signs the other side; required for peers
+	Authority   string `yaml:"authority"` // CA certificates that the other side's must chain to; required for peers
 }
 
-// IsZero reports whether no TLS is wanted.
+// IsZero reports whether TLS is not configured.
 func (f TLSFiles) IsZero() bool { return f == TLSFiles{} }
 
-// certificateCheck is how often the files are looked at.
+// certificateCheck is the minimum time between two checks for changed files.
 const certificateCheck = 10 * time.Second
 
-// certificates holds the identity that is in force.
+// certificates holds the certificates in use and reloads them when their files change.
 type certificates struct {
 	files TLSFiles
 	now   func() time.Time
@@ -38,7 +38,8 @@
 	pool    *x509.CertPool
 }
 
-// loadCertificates reads the files the first time; an error then is final.
+// loadCertificates loads the files for the first time. Unlike a reload, it returns an
+// error if one of them can't be loaded.
 func loadCertificates(files TLSFiles, now func() time.Time) (*certificates, error) {
 	c := &certificates{files: files, now: now}
 	stamp, err := c.modified()
@@ -59,7 +60,7 @@
 		}
 		info, err := os.Stat(name)
 		if err != nil {
-			return stamp, eris.Wrap(err, "read TLS file; check its path and rights")
+			return stamp, eris.Wrap(err, "read TLS file; check its path and permissions")
 		}
 		stamp[i] = info.ModTime()
 	}
@@ -69,24 +70,25 @@
 func (c *certificates) load() error {
 	cert, err := tls.LoadX509KeyPair(c.files.Certificate, c.files.Key)
 	if err != nil {
-		return eris.Wrap(err, "load certificate and key; check that they belong together")
+		return eris.Wrap(err, "load certificate and key; check that the key belongs to the certificate")
 	}
 	var pool *x509.CertPool
 	if c.files.Authority != "" {
 		pem, err := os.ReadFile(c.files.Authority)
 		if err != nil {
-			return eris.Wrap(err, "read authority; check its path and rights")
+			return eris.Wrap(err, "read CA file; check its path and permissions")
 		}
 		pool = x509.NewCertPool()
 		if !pool.AppendCertsFromPEM(pem) {
-			return eris.Errorf("authority %s holds no certificate; write PEM", c.files.Authority)
+			return eris.Errorf("CA file %s contains no certificate; it must be in PEM format", c.files.Authority)
 		}
 	}
 	c.cert, c.pool = &cert, pool
 	return nil
 }
 
-// current returns the identity in force, read again if the files changed.
+// current returns the certificate and the CA pool in use. If certificateCheck has passed
+// since the last check and the files have changed, it reloads them first.
 func (c *certificates) current() (*tls.Certificate, *x509.CertPool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,8 +101,8 @@
 	return c.cert, c.pool
 }
 
-// ServerTLS returns the configuration of a server. With an authority, clients
-// must show a certificate that it signed.
+// ServerTLS returns a server configuration. If a CA file is given, clients must present
+// a certificate that chains to it.
 func ServerTLS(files TLSFiles) (*tls.Config, error) {
 	c, err := loadCertificates(files, time.Now)
 	if err != nil {
@@ -119,10 +121,10 @@
 	return base, nil
 }
 
-// ClientTLS returns the configuration of a client that shows a certificate and
-// checks the server's against the authority. Peers are met by IP number, which
-// replacement VMs share over time, so the chain is checked and the name is not:
-// whoever holds a certificate of the authority is a daemon of the fleet.
+// ClientTLS returns the configuration of a client that presents a certificate and
+// verifies that the server's chains to the CA. It does not verify the host name: peers
+// are dialed by IP address, and replacement VMs reuse addresses. Whoever has a
+// certificate of the CA counts as a daemon of the fleet.
 func ClientTLS(files TLSFiles) (*tls.Config, error) {
 	c, err := loadCertificates(files, time.Now)
 	if err != nil {
@@ -134,7 +136,7 @@
 			cert, _ := c.current()
 			return cert, nil
 		},
-		// The check below takes the place of the one that needs a name.
+		// VerifyConnection replaces the default verification, which needs a host name.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(cs tls.ConnectionState) error {
 			_, pool := c.current()
@@ -145,7 +147,7 @@
 
 func verifyChain(cs tls.ConnectionState, pool *x509.CertPool) error {
 	if len(cs.PeerCertificates) == 0 {
-		return eris.New("peer showed no certificate; give it one in its settings")
+		return eris.New("peer presented no certificate; configure one in its settings")
 	}
 	opts := x509.VerifyOptions{Roots: pool, Intermediates: x509.NewCertPool()}
 	for _, cert := range cs.PeerCertificates[1:] {
--- a/transport/tls_test.go
+++ b/transport/tls_test.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// writeIdentity writes a self-signed certificate of a serial number.
+// writeIdentity writes a new key and a self-signed certificate with the given serial
+// number, and sets the files' modification times.
 func writeIdentity(t *testing.T, f TLSFiles, serial int64, modified time.Time) {
 	t.Helper()
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -61,13 +62,13 @@
 	writeIdentity(t, f, 2, now.Add(time.Second))
 	now = now.Add(certificateCheck)
 	if got := serialOf(t, c); got != 2 {
-		t.Fatalf("certificate %d is in force, want the renewed one", got)
+		t.Fatalf("certificate %d is in use, want the renewed one", got)
 	}
 	if err := os.WriteFile(f.Certificate, []byte("broken"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	now = now.Add(certificateCheck)
 	if got := serialOf(t, c); got != 2 {
-		t.Fatalf("certificate %d is in force, want the last good one", got)
+		t.Fatalf("certificate %d is in use, want the last valid one", got)
 	}
 }
