--- a/transport/relay/answer.go
+++ b/transport/relay/answer.go
@@ -1,5 +1,5 @@
-// This file passes answers on: plain ones when they are whole, streams event by
-// event.
+// This file forwards responses to callers: streams event by event, others once they
+// are complete.
 
 package relay
 
@@ -15,24 +15,25 @@
 	"hingewinch.org/hingewinch/transport/clock"
 )
 
-// Errors of answers.
+// Causes of responses that can't be forwarded.
 var (
-	errDrained   = errors.New("replica left while the connection came up")
-	errOrder     = errors.New("events are not in their order")
-	errTooLarge  = errors.New("answer is too large")
+	errDrained   = errors.New("replica left the view during connection setup")
+	errOrder     = errors.New("event ids do not increase or an event is too large")
+	errTooLarge  = errors.New("response is too large")
 	errOwnFault  = errors.New("replica answered with an error of its own")
-	errCaller    = errors.New("caller takes no more")
+	errCaller    = errors.New("write to caller failed")
 	errEndInside = errors.New("stream ended inside an event")
 )
 
-// streamReadBytes is the size of one read of a stream: some events.
+// streamReadBytes is the size of the buffer for reading streams. It holds some events.
 const streamReadBytes = 2 << 10
 
-// maxAnswerBytes bounds a plain answer, which is held whole.
+// maxAnswerBytes is the maximum size of a response that is not streamed, which is held
+// in memory.
 const maxAnswerBytes = 8 << 20
 
-// relayWhole reads an answer to its end and passes it on. Only a whole one goes
-// out, so that one that broke off can be asked for again.
+// relayWhole reads a response to its end and then forwards it. Nothing is forwarded of
+// an incomplete response, so that the request can be retried.
 func (s *serving) relayWhole(ctx context.Context, x *exchange, t *routing.Target) *failure {
 	status := x.response.StatusCode
 	body, err := io.ReadAll(io.LimitReader(x.response.Body, maxAnswerBytes+1))
@@ -48,11 +49,11 @@
 		s.praise(&t.Replica, now)
 		return s.answer(ctx, status, x.response.Header, body)
 	}
-	if x.head.Says.Rest == 0 { // one that asks for rest has not failed
+	if x.head.Says.Rest == 0 { // a requested backoff does not count as a failure
 		s.failed = append(s.failed, t.Replica)
 	}
 	if s.attempts.BetterAnswerPossible() {
-		// Another replica may do better; if none does, this answer goes out.
+		// Another replica may succeed; if none does, this response is forwarded.
 		s.fallback = &fallback{status: status, header: x.response.Header, body: body}
 		return &failure{outcome: mayHaveRun, result: routing.ResultFailed, err: errOwnFault}
 	}
@@ -62,9 +63,9 @@
 	return s.answer(ctx, status, x.response.Header, body)
 }
 
-// blameFailed counts the errors that replicas answered with against them. Where
-// several replicas failed on a request and none served it, the request is at
-// fault and none is blamed.
+// blameFailed records the error responses of earlier attempts as failures of their
+// replicas. It is not called if several replicas failed on the request and none served
+// it: then the fault is likely the request's.
 func (s *serving) blameFailed() {
 	for i := range s.failed {
 		s.blame(&s.failed[i], routing.ResultFailed, errOwnFault)
@@ -80,13 +81,13 @@
 	s.summary.Status = status
 	s.summary.FirstByte = clock.Since(s.call.Arrived)
 	if err := s.sink.Answer(status, h, body); err != nil && ctx.Err() == nil {
-		return &failure{outcome: mayHaveRun, result: routing.ResultGood, err: eris.Wrap(err, "write answer")}
+		return &failure{outcome: mayHaveRun, result: routing.ResultGood, err: eris.Wrap(err, "write response")}
 	}
 	return nil
 }
 
-// relayStream passes events on as they come. The answer begins with the first
-// event, so that a stream that breaks before it can still be refused.
+// relayStream forwards events as they arrive. The header is sent with the first event,
+// so that a stream that breaks before it can still be refused with an error status.
 func (s *serving) relayStream(ctx context.Context, x *exchange, t *routing.Target) *failure {
 	if s.events == nil {
 		s.events = newEventReader(s.call.LastEvent)
@@ -120,8 +121,8 @@
 	return nil
 }
 
-// awaitEvent waits for more of a stream. Where the stream can go on at another
-// replica it waits only for a while.
+// awaitEvent waits for more bytes of a stream. If the stream can be resumed at another
+// replica, it waits no longer than the event timeout.
 func (s *serving) awaitEvent(ctx context.Context, x *exchange) *failure {
 	if x.conn.reader.Buffered() > 0 {
 		return nil
@@ -136,7 +137,7 @@
 		arrived, err = x.await(x.deadline)
 	}
 	if err != nil {
-		// The end of an answer without a length is found by reading.
+		// A response without a length ends with the connection; the next read returns EOF.
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
@@ -150,7 +151,7 @@
 	return f
 }
 
-// pass hands the whole events among p to the caller.
+// pass forwards the events that p completes to the caller.
 func (s *serving) pass(x *exchange, p []byte) *failure {
 	whole, ok := s.events.take(p)
 	if !ok {
@@ -168,8 +169,8 @@
 	return nil
 }
 
-// begin sends the header of a streamed answer once. An answer that goes on at
-// another replica keeps that of the first.
+// begin sends the header of a streamed response, unless it was sent. A stream that is
+// resumed at another replica keeps the first one's header.
 func (s *serving) begin(x *exchange) *failure {
 	if s.attempts.Begun {
 		return nil
--- a/transport/relay/call.go
+++ b/transport/relay/call.go
@@ -1,5 +1,4 @@
-// This file defines what goes through a relay: the call, the words of the
-// outside protocol, and the caller's end.
+// This file defines the types through which front ends and protocols use a relay.
 
 package relay
 
@@ -12,93 +11,94 @@
 	"hingewinch.org/hingewinch/state/feed"
 )
 
-// Call is one request of a caller, read whole.
+// Call is one request of a caller, read completely.
 type Call struct {
 	routing.Request
 	Method    string
-	Target    string // path and query, as the caller wrote them
+	Target    string // path and query, as the caller sent them
 	Host      string
-	Header    http.Header // what is passed on to the replica
+	Header    http.Header // header fields to forward to the replica
 	Body      []byte
 	Workspace routing.WorkspaceName
-	LastEvent string // id of the last event that the caller has; empty: from the start
+	LastEvent string // id of the last event that the caller received; empty: from the start
 }
 
-// RequestHead is what one attempt adds to a call's header.
+// RequestHead holds what one attempt adds to the call's header fields.
 type RequestHead struct {
 	Replica   *routing.Replica
-	Source    string        // address of the replica to copy the prompt from; may be empty
+	Source    string        // address of the replica to copy the prompt from; empty: none
 	Left      time.Duration // until the deadline
-	LastEvent string        // id of the last event that need not be sent
+	LastEvent string        // id of the event after which the stream starts; empty: from the beginning
 }
 
-// ResponseHead is what the header of a replica's answer says.
+// ResponseHead is the parsed header of a replica's response.
 type ResponseHead struct {
-	Request routing.RequestID // the request that it answers; empty: none is named
-	Sealed  bool              // the replica vouches for the answer
-	NotRun  bool              // the replica says that the request has not run
+	Request routing.RequestID // id of the request that it responds to; empty: not given
+	Sealed  bool              // the response carries the replica's seal
+	NotRun  bool              // the replica states that it did not run the request
 	Encoded bool              // the body has a content encoding
 	Says    Statement
 }
 
-// Statement is what a replica says of itself in the header of an answer, whatever answer that
-// is. The zero value says nothing.
+// Statement is what a replica reports about itself in the header of a response, whatever the
+// status. The zero value reports nothing.
 type Statement struct {
-	Load ReportedLoad  // as it began to answer
-	Idle time.Duration // how long the connection may be idle; 0: not said
-	// Rest is for how long it wants no more requests from this daemon; 0: it did not ask.
+	Load ReportedLoad  // when it began to respond
+	Idle time.Duration // how long the connection may be idle; 0: not given
+	// Rest is the requested backoff: for how long this daemon should send it no requests; 0: none.
 	Rest    time.Duration
-	Leaving bool // it leaves: it takes no new requests and ends soon
-	// NotUnderstood are the fields that can't be read, as "Name: value". They say nothing.
+	Leaving bool // it takes no new requests and terminates soon
+	// NotUnderstood are the header fields that could not be parsed, as "Name: value". They are
+	// ignored otherwise.
 	NotUnderstood []string
 }
 
-// ReportedLoad is how many requests a replica says it holds. The zero value says nothing.
+// ReportedLoad is a replica's own count of its requests. The zero value is an unknown load.
 type ReportedLoad struct {
 	Known    bool
-	Requests int // that run or wait there, the answered one counted
+	Requests int // running or queued, including the one that the response belongs to
 }
 
-// Codec translates between calls and the replicas' protocol.
+// Codec encodes requests and decodes response headers in the replicas' protocol.
 type Codec interface {
-	// AppendRequest appends the header of a request, up to the empty line.
+	// AppendRequest appends the request line and header, including the empty line after them.
 	AppendRequest(buf []byte, c *Call, h RequestHead) []byte
-	// ReadResponse reads the header of an answer.
+	// ReadResponse parses the header of a response.
 	ReadResponse(status int, h http.Header) ResponseHead
 }
 
-// Sink is the caller's end. Its methods are called by one goroutine.
+// Sink writes the response to the caller. Its methods are called by one goroutine.
 type Sink interface {
-	// Answer gives a whole answer.
+	// Answer writes a complete response.
 	Answer(status int, h http.Header, body []byte) error
-	// Begin gives the header of a streamed answer.
+	// Begin gives the header of a streamed response. It is called once, before Write.
 	Begin(status int, h http.Header) error
-	// Write passes a piece of a streamed answer on at once.
+	// Write writes a part of a streamed response and flushes it.
 	Write(p []byte) error
-	// Refuse gives the final answer to a request that got none.
+	// Refuse writes the error response to a request for which there is no replica's response.
 	Refuse(o coordination.Outcome)
-	// Abort ends a streamed answer so that it can't be taken as whole.
+	// Abort ends the response in a way that the caller can't take for its regular end.
 	Abort()
 }
 
-// Attempt says how one attempt at a replica went.
+// Attempt describes one attempt at a replica.
 type Attempt struct {
 	Replica  routing.ReplicaID
-	Rank     int               // place of the replica in the prompt's order
-	Cold     bool              // the replica was cold
-	Copied   routing.ReplicaID // source of the prompt; empty: none
-	Load     int               // of the replica when it was chosen, in requests
-	Mean     float64           // of the service, in requests
-	Coverage float64           // share of the fleet's daemons that Load and Mean contain
-	Reported ReportedLoad      // what the replica said it held; what Load should have been
-	Rest     time.Duration     // that the replica asked for; 0: none
-	Leaving  bool              // the replica said that it leaves
+	Rank     int               // position of the replica in the prompt's order of preference
+	Cold     bool              // the replica was cold when it was chosen
+	Copied   routing.ReplicaID // replica that the prompt is copied from; empty: none
+	Load     int               // of the replica when it was chosen, as estimated by this daemon, in requests
+	Mean     float64           // mean load of the service's replicas, in requests
+	Coverage float64           // fraction of the fleet's daemons whose load is included in Load and Mean
+	Reported ReportedLoad      // load that the replica reported; Load is the estimate of it
+	Rest     time.Duration     // backoff that the replica requested; 0: none
+	Leaving  bool              // the replica announced its departure
 	Reused   bool              // the connection was used before
-	Err      error             // nil: the caller has the whole answer
+	Err      error             // nil: the caller has the complete response
 	Duration time.Duration
 }
 
-// Summary says how a call ended.
+// Summary describes how a call ended.
 type Summary struct {
 	Outcome   coordination.Outcome
 	Status    int // 0: none
@@ -106,28 +106,29 @@
 	FirstByte time.Duration // 0: none
 	Total     time.Duration
 	Events    int
-	Gone      bool          // the caller left
-	Position  feed.Position // of the documents on which the last attempt was decided
+	Gone      bool          // the caller disconnected
+	Position  feed.Position // of the documents that the last attempt's routing was based on
 }
 
-// Observer takes note of decisions. Its methods must not block.
+// Observer is notified of events, for logs and metrics. Its methods must not block.
 type Observer interface {
-	// Finished says how a call ended.
+	// Finished is called when a call has ended.
 	Finished(c *Call, s *Summary)
-	// Ejected says that a replica gets no requests for a while.
+	// Ejected is called when a replica is ejected: it gets no requests for a while.
 	Ejected(r *routing.Replica, c *Call, cause error)
-	// EndedUnder says that a replica ended while it had a request.
+	// EndedUnder is called when a replica crashed while it had the request.
 	EndedUnder(r *routing.Replica, c *Call)
-	// HeldBack says that requests of a content are not sent any more.
+	// HeldBack is called when a content is quarantined: its requests are not sent any more.
 	HeldBack(content routing.ContentKey)
-	// Said hands on what a replica said of itself in an answer.
+	// Said is called with what a replica reported about itself in a response.
 	Said(r *routing.Replica, c *Call, says Statement)
-	// Rests says that a replica asked for rest and gets nothing for a while.
+	// Rests is called when a replica that was not backing off requested a backoff: it gets no
+	// requests from this daemon for the time that is left.
 	Rests(r *routing.Replica, c *Call, left time.Duration)
-	// Leaves says that a replica said that it leaves.
+	// Leaves is called when a replica first announced its departure.
 	Leaves(r *routing.Replica, c *Call)
-	// Replaced says that another replica answers at a replica's address.
+	// Replaced is called when another replica first responded at a replica's address.
 	Replaced(r *routing.Replica, c *Call)
-	// Crowded says that a replica holds too much, by its own report.
+	// Crowded is called when a replica is overloaded by its own report.
 	Crowded(r *routing.Replica, c *Call, l ReportedLoad)
 }
--- a/transport/relay/crash_test.go
+++ b/transport/relay/crash_test.go
@@ -13,7 +13,7 @@
 	"hingewinch.org/hingewinch/transport/relay"
 )
 
-var _ = Describe("A request that replicas end under", func() {
+var _ = Describe("A request that crashes replicas", func() {
 	gone := 0
 	crashed := func(w *world, c *relay.Call, ends int) {
 		for range ends {
@@ -23,7 +23,7 @@
 		}
 	}
 
-	It("is refused at once, with a long time to come back, as not run", func() {
+	It("is refused at once as not run, with a long Retry-After, when it is quarantined", func() {
 		r := startReplica("r", good)
 		w := newWorld(once, r)
 		c := w.call("a", "POST", "x")
@@ -33,20 +33,20 @@
 		Expect(ok).To(BeTrue())
 		Expect(refusal.Reason).To(Equal(coordination.ReasonHeldBack))
 		Expect(refusal.RetryAfter).To(BeNumerically(">=", 10*time.Second))
-		Expect(s.Attempts).To(BeEmpty(), "no replica is chosen, no connection opened")
+		Expect(s.Attempts).To(BeEmpty(), "no replica is chosen and no connection is opened")
 		Expect(r.connections()).To(BeZero())
 		other, _ := w.serve(w.call("b", "POST", "y"))
 		Expect(other.status).To(Equal(200))
 	})
 
-	It("is refused as not run when the third ends elsewhere while its connection comes up", func() {
+	It("is refused as not run when another daemon reports the third crash during connection setup", func() {
 		r := startReplica("r", good)
 		w := newWorld(once, r)
 		c := w.call("a", "POST", "x")
 		crashed(w, c, 2)
 		views := 0
 		w.relay.View = func() *routing.View {
-			if views++; views == 2 { // the attempt has begun
+			if views++; views == 2 { // the attempt has started
 				crashed(w, c, 1)
 			}
 			return w.view
@@ -58,7 +58,7 @@
 		Expect(r.connections()).To(Equal(1), "the connection is kept for the next request")
 	})
 
-	It("is not sent on, and said to have run maybe, when the third ends", func() {
+	It("is not retried, and reported as maybe run, after the third crash", func() {
 		first, second := startReplica("a", nil), startReplica("b", nil)
 		for _, r := range []*replica{first, second} {
 			r.script = func(*arrival) bool { return r.end() }
@@ -72,7 +72,7 @@
 		Expect(w.seen.heldBack).To(ConsistOf(c.Content))
 	})
 
-	It("does not go on elsewhere when the third ends in the middle of its stream", func() {
+	It("is not resumed at another replica when the third crash breaks its stream", func() {
 		first, second := startReplica("a", nil), startReplica("b", nil)
 		for _, r := range []*replica{first, second} {
 			r.script = func(a *arrival) bool {
@@ -86,11 +86,11 @@
 		c := w.call("x", "POST", "x")
 		crashed(w, c, 2)
 		to, _ := w.serve(c)
-		Expect(to.broken).To(BeTrue(), "the caller must not take the stream as whole")
+		Expect(to.broken).To(BeTrue(), "the caller must not take the stream as complete")
 		Expect(first.count() + second.count()).To(Equal(1))
 	})
 
-	It("is sent again once it was answered whole elsewhere", func() {
+	It("is sent again after a complete response has cleared earlier crashes", func() {
 		r := startReplica("r", good)
 		w := newWorld(once, r)
 		c := w.call("a", "POST", "x")
@@ -101,7 +101,7 @@
 		Expect(to.status).To(Equal(200))
 	})
 
-	It("is not acquitted by an error of the replica's own", func() {
+	It("is not cleared by an error response", func() {
 		r := startReplica("r", func(a *arrival) bool { return answer(a, 500, sealed, "") })
 		w := newWorld(once, r)
 		c := w.call("a", "POST", "x")
@@ -113,12 +113,13 @@
 	})
 })
 
-// TestRequestThatCrashesReplicasStops is the incident of internal/soak's
-// TestCrashingRequestsReachFewReplicas at one daemon: one content under ever new ids, each of
-// which ends the replica that gets it. Nothing remembers it from one id to the next.
+// TestRequestThatCrashesReplicasStops reproduces the incident of internal/soak's
+// TestCrashingRequestsReachFewReplicas at a single daemon: requests with the same content, each
+// under a new id, crash every replica that receives one. The incident happened because crashes
+// were not remembered across ids.
 func TestRequestThatCrashesReplicasStops(t *testing.T) {
-	const tries, allowed = 10, 6 // three ends, and three arrivals after them
-	for name, route := range map[string]routing.Route{"may run more than once": repeatable, "runs once": once, "may go on elsewhere": resumable} {
+	const tries, allowed = 10, 6 // three crashes, and three requests received after them
+	for name, route := range map[string]routing.Route{"idempotent": repeatable, "at most once": once, "resumable": resumable} {
 		t.Run(name, func(t *testing.T) {
 			RegisterTestingT(t)
 			var replicas []*replica
--- a/transport/relay/doc.go
+++ b/transport/relay/doc.go
@@ -1,16 +1,16 @@
-// Package relay carries a request to a replica and its answer back. It owns the
-// connections to replicas, for as long as they are open, and the evidence of
-// whether a request can have run.
+// Package relay forwards requests to replicas and their responses to callers. It owns
+// the connections to replicas and determines, for each failed attempt, whether the
+// replica may have run the request.
 //
-// It relies on coordination/routing for every decision: which replica, whether to
-// send again, how long to wait. A front end builds the [Call] and implements
-// [Sink]; the words of the outside protocol stand in a [Codec].
+// All decisions are made by coordination/routing: which replica to use, whether to
+// retry, how long to wait. A front end builds the [Call] and implements [Sink]; a
+// [Codec] implements the replicas' protocol.
 //
-// A replica's connection serves one request at a time, and is used again only if
-// the answer was whole, belonged to the request and left nothing behind.
+// A connection carries one request at a time. It is reused only if the response was
+// complete, belonged to the request, and no further bytes followed it.
 //
 // # Usage
 //
 //	r := relay.New(relay.Options{View: view, Placer: placer, Budgets: budgets, Codec: codec, Observer: observer, Pool: relay.NewPool(), Borrow: borrow})
-//	summary := r.Serve(ctx, call, sink) // returns when the caller has its final answer
+//	summary := r.Serve(ctx, call, sink) // returns when the caller has its final response
 package relay
--- a/transport/relay/ended.go
+++ b/transport/relay/ended.go
@@ -1,6 +1,6 @@
-// This file finds out whether a replica that broke an answer off has ended, or only broke
-// off: links and replicas break single connections too. A replica that has ended refuses a new
-// connection at once.
+// This file determines whether a replica whose connection broke has crashed. A broken connection
+// alone does not prove that, since links and replicas break single connections too. A replica whose
+// process has terminated refuses a new connection at once.
 
 package relay
 
@@ -16,11 +16,11 @@
 	"hingewinch.org/hingewinch/transport/clock"
 )
 
-// endCheckAge is how long the result of one check holds: all that ran at a replica breaks
-// within some milliseconds of its end, and a replica needs longer to start again.
+// endCheckAge is how long the result of a check is reused. All connections to a replica break
+// within some milliseconds of its crash, and a replica takes longer than this to restart.
 const endCheckAge = 100 * time.Millisecond
 
-// isCut reports whether the other end closed or reset the connection.
+// isCut reports whether the error means that the peer closed or reset the connection.
 func isCut(err error) bool {
 	for _, e := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE, errEndInside} {
 		if errors.Is(err, e) {
@@ -30,20 +30,21 @@
 	return false
 }
 
-// endChecks are the latest checks, one for each replica. The zero value has none.
+// endChecks holds the latest check of each replica, so that concurrent requests share one. The
+// zero value is empty.
 type endChecks struct {
 	mu     sync.Mutex
 	latest map[routing.Incarnation]*endCheck
 }
 
-// endCheck is one check; ended may be read once done is closed.
+// endCheck is one check of a replica. ended is valid once done is closed.
 type endCheck struct {
 	begun time.Time
 	done  chan struct{}
 	ended bool
 }
 
-// begin returns the latest check of a replica, and whether the caller is to carry it out.
+// begin returns the current check of a replica. If isNew is true, the caller must perform it.
 func (e *endChecks) begin(id routing.Incarnation, now time.Time) (c *endCheck, isNew bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -58,7 +59,7 @@
 	return c, true
 }
 
-// forget drops the checks that no longer hold.
+// forget removes expired checks.
 func (e *endChecks) forget(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -69,9 +70,9 @@
 	}
 }
 
-// hasEnded reports whether a replica refuses connections. It asks once for all requests that
-// broke off there at a time, also where one's caller leaves meanwhile; the connection of a
-// replica that takes one is kept for the next request.
+// hasEnded reports whether a replica refuses connections. All requests whose connections broke
+// at the same time share one dial, which goes on if the caller of the request that started it
+// disconnects. If the replica accepts the connection, it is kept in the pool.
 func (p *Pool) hasEnded(ctx context.Context, r *routing.Replica, limit int, now time.Time) bool {
 	c, isNew := p.checks.begin(r.Incarnation(), now)
 	if isNew {
@@ -84,7 +85,7 @@
 
 func (p *Pool) refuses(ctx context.Context, r *routing.Replica, limit int) bool {
 	if !p.reserve(r.Incarnation(), limit) {
-		return false // others are open
+		return false // the limit is reached, so other connections are open
 	}
 	c, err := p.open(ctx, r)
 	if err == nil {
--- a/transport/relay/ended_test.go
+++ b/transport/relay/ended_test.go
@@ -12,8 +12,8 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-var _ = Describe("The end of a replica", func() {
-	It("is noted for all requests that were there, with one connection that is refused", func() {
+var _ = Describe("A crash of a replica", func() {
+	It("is recorded for all requests in flight after a single refused connection", func() {
 		const requests = 6
 		var arrived sync.WaitGroup
 		arrived.Add(requests)
@@ -34,39 +34,39 @@
 		Expect(why).To(ContainSubstring("ended"))
 		to, s := w.serve(w.call("g", "POST", "y"))
 		Expect(to.refusal).To(beNotRun())
-		Expect(s.Attempts).To(ConsistOf(HaveField("Cold", true)), "nothing else is left: it is tried as a cold one")
+		Expect(s.Attempts).To(ConsistOf(HaveField("Cold", true)), "no other replica is left, so it is tried as if it were cold")
 		other := startReplica("other", good)
 		w.view.Pools["s"].Ready = append(w.view.Pools["s"].Ready, other.Replica)
 		w.view.Pools["s"].Sort()
 		for i := range 8 {
 			to, s := w.serve(w.call(fmt.Sprint(i), "POST", "y"))
 			Expect(to.status).To(Equal(200))
-			Expect(s.Attempts).To(HaveLen(1), "it gets nothing while another may be chosen")
+			Expect(s.Attempts).To(HaveLen(1), "it gets no requests while another replica is available")
 		}
 	})
 
-	DescribeTable("is not noted where it goes on", func(script func(a *arrival) bool) {
+	DescribeTable("is not recorded if the replica goes on running", func(script func(a *arrival) bool) {
 		r := startReplica("r", script)
 		w := newWorld(once, r)
 		w.serve(w.call("a", "POST", "x"))
 		Expect(w.seen.endedUnder).To(BeEmpty())
 		w.serve(w.call("b", "POST", "x"))
-		Expect(r.connections()).To(BeNumerically("<=", 3), "the connection that was opened to find out is used again")
+		Expect(r.connections()).To(BeNumerically("<=", 3), "the connection opened for the check is reused")
 	},
-		Entry("a reset connection", func(a *arrival) bool { return reset(a.conn) }),
-		Entry("an answer that breaks off", func(a *arrival) bool {
+		Entry("connection reset", func(a *arrival) bool { return reset(a.conn) }),
+		Entry("truncated response", func(a *arrival) bool {
 			raw(a, "HTTP/1.1 200 OK\r\nAttempt-Id: "+a.id()+"\r\n"+sealed+"Content-Length: 9\r\n\r\nx")
 			return false
 		}),
-		Entry("an answer that is none", func(a *arrival) bool { raw(a, "none\r\n\r\n"); return false }),
-		Entry("a whole answer", good),
+		Entry("malformed response", func(a *arrival) bool { raw(a, "none\r\n\r\n"); return false }),
+		Entry("complete response", good),
 	)
 
-	It("is not noted for a request whose caller left", func() {
+	It("is not recorded for a request whose caller disconnected", func() {
 		var r *replica
 		arrived := make(chan struct{})
 		r = startReplica("r", func(a *arrival) bool {
-			_ = r.listener.Close() // it takes no more, and works on
+			_ = r.listener.Close() // accepts no new connections but goes on with the request
 			close(arrived)
 			time.Sleep(50 * time.Millisecond)
 			return r.end()
@@ -80,7 +80,7 @@
 })
 
 var _ = Describe("Connections", func() {
-	It("to a replica before it started again under its id are not used", func() {
+	It("to a replica's former incarnation are not used after it restarts under the same id", func() {
 		r := startReplica("r", good)
 		r.Replica.Born = 1
 		r.Replica = routing.NewReplica(r.Replica)
--- a/transport/relay/events.go
+++ b/transport/relay/events.go
@@ -1,5 +1,5 @@
-// This file finds the events in a streamed answer. Only whole events are passed
-// on; their ids must rise.
+// This file splits a streamed response into server-sent events. Only complete events
+// are forwarded, and their ids must increase.
 
 package relay
 
@@ -8,15 +8,15 @@
 	"strconv"
 )
 
-// eventReader cuts a stream into events and remembers the id of the last.
+// eventReader splits a stream into events and keeps the id of the last one.
 type eventReader struct {
-	rest  []byte // the beginning of an event whose end has not come
-	last  string // id of the last event passed on
-	seq   int64  // the same as a number; -1 before the first
-	count int
+	rest  []byte // an incomplete event at the end of the input
+	last  string // id of the last event returned
+	seq   int64  // last as a number; -1 if there is none
+	count int    // of events returned
 }
 
-// maxEventBytes bounds the size of one event.
+// maxEventBytes is the maximum size of an event.
 const maxEventBytes = 1 << 20
 
 func newEventReader(last string) *eventReader {
@@ -27,9 +27,9 @@
 	return e
 }
 
-// take adds bytes of the stream and returns the whole events among them that
-// are new. The result is valid until the next call. It returns false if the
-// order of the events is broken or one is too large.
+// take appends bytes of the stream and returns the events that are complete now.
+// The result is valid until the next call. It returns false if an event's id does not
+// increase or an event is too large.
 func (e *eventReader) take(p []byte) ([]byte, bool) {
 	e.rest = append(e.rest, p...)
 	end := lastBoundary(e.rest)
@@ -54,7 +54,7 @@
 	return out, true
 }
 
-// reset forgets the beginning of an event that will not be finished.
+// reset discards an incomplete event, before the stream is resumed at another replica.
 func (e *eventReader) reset() { e.rest = e.rest[:0] }
 
 var (
@@ -63,7 +63,7 @@
 	idField    = []byte("id:")
 )
 
-// lastBoundary returns the length of the part that ends with an event's end.
+// lastBoundary returns the length of the complete events at the start of p.
 func lastBoundary(p []byte) int {
 	end := 0
 	if i := bytes.LastIndex(p, boundary); i >= 0 {
@@ -75,7 +75,7 @@
 	return end
 }
 
-// nextBoundary returns the length of the first event.
+// nextBoundary returns the length of the first event in p.
 func nextBoundary(p []byte) int {
 	end := len(p)
 	if i := bytes.Index(p, boundary); i >= 0 {
@@ -87,7 +87,8 @@
 	return end
 }
 
-// eventID finds the id of an event.
+// eventID returns the id of an event, as text and as a number. It returns false if the
+// event has no id or the id is not a number.
 func eventID(event []byte) (seq int64, id string, ok bool) {
 	for len(event) > 0 {
 		line := event
--- a/transport/relay/events_test.go
+++ b/transport/relay/events_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzEvents feeds a stream in pieces of any size. What is handed on is a
-// beginning of the stream that ends with an event, and no byte of it twice.
+// FuzzEvents reads a stream in pieces of any size. The output must be a prefix of
+// the stream that ends at the end of an event.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"), 3)
 	f.Add([]byte("id: 1\r\ndata: a\r\n\r\nid: 2\r\n\r\n"), 1)
@@ -29,7 +29,7 @@
 			rest = rest[n:]
 		}
 		if !bytes.HasPrefix(stream, out) {
-			t.Fatalf("%q is no beginning of %q", out, stream)
+			t.Fatalf("%q is not a prefix of %q", out, stream)
 		}
 		if len(out) > 0 && !bytes.HasSuffix(out, []byte("\n\n")) && !bytes.HasSuffix(out, []byte("\r\n\r\n")) {
 			t.Fatalf("%q ends inside an event", out)
--- a/transport/relay/exchange.go
+++ b/transport/relay/exchange.go
@@ -1,6 +1,6 @@
-// This file carries out one exchange on one connection: it writes the request,
-// reads the answer's header, and says what is known of the request when there is
-// none.
+// This file performs one exchange on one connection: it writes the request and reads
+// the response's header. If the exchange fails, it determines whether the replica may
+// have run the request.
 
 package relay
 
@@ -22,72 +22,73 @@
 )
 
 const (
-	// separateWriteBytes is the size from which a body is written beside the
-	// reading of the answer, because a replica may answer before it has read all.
-	// Smaller ones fit the socket's buffer.
+	// separateWriteBytes is the size from which a body is written concurrently with reading
+	// the response, because a replica may respond before it has read the whole body.
+	// Smaller bodies fit into the socket's send buffer.
 	separateWriteBytes = 16 << 10
-	// strayAnswers is how many late answers to earlier requests are skipped.
+	// strayAnswers is the maximum number of late responses to earlier requests that are skipped.
 	strayAnswers = 2
-	// maxRefusalBytes is how much of a refusal's body is read to be able to use its connection again.
+	// maxRefusalBytes is how much of a rejection's body is read in order to reuse the connection.
 	maxRefusalBytes = 4 << 10
-	// bodyWriteGrace is how long the end of a body's writing is waited for after a whole answer.
+	// bodyWriteGrace is how long to wait, after a complete response, for the body to be written.
 	bodyWriteGrace = 2 * time.Millisecond
 )
 
-// Errors of exchanges.
+// Causes of failed exchanges.
 var (
-	errStray    = errors.New("answers on the connection belong to other requests")
-	errUnsealed = errors.New("success without the replica's seal")
-	errEncoded  = errors.New("answer is encoded, which nobody asked for")
+	errStray    = errors.New("responses on the connection belong to other requests")
+	errUnsealed = errors.New("successful response without the replica's seal")
+	errEncoded  = errors.New("response has a content encoding that was not requested")
 	errSilent   = errors.New("replica is silent")
-	errBarred   = errors.New("replica rests or leaves, as was learnt while the connection came up")
-	errHeldBack = errors.New("held back while the connection came up")
-	errRefused  = errors.New("replica says that it did not run the request")
+	errBarred   = errors.New("replica requested a backoff or announced its departure during connection setup")
+	errHeldBack = errors.New("request was quarantined during connection setup")
+	errRefused  = errors.New("replica rejected the request without running it")
 )
 
-// failure is an exchange without a usable answer.
+// failure describes an exchange without a usable response.
 type failure struct {
 	outcome coordination.Outcome // of the request
-	result  routing.Result       // of the replica, if blame is set
-	blame   bool                 // the result is held against the replica
-	cut     bool                 // the replica's end of the connection closed under the whole request
-	// replaced says that another replica answered at the address.
+	result  routing.Result       // of the replica; recorded only if blame is set
+	blame   bool                 // result counts against the replica
+	cut     bool                 // the replica closed the connection while it had the request
+	// replaced means that another replica responded at the address.
 	replaced bool
 	err      error
 }
 
-// exchange is one request on one connection.
+// exchange is one request and its response on one connection.
 type exchange struct {
 	pool     *Pool
 	codec    Codec
 	call     *Call
 	conn     *conn
 	deadline time.Time
-	// stopWatching ends the watch for the caller's leaving. It returns false if the
-	// caller has left.
+	// stopWatching stops the function that closes the connection when the caller
+	// disconnects. It returns false if that function has already started.
 	stopWatching func() bool
 
-	sent     time.Time // before its first byte was written
+	sent     time.Time // taken before the first byte was written
 	writing  sync.WaitGroup
 	writeErr error
-	whole    bool // the request was written whole before the answer was read
-	arrived  bool // bytes of the replica have arrived
+	whole    bool // the complete request was written before reading began
+	arrived  bool // the replica has sent at least one byte
 	response *http.Response
 	head     ResponseHead
-	// heard takes what the replica says of itself in each answer, late ones included.
+	// heard is called with the replica's self-report in each response, including late
+	// responses to earlier requests.
 	heard func(Statement)
-	ended bool // the connection was given back or closed
+	ended bool // the connection was returned to the pool or closed
 }
 
-// buffers holds the buffers in which requests are put together.
+// buffers pools the buffers in which requests are encoded.
 var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 8<<10); return &b }}
 
-// begin writes the request; a large body goes on being written beside the reading of
-// the answer. The failure is nil unless the writing failed.
+// begin writes the request. A large body is written by a separate goroutine, concurrently
+// with reading the response. It returns nil unless a write has failed.
 func (x *exchange) begin(ctx context.Context, h RequestHead) *failure {
 	x.sent = clock.Now()
 	x.stopWatching = context.AfterFunc(ctx, func() { _ = x.conn.Close() })
-	_ = x.conn.SetWriteDeadline(clock.Timer(x.deadline)) // an error shows at the write
+	_ = x.conn.SetWriteDeadline(clock.Timer(x.deadline)) // on failure, the write fails too
 	buf := buffers.Get().(*[]byte)
 	head := x.codec.AppendRequest((*buf)[:0], x.call, h)
 	if len(x.call.Body) < separateWriteBytes {
@@ -108,8 +109,8 @@
 	return nil
 }
 
-// wrote is the failure of writing n bytes of a request; nil without an error. Only if
-// no byte was written the request surely has not run.
+// wrote returns the failure for a write that returned n and err, or nil if err is nil. Only
+// if no byte was written is it certain that the request has not run.
 func (x *exchange) wrote(ctx context.Context, n int, err error) *failure {
 	if err == nil {
 		return nil
@@ -123,8 +124,8 @@
 	return f
 }
 
-// await waits until bytes of the replica have arrived. It returns false if it stays
-// silent until then.
+// await waits until there are bytes to read. It returns false if none have arrived by the
+// given time or the exchange's deadline.
 func (x *exchange) await(until time.Time) (bool, error) {
 	if x.conn.reader.Buffered() > 0 {
 		x.arrived = true
@@ -133,7 +134,7 @@
 	if until.After(x.deadline) {
 		until = x.deadline
 	}
-	_ = x.conn.SetReadDeadline(clock.Timer(until)) // an error shows at the read
+	_ = x.conn.SetReadDeadline(clock.Timer(until)) // on failure, the read fails too
 	_, err := x.conn.reader.Peek(1)
 	if err == nil {
 		x.arrived = true
@@ -146,16 +147,16 @@
 	return false, err
 }
 
-// readHead reads the header of the answer to this request. Late answers to earlier
-// requests are skipped.
+// readHead reads the header of the response to this request. It skips late responses to
+// earlier requests.
 func (x *exchange) readHead(ctx context.Context) *failure {
 	for range strayAnswers + 1 {
 		resp, err := http.ReadResponse(x.conn.reader, &http.Request{Method: x.call.Method})
 		if err != nil {
-			return x.broken(ctx, eris.Wrap(err, "read answer"))
+			return x.broken(ctx, eris.Wrap(err, "read response"))
 		}
 		x.response, x.head = resp, x.codec.ReadResponse(resp.StatusCode, resp.Header)
-		if resp.StatusCode != http.StatusMisdirectedRequest { // that is another replica's
+		if resp.StatusCode != http.StatusMisdirectedRequest { // sent by another replica
 			x.heard(x.head.Says)
 		}
 		if resp.StatusCode < http.StatusOK {
@@ -166,28 +167,28 @@
 		}
 		x.conn.maxIdle = -1
 		if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-			break // its end is the connection's
+			break // the body ends only when the connection does
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-			return x.broken(ctx, eris.Wrap(err, "read stray answer"))
+			return x.broken(ctx, eris.Wrap(err, "read stray response"))
 		}
 	}
 	return x.broken(ctx, errStray)
 }
 
-// isAnswered reports whether the replica that was meant has answered the request, in whatever way.
+// isAnswered reports whether the addressed replica has responded to the request, with any status.
 func (x *exchange) isAnswered() bool {
 	return x.response != nil && x.head.Request == x.call.ID && x.response.StatusCode != http.StatusMisdirectedRequest
 }
 
-// check reports whether the answer can be passed on; nil if it can.
+// check returns nil if the response can be forwarded, and the failure otherwise.
 func (x *exchange) check() *failure {
 	status := x.response.StatusCode
 	switch {
 	case x.head.NotRun:
 		_, err := io.CopyN(io.Discard, x.response.Body, maxRefusalBytes)
 		x.end(errors.Is(err, io.EOF), clock.Now())
-		// One that asks for rest is obeyed (coordination/routing/resting.go); it has not failed.
+		// A requested backoff (coordination/routing/resting.go) does not count as a failure.
 		replaced := status == http.StatusMisdirectedRequest
 		return &failure{
 			outcome: coordination.NotRun{Reason: coordination.ReasonUpstreamBusy},
@@ -201,10 +202,10 @@
 	return nil
 }
 
-// mayHaveRun is the outcome of an answer that can't be used.
+// mayHaveRun is the outcome of a request whose response can't be used.
 var mayHaveRun = coordination.MayHaveRun{Reason: coordination.ReasonBrokenAnswer}
 
-// broken is the failure of an answer that ended early.
+// broken returns the failure for a response that could not be read completely.
 func (x *exchange) broken(ctx context.Context, err error) *failure {
 	reason := coordination.ReasonBrokenAnswer
 	if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -216,7 +217,7 @@
 	}
 }
 
-// silent is the failure of a replica that does not answer although there is time.
+// silent returns the failure for a replica that sends nothing, though the deadline has not passed.
 func (x *exchange) silent() *failure {
 	return &failure{
 		outcome: coordination.MayHaveRun{Reason: coordination.ReasonNoAnswer},
@@ -224,7 +225,7 @@
 	}
 }
 
-// expired is the failure of an answer that has not come by the deadline.
+// expired returns the failure for a response that has not started by the deadline.
 func (x *exchange) expired() *failure {
 	return &failure{
 		outcome: coordination.MayHaveRun{Reason: coordination.ReasonDeadline},
@@ -232,14 +233,14 @@
 	}
 }
 
-// end gives the connection back if nothing is left on it, and closes it
-// otherwise. whole says that the answer was read to its end.
+// end returns the connection to the pool if it can be reused, and closes it otherwise.
+// whole tells whether the response was read to its end.
 func (x *exchange) end(whole bool, now time.Time) {
 	x.ended = true
 	live := x.stopWatching == nil || x.stopWatching()
 	if !x.whole && whole && live {
-		// The rest of a long body may still be on its way out. It is not waited
-		// for: a replica that answered early may never read it.
+		// The request's body may still be being written. It is waited for only for
+		// a moment: a replica that responded early may never read the rest.
 		whole = x.bodyWritten()
 	}
 	if !whole || !live || x.conn.maxIdle < 0 || x.response.Close || x.conn.reader.Buffered() > 0 {
@@ -267,7 +268,7 @@
 	}
 }
 
-// abandon closes the connection, so that the replica stops working.
+// abandon closes the connection, so that the replica stops processing the request.
 func (x *exchange) abandon() {
 	x.ended = true
 	if x.stopWatching != nil {
@@ -277,8 +278,8 @@
 	x.writing.Wait()
 }
 
-// unreachable is the failure of a connection that was not taken: nothing was
-// sent.
+// unreachable returns the failure for a connection that could not be opened. Nothing
+// was sent.
 func unreachable(ctx context.Context, err error) *failure {
 	blame := ctx.Err() == nil && !errors.Is(err, errFull)
 	var oe *net.OpError
--- a/transport/relay/exchange_test.go
+++ b/transport/relay/exchange_test.go
@@ -8,8 +8,8 @@
 	"hingewinch.org/hingewinch/coordination"
 )
 
-// TestOneByteMayHaveRun holds the evidence of a failed write: only a write of
-// which the system took nothing means that the request has not run.
+// TestOneByteMayHaveRun checks the outcome of a failed write: the request counts as not run
+// only if not a single byte of it was written.
 func TestOneByteMayHaveRun(t *testing.T) {
 	x := &exchange{}
 	failed := errors.New("broken pipe")
--- a/transport/relay/lives_test.go
+++ b/transport/relay/lives_test.go
@@ -10,15 +10,15 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// Seen: callers of a small service were refused for seconds, by daemons that sent nothing
-// anywhere, although all its replicas lived.
-// How it came about: a failure domain was cut off from the others by links that refuse. On each
-// side the replicas of the other one break answers off and refuse connections, as replicas do
-// that end. When the cut had healed, both sides heard of the ends that the other had seen.
-// Cause: an end that is heard of is believed for 10 s, whatever the daemon knows better.
-// Proved by: lines of one such cut. Daemons of both sides take replicas for ended that answer
-// daemons of the other side without a break; 45 refusals stand beside 49 answers of one replica
-// in the same second.
+// TestReplicaThatIsSaidToHaveEndedAndAnswersIsUsed checks that a crash reported by another daemon
+// is ignored once the replica has responded on a connection opened before the reported crash.
+//
+// It guards against daemons that refuse all requests to a small service for seconds although all
+// its replicas are alive. That happened after a failure domain had been cut off by links that
+// refuse connections, which looks like a crash of all replicas on the other side. When the
+// partition healed, each side reported the crashes that it had observed, and reported crashes were
+// assumed for 10 s despite responses to the contrary: 45 refusals in the same second as 49
+// responses of one of the replicas.
 func TestReplicaThatIsSaidToHaveEndedAndAnswersIsUsed(t *testing.T) {
 	RegisterTestingT(t)
 	answered := make(chan struct{})
@@ -30,7 +30,7 @@
 	})
 	t.Cleanup(func() { r.end() })
 	w := newWorld(once, r)
-	w.serve(w.call("first", "POST", "x")) // opens the connection
+	w.serve(w.call("first", "POST", "x")) // opens the connection that is used again below
 	time.Sleep(time.Second)
 	var slow sync.WaitGroup
 	slow.Go(func() { w.serve(w.call("slow", "POST", "slow")) })
@@ -40,15 +40,16 @@
 	slow.Wait()
 	for _, id := range []string{"a", "b", "c"} {
 		if to, _ := w.serve(w.call(id, "POST", "x")); to.status != 200 {
-			t.Errorf("request %s: status %d and %#v, want 200: the replica has answered since on a connection from before", id, to.status, to.refusal)
+			t.Errorf("request %s: status %d and %#v, want 200: the replica has since responded on a connection opened before the reported crash", id, to.status, to.refusal)
 		}
 	}
 	if n := r.connections(); n != 1 {
-		t.Errorf("%d connections, want the one that proves that it lives", n)
+		t.Errorf("%d connections, want only the one that proves that the replica is alive", n)
 	}
 }
 
-// TestOpenConnectionsProveThatAReplicaLives asks for the oldest idle connection that is open.
+// TestOpenConnectionsProveThatAReplicaLives checks that the pool returns when the oldest idle
+// connection was opened, and none after the replica has closed it.
 func TestOpenConnectionsProveThatAReplicaLives(t *testing.T) {
 	RegisterTestingT(t)
 	r := startReplica("r", good)
@@ -56,15 +57,15 @@
 	w := newWorld(once, r)
 	before := time.Now()
 	if _, ok := w.relay.Pool.OpenSince(r.Incarnation()); ok {
-		t.Error("one is open before the first request")
+		t.Error("there is an open connection before the first request")
 	}
 	w.serve(w.call("a", "POST", "x"))
 	opened, ok := w.relay.Pool.OpenSince(r.Incarnation())
 	if !ok || opened.Before(before) || opened.After(time.Now()) {
-		t.Errorf("opened at %v, %t", opened, ok)
+		t.Errorf("opened at %v, found %t, want a time since the start of the test", opened, ok)
 	}
 	if w.serve(w.call("b", "POST", "x")); r.connections() != 1 {
-		t.Error("the connection was not used again")
+		t.Error("the connection was not reused")
 	}
 	r.end()
 	Eventually(func() bool { _, ok := w.relay.Pool.OpenSince(r.Incarnation()); return ok }).Should(BeFalse())
--- a/transport/relay/pool.go
+++ b/transport/relay/pool.go
@@ -1,6 +1,6 @@
-// This file keeps connections to replicas. A connection belongs to one incarnation of a
-// replica and not to an address, because addresses move to other services, and one that was
-// open to a replica before it started again leads nowhere.
+// This file implements the pool of connections to replicas. Connections are pooled by the
+// incarnation of a replica and not by address, because addresses are reused by other services,
+// and because a connection to a former incarnation is dead.
 
 package relay
 
@@ -18,14 +18,14 @@
 )
 
 const (
-	readBufferBytes = 4 << 10 // a header and some events fit
-	// idleShare is the part of the replica's own idle time for which a
-	// connection is kept, so that it is not used while the replica closes it. With
-	// 0.9 callers are served as well.
+	readBufferBytes = 4 << 10 // holds a header and some events
+	// idleShare is the fraction of the replica's idle timeout for which a connection is
+	// kept, so that it is not reused at the moment the replica closes it. 0.9 serves
+	// callers equally well.
 	idleShare = 0.7
-	// idleDefault holds where the replica names no time.
+	// idleDefault is the idle timeout for replicas that state none.
 	idleDefault = 20 * time.Second
-	// idlePerReplica bounds the idle connections to one replica.
+	// idlePerReplica is the maximum number of idle connections to one replica.
 	idlePerReplica = 32
 )
 
@@ -36,13 +36,13 @@
 	replica routing.Incarnation
 	reused  bool
 	opened  time.Time
-	// maxIdle is how long it may be idle; below 0: it must not be used again.
+	// maxIdle is how long it may be idle; negative: it must not be reused.
 	maxIdle   time.Duration
 	idleSince time.Time
 }
 
-// clean reports whether a connection that was idle is still open and nothing has
-// arrived on it. Bytes that came meanwhile belong to no request.
+// clean reports whether an idle connection is still open and has no unread bytes, which
+// would belong to no request.
 func (c *conn) clean() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -65,7 +65,7 @@
 	return err == nil && open
 }
 
-// Pool keeps idle connections. It is safe for use by many goroutines.
+// Pool keeps idle connections to replicas and counts the open ones. It is safe for concurrent use.
 type Pool struct {
 	dialer    net.Dialer
 	dialTimes routing.DialTimes
@@ -86,10 +86,10 @@
 	}
 }
 
-// get returns a connection to a replica: the one that was used last, or a new
-// one. What is newest is the least likely to be closed, and the others grow old
-// and are closed, so that their number follows the need.
-// At most limit connections are open to a replica at a time; 0 is no bound.
+// get returns a connection to a replica: the most recently used idle one, or else a new
+// one. The most recently used is the least likely to have been closed by the replica, and
+// the others time out, so that the number of connections follows the demand.
+// At most limit connections are open to a replica at a time; 0 means no limit.
 func (p *Pool) get(ctx context.Context, r *routing.Replica, limit int, now time.Time) (*conn, error) {
 	for {
 		c := p.take(r.Incarnation(), now)
@@ -108,7 +108,7 @@
 	return p.open(ctx, r)
 }
 
-// open opens a connection that was reserved.
+// open opens a connection that was counted by reserve, and uncounts it on failure.
 func (p *Pool) open(ctx context.Context, r *routing.Replica) (*conn, error) {
 	raw, err := p.dial(ctx, r.Address)
 	if err != nil {
@@ -118,7 +118,7 @@
 	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferBytes), replica: r.Incarnation(), opened: clock.Now(), maxIdle: idleDefault}, nil
 }
 
-// dial opens a connection.
+// dial opens a TCP connection, with a timeout that adapts to the duration of earlier dials.
 func (p *Pool) dial(ctx context.Context, address string) (net.Conn, error) {
 	dialer := p.dialer
 	dialer.Timeout = p.dialTimes.Timeout()
@@ -130,10 +130,11 @@
 	return raw, err
 }
 
-// errFull means that this daemon has its share of a replica's connections.
+// errFull means that this daemon has reached its share of a replica's connections.
 var errFull = errors.New("all connections that this daemon may open to the replica are in use")
 
-// reserve counts a connection before it is opened, if there may be one more.
+// reserve counts a connection that is about to be opened. It returns false if the limit is
+// reached.
 func (p *Pool) reserve(id routing.Incarnation, limit int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -166,7 +167,7 @@
 	c := list[len(list)-1]
 	p.idle[id] = list[:len(list)-1]
 	if now.Sub(c.idleSince) > c.maxIdle {
-		// All that were idle for longer are too old as well.
+		// The others have been idle for longer.
 		for _, old := range p.idle[id] {
 			p.closeLocked(old)
 		}
@@ -177,7 +178,7 @@
 	return c
 }
 
-// put gives back a connection whose answer was whole.
+// put returns a connection to the pool after a complete response.
 func (p *Pool) put(c *conn, now time.Time) {
 	_ = c.SetDeadline(time.Time{})
 	c.idleSince = now
@@ -190,7 +191,7 @@
 	p.idle[c.replica] = append(p.idle[c.replica], c)
 }
 
-// discard closes a connection that can't be used again.
+// discard closes a connection that can't be reused.
 func (p *Pool) discard(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -202,7 +203,7 @@
 	p.releaseLocked(c.replica)
 }
 
-// Sweep closes connections that were idle for too long, or to replicas that are not wanted.
+// Sweep closes idle connections that have timed out or whose replica is not wanted.
 func (p *Pool) Sweep(wanted func(routing.Incarnation) bool, now time.Time) {
 	p.checks.forget(now)
 	p.mu.Lock()
@@ -224,8 +225,8 @@
 	}
 }
 
-// OpenSince returns when the oldest idle connection to a replica was opened that is still open; false
-// if there is none.
+// OpenSince returns when the oldest idle connection to a replica that is still open was opened. It
+// returns false if there is none.
 func (p *Pool) OpenSince(id routing.Incarnation) (time.Time, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -1,5 +1,5 @@
-// This file carries out the attempts of a call, one replica after another. Whether
-// there is another attempt is decided in coordination/routing/retry.go.
+// This file performs the attempts of a call, one replica after another.
+// coordination/routing/retry.go decides whether there is another attempt.
 
 package relay
 
@@ -13,7 +13,7 @@
 	"hingewinch.org/hingewinch/transport/clock"
 )
 
-// Options are the parts of a Relay. All are needed.
+// Options configures a Relay. All fields are required.
 type Options struct {
 	View     func() *routing.View
 	Placer   *routing.Placer
@@ -22,18 +22,18 @@
 	Codec    Codec
 	Observer Observer
 	Pool     *Pool
-	// Borrow asks another daemon for what is missing of a retry at a service, and returns what
-	// it lends.
+	// Borrow asks another daemon to transfer the missing amount of retry budget for a service. It
+	// returns the amount received.
 	Borrow func(ctx context.Context, s routing.ServiceName, missing routing.Retries) routing.Retries
 }
 
-// Relay serves calls. It is safe for use by many goroutines.
+// Relay forwards calls to replicas. It is safe for concurrent use.
 type Relay struct{ Options }
 
-// New returns a relay.
+// New returns a Relay with the given options.
 func New(o Options) *Relay { return &Relay{Options: o} }
 
-// serving is the state of one call. One goroutine uses it.
+// serving is the state of one call. It is used by one goroutine.
 type serving struct {
 	*Relay
 	call     *Call
@@ -41,24 +41,24 @@
 	summary  Summary
 	attempts routing.Attempts
 	tried    routing.Tried
-	served   bool         // the caller has the whole answer
-	events   *eventReader // of a streamed answer; nil before the first
-	// fallback is a replica's own error answer, which goes out if no further
+	served   bool         // the caller has the complete response
+	events   *eventReader // of a streamed response; nil before the first
+	// fallback is a replica's error response, which is forwarded if no further
 	// attempt gives a better one.
 	fallback *fallback
-	// failed are the replicas that answered with errors of their own.
+	// failed are the replicas whose error responses have not yet been recorded as failures.
 	failed []routing.Replica
 }
 
-// fallback is a whole answer with an error.
+// fallback is a complete error response.
 type fallback struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// Serve answers a call. It returns when the caller has its final answer or has
-// left, which shows in ctx.
+// Serve forwards a call and writes the response to sink. It returns when the caller has
+// its final response, or has disconnected, in which case ctx is done.
 func (r *Relay) Serve(ctx context.Context, c *Call, sink Sink) *Summary {
 	s := &serving{Relay: r, call: c, sink: sink, attempts: routing.NewAttempts(c.Route)}
 	for range routing.MaxChoices {
@@ -70,8 +70,8 @@
 	return &s.summary
 }
 
-// attempt sends the call to one replica. It returns true if another one may be
-// chosen.
+// attempt chooses a replica and sends the call to it. It returns true if another
+// attempt is allowed.
 func (s *serving) attempt(ctx context.Context) bool {
 	now := clock.Now()
 	if ctx.Err() != nil || !s.attempts.InTime(s.call.Deadline, now) {
@@ -102,7 +102,8 @@
 	return s.attempts.Failed(failure.outcome)
 }
 
-// measured sends the call to a replica and takes down how that went.
+// measured sends the call to a replica, updates what is known about the replica, and adds
+// the attempt to the summary.
 func (s *serving) measured(ctx context.Context, t *routing.Target, begun time.Time) *failure {
 	a := Attempt{
 		Replica: t.Replica.ID, Rank: t.Rank, Cold: t.Replica.IsCold(begun), Copied: t.Source.ID,
@@ -129,14 +130,15 @@
 	return f
 }
 
-// blame holds a result against a replica.
+// blame records a failure of a replica.
 func (s *serving) blame(r *routing.Replica, result routing.Result, err error) {
 	if s.Placer.Health.Report(r, result, clock.Now()) {
 		s.Observer.Ejected(r, s.call, err)
 	}
 }
 
-// heldBack reports whether the call may not be sent because replicas end under it.
+// heldBack reports whether the call's content is quarantined because replicas crash on it. If
+// so, it sets the outcome.
 func (s *serving) heldBack(now time.Time) bool {
 	if !s.Crashes.Held(s.call.Content, now) {
 		return false
@@ -145,8 +147,8 @@
 	return true
 }
 
-// noteEnd finds out whether a replica that broke an answer off has ended. That is known
-// before the call may be sent again.
+// noteEnd checks whether a replica that broke a connection has crashed, and records the crash.
+// It returns before the call may be retried, since the crash may quarantine its content.
 func (s *serving) noteEnd(ctx context.Context, r *routing.Replica) {
 	now := clock.Now()
 	if !s.Pool.hasEnded(ctx, r, s.View().ConnectionLimit(s.call.Service), now) {
@@ -159,9 +161,9 @@
 	}
 }
 
-// noteReplaced takes in that another replica answered at a replica's address: the one that was meant
-// has ended, and its entry is not up to date. Other daemons are told, or each would find out by
-// requests of its own, and a caller that comes back by one of them would be turned away again.
+// noteReplaced records that another replica responded at a replica's address: the addressed one
+// has terminated, and its entry is out of date. Other daemons are informed; otherwise each would
+// find out by requests of its own, and a caller that retries at one of them would be rejected again.
 func (s *serving) noteReplaced(r *routing.Replica) {
 	now := clock.Now()
 	s.Placer.Health.ReportEnd(r, now)
@@ -170,16 +172,16 @@
 	}
 }
 
-// praise counts a whole answer in a replica's favour, and the errors of those that
-// were asked before against them.
+// praise records a complete response as a success of the replica, and clears the content's
+// crashes. Error responses of earlier attempts are then recorded as failures.
 func (s *serving) praise(r *routing.Replica, now time.Time) {
 	s.Placer.Health.Report(r, routing.ResultGood, now)
 	s.Crashes.Acquit(s.call.Content, now)
 	s.blameFailed()
 }
 
-// send carries out one exchange and passes the answer on. It returns nil if the
-// caller has the whole answer.
+// send performs one exchange and forwards the response. It returns nil if the caller has
+// the complete response.
 func (s *serving) send(ctx context.Context, t *routing.Target, a *Attempt) *failure {
 	now := clock.Now()
 	c, err := s.Pool.get(ctx, &t.Replica, s.View().ConnectionLimit(s.call.Service), now)
@@ -187,7 +189,7 @@
 		return unreachable(ctx, err)
 	}
 	a.Reused = c.reused
-	// The view may have changed while the connection came up.
+	// All of this may have changed during connection setup.
 	if !s.View().IsReady(&t.Replica) {
 		s.Pool.discard(c)
 		return &failure{outcome: coordination.NotRun{Reason: coordination.ReasonConnect, RetryAfter: routing.RetryAfter}, err: errDrained}
@@ -223,7 +225,7 @@
 	return f
 }
 
-// lastEvent returns the id of the last event that the caller has.
+// lastEvent returns the id of the last event that the caller received.
 func (s *serving) lastEvent() string {
 	if s.events != nil {
 		return s.events.last
@@ -231,7 +233,7 @@
 	return s.call.LastEvent
 }
 
-// receive waits for the answer and passes it on.
+// receive waits for the response and forwards it.
 func (s *serving) receive(ctx context.Context, x *exchange, t *routing.Target, a *Attempt) *failure {
 	if f := s.awaitFirstByte(ctx, x, &t.Replica); f != nil {
 		return f
@@ -254,8 +256,8 @@
 	return s.relayWhole(ctx, x, t)
 }
 
-// hear takes in what a replica says of itself in an answer: before anything of the answer is
-// passed on, and whatever becomes of the request.
+// hear applies a replica's self-report. It is called before any of the response is
+// forwarded, and whatever becomes of the request.
 func (s *serving) hear(r *routing.Replica, a *Attempt, says Statement) {
 	now := clock.Now()
 	a.Rest, a.Leaving = max(a.Rest, says.Rest), a.Leaving || says.Leaving
@@ -268,7 +270,7 @@
 	}
 }
 
-// noteLoad takes in what a replica says it holds; the answered request is not counted.
+// noteLoad records the load that a replica reported, without the request it responded to.
 func (s *serving) noteLoad(t *routing.Target, a *Attempt, l ReportedLoad) {
 	a.Reported = l
 	if l.Known && s.Placer.ReportLoad(&s.call.Request, t, max(0, l.Requests-1), clock.Now()) {
@@ -276,11 +278,12 @@
 	}
 }
 
-// isSuccess reports whether a status is below those of redirections and errors.
+// isSuccess reports whether a status is neither a redirection nor an error.
 func isSuccess(status int) bool { return status < http.StatusMultipleChoices }
 
-// awaitFirstByte waits for the first byte of the answer. Where the request can go to
-// another replica it waits only for a while.
+// awaitFirstByte waits for the first byte of the response. If the request can be retried at
+// another replica, it gives up after the first-byte timeout. Otherwise the timeout counts against
+// the replica, and it waits until the deadline.
 func (s *serving) awaitFirstByte(ctx context.Context, x *exchange, r *routing.Replica) *failure {
 	wait, leave := s.attempts.FirstByteTimeout()
 	arrived, err := x.await(clock.Now().Add(wait))
@@ -309,12 +312,14 @@
 	return x.expired()
 }
 
-// reserveRetry reports whether the call may go to another replica if this one is left.
+// reserveRetry reports whether the call may be retried if this attempt is given up. It reserves
+// the retry in the budget, or else by borrowing.
 func (s *serving) reserveRetry(ctx context.Context) bool {
 	return s.attempts.ReserveRetry(s.Budgets, s.call.Service, clock.Now()) || s.borrowRetry(ctx)
 }
 
-// borrowRetry asks other daemons for what this one lacks of a retry, and reserves it.
+// borrowRetry asks other daemons for the retry budget that this one lacks, and reserves the retry
+// if they transfer enough.
 func (s *serving) borrowRetry(ctx context.Context) bool {
 	loan := routing.Retries(0)
 	for range routing.MaxLenders {
@@ -330,7 +335,7 @@
 	return false
 }
 
-// finish gives the caller its final answer if it has none.
+// finish completes the summary, and writes the final response if the caller has none.
 func (s *serving) finish(ctx context.Context) {
 	s.summary.Total = clock.Since(s.call.Arrived)
 	s.summary.Outcome = s.attempts.Outcome
@@ -346,14 +351,14 @@
 	case s.fallback != nil:
 		s.summary.Status = s.fallback.status
 		s.summary.Outcome = coordination.Answered{Status: s.fallback.status}
-		_ = s.sink.Answer(s.fallback.status, s.fallback.header, s.fallback.body) // the caller has left
+		_ = s.sink.Answer(s.fallback.status, s.fallback.header, s.fallback.body) // an error means that the caller has disconnected
 	default:
 		s.sink.Refuse(withRetryAfter(s.attempts.Outcome))
 	}
 	s.Observer.Finished(s.call, &s.summary)
 }
 
-// withRetryAfter adds the time to come back to a refusal that lacks it.
+// withRetryAfter sets the default RetryAfter of a NotRun outcome that has none.
 func withRetryAfter(o coordination.Outcome) coordination.Outcome {
 	if n, ok := o.(coordination.NotRun); ok && n.RetryAfter == 0 {
 		n.RetryAfter = routing.RetryAfter
--- a/transport/relay/relay_test.go
+++ b/transport/relay/relay_test.go
@@ -26,8 +26,8 @@
 func beMayHaveRun() OmegaMatcher { return BeAssignableToTypeOf(coordination.MayHaveRun{}) }
 func beNotRun() OmegaMatcher     { return BeAssignableToTypeOf(coordination.NotRun{}) }
 
-var _ = Describe("Relay of plain requests", func() {
-	DescribeTable("takes in what a replica says it holds, the answered request left out", func(load string, crowded bool) {
+var _ = Describe("Relay of requests that are not streamed", func() {
+	DescribeTable("records the load that a replica reports, without the request it responds to", func(load string, crowded bool) {
 		var replicas []*replica
 		for i := range 4 {
 			replicas = append(replicas, startReplica(fmt.Sprint(i), func(a *arrival) bool {
@@ -49,11 +49,11 @@
 		}
 		Expect(w.seen.crowded).To(BeEmpty())
 	},
-		Entry("as much as the bound allows", "5", false),
-		Entry("more", "6", true),
+		Entry("at the load bound", "5", false),
+		Entry("above the load bound", "6", true),
 	)
 
-	It("passes method, target, headers and body on unchanged, and names the replica", func() {
+	It("forwards method, target, headers and body unchanged, and names the replica", func() {
 		r := startReplica("r", good)
 		w := newWorld(once, r)
 		to, _ := w.serve(w.call("a", "POST", "the body"))
@@ -68,7 +68,7 @@
 		Expect(a.request.Header.Get("Deadline-Ms")).To(MatchRegexp(`^29\d\d$`))
 	})
 
-	It("opens no more than its share of a replica's connections", func() {
+	It("opens no more than this daemon's share of a replica's connections", func() {
 		hold := make(chan struct{})
 		r := startReplica("r", func(a *arrival) bool { <-hold; return good(a) })
 		w := newWorld(once, r)
@@ -89,10 +89,10 @@
 			Eventually(refusals, time.Second).Should(Receive(BeNil()))
 		}
 		Expect(r.connections()).To(Equal(3))
-		Expect(w.seen.passedOver).To(BeEmpty(), "the replica is not to blame")
+		Expect(w.seen.passedOver).To(BeEmpty(), "the limit does not count against the replica")
 	})
 
-	It("uses a connection again after a whole answer", func() {
+	It("reuses a connection after a complete response", func() {
 		r := startReplica("r", good)
 		w := newWorld(once, r)
 		for range 5 {
@@ -101,7 +101,7 @@
 		Expect(r.connections()).To(Equal(1))
 	})
 
-	DescribeTable("does not use a connection again on which something is left or amiss", func(script func(a *arrival) bool) {
+	DescribeTable("does not reuse a connection after a protocol error or with unread bytes", func(script func(a *arrival) bool) {
 		r := startReplica("r", func(a *arrival) bool {
 			if a.nth == 0 {
 				return script(a)
@@ -115,26 +115,26 @@
 		Expect(string(to.body)).To(Equal("fine b"))
 		Expect(r.connections()).To(Equal(2))
 	},
-		Entry("a second answer at once", func(a *arrival) bool { good(a); return good(a) }),
-		Entry("a second answer while the connection rests", func(a *arrival) bool {
+		Entry("second response at once", func(a *arrival) bool { good(a); return good(a) }),
+		Entry("second response while the connection is idle", func(a *arrival) bool {
 			good(a)
 			time.Sleep(5 * time.Millisecond)
 			return good(a)
 		}),
-		Entry("bytes after the end", func(a *arrival) bool { return good(a) && raw(a, "garbage") }),
-		Entry("the replica closes it", func(a *arrival) bool { good(a); return false }),
-		Entry("the replica says that it will close", func(a *arrival) bool {
+		Entry("bytes after the end of the response", func(a *arrival) bool { return good(a) && raw(a, "garbage") }),
+		Entry("closed by the replica", func(a *arrival) bool { good(a); return false }),
+		Entry("Connection: close", func(a *arrival) bool {
 			return answer(a, 200, sealed+"Connection: close\r\n", "x")
 		}),
-		Entry("a broken answer", func(a *arrival) bool { return raw(a, "nonsense\r\n\r\n") }),
-		Entry("a stray answer before the right one", func(a *arrival) bool {
+		Entry("malformed response", func(a *arrival) bool { return raw(a, "nonsense\r\n\r\n") }),
+		Entry("response to another request before the right one", func(a *arrival) bool {
 			raw(a, "HTTP/1.1 200 X\r\nAttempt-Id: old\r\n"+sealed+"Content-Length: 3\r\n\r\nold")
 			return good(a)
 		}),
 	)
 
-	It("opens new connections to a failure domain whose link broke under a request", func() {
-		breaks := 0 // how many requests still meet a broken link
+	It("opens new connections to a failure domain after a link to it broke during a request", func() {
+		breaks := 0 // number of requests whose connection is still to be reset
 		script := func(a *arrival) bool {
 			scripts.Lock()
 			defer scripts.Unlock()
@@ -162,10 +162,10 @@
 		serveUntil(func() bool { return other.count() > reached })
 		Expect(other.connections()).To(Equal(2))
 		serveUntil(func() bool { return other.count() > reached+5 })
-		Expect(other.connections()).To(Equal(2), "the new one is trusted")
+		Expect(other.connections()).To(Equal(2), "the new connection is reused")
 	})
 
-	It("skips an answer to an earlier request", func() {
+	It("skips a response to an earlier request", func() {
 		r := startReplica("r", func(a *arrival) bool {
 			raw(a, "HTTP/1.1 200 X\r\nAttempt-Id: old\r\n"+sealed+"Content-Length: 3\r\n\r\nold")
 			return good(a)
@@ -175,41 +175,41 @@
 		Expect(string(to.body)).To(Equal("fine a"))
 	})
 
-	DescribeTable("never gives a caller what is not the whole answer", func(script func(a *arrival) bool) {
+	DescribeTable("never forwards an incomplete or invalid response as complete", func(script func(a *arrival) bool) {
 		r, other := startReplica("r", script), startReplica("r2", script)
 		w := newWorld(once, r, other)
 		to, _ := w.serve(w.call("a", "POST", "x"))
 		Expect(to.whole).To(BeFalse())
 		Expect(to.refusal).To(beMayHaveRun())
-		Expect(r.count()+other.count()).To(Equal(1), "what must run once is not sent again")
+		Expect(r.count()+other.count()).To(Equal(1), "an at-most-once request is not retried")
 	},
-		Entry("success without a seal", func(a *arrival) bool { return answer(a, 200, "", "x") }),
-		Entry("another request's answer", func(a *arrival) bool {
+		Entry("success status without a seal", func(a *arrival) bool { return answer(a, 200, "", "x") }),
+		Entry("response to another request", func(a *arrival) bool {
 			return raw(a, "HTTP/1.1 200 X\r\nAttempt-Id: b\r\n"+sealed+"\r\nx") && reset(a.conn)
 		}),
-		Entry("no id", func(a *arrival) bool {
+		Entry("no request id", func(a *arrival) bool {
 			raw(a, "HTTP/1.1 200 X\r\n"+sealed+"Content-Length: 1\r\n\r\nx")
 			return false
 		}),
-		Entry("less than the length", func(a *arrival) bool {
+		Entry("body shorter than Content-Length", func(a *arrival) bool {
 			raw(a, "HTTP/1.1 200 X\r\nAttempt-Id: a\r\n"+sealed+"Content-Length: 10\r\n\r\nx")
 			return false
 		}),
-		Entry("chunks without their end", func(a *arrival) bool {
+		Entry("chunked body without its last chunk", func(a *arrival) bool {
 			raw(a, "HTTP/1.1 200 X\r\nAttempt-Id: a\r\n"+sealed+"Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n")
 			return false
 		}),
-		Entry("no length and a reset", func(a *arrival) bool {
+		Entry("body without a length ended by a reset", func(a *arrival) bool {
 			raw(a, "HTTP/1.1 200 X\r\nAttempt-Id: a\r\n"+sealed+"\r\nx")
 			time.Sleep(20 * time.Millisecond)
 			return reset(a.conn)
 		}),
-		Entry("an encoding", func(a *arrival) bool { return answer(a, 200, sealed+"Content-Encoding: gzip\r\n", "x") }),
-		Entry("not the protocol", func(a *arrival) bool { raw(a, "what?\r\n"); return false }),
-		Entry("a reset", func(a *arrival) bool { return reset(a.conn) }),
+		Entry("content encoding", func(a *arrival) bool { return answer(a, 200, sealed+"Content-Encoding: gzip\r\n", "x") }),
+		Entry("not HTTP", func(a *arrival) bool { raw(a, "what?\r\n"); return false }),
+		Entry("connection reset", func(a *arrival) bool { return reset(a.conn) }),
 	)
 
-	It("takes an answer without a length whose connection ends well", func() {
+	It("accepts a response without a length that ends with the connection closed regularly", func() {
 		r := startReplica("r", func(a *arrival) bool {
 			raw(a, "HTTP/1.1 200 X\r\nAttempt-Id: a\r\n"+sealed+"\r\nwhole")
 			return false
@@ -219,7 +219,7 @@
 		Expect(string(to.body)).To(Equal("whole"))
 	})
 
-	It("takes an answer that comes before a long body is read, and drops the connection", func() {
+	It("accepts a response sent before a long request body is read, and closes the connection", func() {
 		r := startReplica("r", func(a *arrival) bool {
 			answer(a, 413, sealed, "too long")
 			time.Sleep(50 * time.Millisecond)
@@ -234,7 +234,7 @@
 		Expect(r.arrival(1).id()).To(Equal("b"))
 	})
 
-	DescribeTable("sends what was not run elsewhere", func(script func(a *arrival) bool) {
+	DescribeTable("retries at another replica what was not run", func(script func(a *arrival) bool) {
 		answers := []func(a *arrival) bool{script, good}
 		total := 0
 		shared := func(a *arrival) bool { return answers[min(turn(&total), 2)-1](a) }
@@ -244,21 +244,21 @@
 		Expect(s.Attempts).To(HaveLen(2))
 		Expect(s.Attempts[0].Replica).NotTo(Equal(s.Attempts[1].Replica))
 	},
-		Entry("a refusal", func(a *arrival) bool { return answer(a, 503, "Not-Executed: 1\r\n", "") }),
+		Entry("rejection", func(a *arrival) bool { return answer(a, 503, "Not-Executed: 1\r\n", "") }),
 		Entry("another replica at the address", func(a *arrival) bool { return answer(a, 421, "Replica-Id: other\r\n", "") }),
 	)
 
-	DescribeTable("says that a request may have run where a refusal is no promise", func(status int) {
+	DescribeTable("does not retry an error response that does not state that the request was not run", func(status int) {
 		r := startReplica("r", func(a *arrival) bool { return answer(a, status, sealed, "no") })
 		w := newWorld(once, r)
 		to, _ := w.serve(w.call("a", "POST", "x"))
-		Expect(to.status).To(Equal(status), "the replica's own answer goes out unchanged")
+		Expect(to.status).To(Equal(status), "the replica's response is forwarded unchanged")
 		Expect(r.count()).To(Equal(1))
 	},
-		Entry("500", 500), Entry("503 without the promise", 503), Entry("429 without the promise", 429),
+		Entry("500", 500), Entry("503 without Not-Executed", 503), Entry("429 without Not-Executed", 429),
 	)
 
-	It("refuses at once, with a time to come back, where nothing takes a connection", func() {
+	It("refuses at once, with Retry-After, if no replica accepts a connection", func() {
 		r := startReplica("r", good)
 		_ = r.listener.Close()
 		w := newWorld(once, r)
@@ -269,7 +269,7 @@
 		Expect(time.Since(begun)).To(BeNumerically("<", time.Second))
 	})
 
-	It("sends a repeatable request elsewhere after any failure, within the attempts", func() {
+	It("retries an idempotent request at another replica after any failure", func() {
 		calls := 0
 		script := func(a *arrival) bool {
 			if turn(&calls) < 3 {
@@ -283,7 +283,7 @@
 		Expect(s.Attempts).To(HaveLen(3))
 	})
 
-	It("sends a repeatable request to no more replicas than the route allows", func() {
+	It("sends an idempotent request to no more replicas than the route allows", func() {
 		script := func(a *arrival) bool { return reset(a.conn) }
 		w := newWorld(repeatable, startReplica("r1", script), startReplica("r2", script), startReplica("r3", script), startReplica("r4", script))
 		to, s := w.serve(w.call("a", "GET", ""))
@@ -291,7 +291,7 @@
 		Expect(s.Attempts).To(HaveLen(3))
 	})
 
-	It("leaves a silent replica where the request is repeatable", func() {
+	It("gives up a silent replica if the request is idempotent", func() {
 		calls := 0
 		script := func(a *arrival) bool {
 			if turn(&calls) == 1 {
@@ -308,7 +308,7 @@
 		Expect(w.seen.passedOver).To(HaveLen(1))
 	})
 
-	It("gives the replica's own error where no replica does better, and blames none", func() {
+	It("forwards a replica's error response if all replicas fail, and ejects none", func() {
 		script := func(a *arrival) bool { return answer(a, 500, sealed, "no") }
 		w := newWorld(repeatable, startReplica("r1", script), startReplica("r2", script), startReplica("r3", script))
 		for range 20 {
@@ -318,7 +318,7 @@
 		Expect(w.seen.passedOver).To(BeEmpty())
 	})
 
-	It("answers at the deadline and not later", func() {
+	It("responds at the deadline and not later", func() {
 		r := startReplica("r", func(*arrival) bool { time.Sleep(2 * time.Second); return false })
 		w := newWorld(once, r)
 		c := w.call("a", "POST", "x")
@@ -328,7 +328,7 @@
 		Expect(time.Since(c.Arrived)).To(BeNumerically("~", 300*time.Millisecond, 150*time.Millisecond))
 	})
 
-	It("does not send what has no time left", func() {
+	It("does not send a request whose deadline has passed", func() {
 		r := startReplica("r", good)
 		w := newWorld(once, r)
 		c := w.call("a", "POST", "x")
@@ -338,7 +338,7 @@
 		Expect(r.count()).To(BeZero())
 	})
 
-	It("does not send to a replica that left while the connection came up", func() {
+	It("does not send to a replica that left the view during connection setup", func() {
 		r := startReplica("r", good)
 		w := newWorld(once, r)
 		empty := *w.view
@@ -354,7 +354,7 @@
 		Expect(r.count()).To(BeZero())
 	})
 
-	It("closes the replica's connection at once when the caller leaves", func() {
+	It("closes the connection to the replica at once when the caller disconnects", func() {
 		r := startReplica("r", nil)
 		reading := make(chan struct{})
 		scripts.Lock()
@@ -375,7 +375,7 @@
 		Expect((<-done).Gone).To(BeTrue())
 	})
 
-	It("sends nothing again for a caller who left", func() {
+	It("does not retry for a caller that disconnected", func() {
 		a, b := startReplica("a", nil), startReplica("b", nil)
 		reading := make(chan struct{}, 2)
 		scripts.Lock()
@@ -401,7 +401,7 @@
 var _ = Describe("Relay of streams", func() {
 	whole := event(1) + event(2) + event(3)
 
-	It("passes events on as they come", func() {
+	It("forwards events as they arrive", func() {
 		gate := make(chan struct{})
 		r := startReplica("r", func(a *arrival) bool {
 			streamHead(a)
@@ -429,7 +429,7 @@
 		Expect(to.status).To(BeZero())
 	})
 
-	DescribeTable("breaks a stream that can't be finished, without a part of an event", func(script func(a *arrival) bool) {
+	DescribeTable("aborts a stream that can't be completed, without forwarding a partial event", func(script func(a *arrival) bool) {
 		r := startReplica("r", script)
 		w := newWorld(stream, r, startReplica("r2", script))
 		to, _ := w.serve(w.call("a", "POST", "x"))
@@ -442,19 +442,19 @@
 			chunk(a, event(1)+"id: 2\nda")
 			return false
 		}),
-		Entry("whole chunks that end inside an event", func(a *arrival) bool {
+		Entry("complete chunked body that ends inside an event", func(a *arrival) bool {
 			streamHead(a)
 			chunk(a, event(1)+"id: 2\nda")
 			return streamEnd(a)
 		}),
-		Entry("an id that does not rise", func(a *arrival) bool {
+		Entry("event id that does not increase", func(a *arrival) bool {
 			streamHead(a)
 			chunk(a, event(1))
 			time.Sleep(20 * time.Millisecond)
 			chunk(a, event(1))
 			return streamEnd(a)
 		}),
-		Entry("a reset", func(a *arrival) bool {
+		Entry("connection reset", func(a *arrival) bool {
 			streamHead(a)
 			chunk(a, event(1))
 			time.Sleep(20 * time.Millisecond)
@@ -462,7 +462,7 @@
 		}),
 	)
 
-	DescribeTable("takes a resumable stream up at another replica, once, after the last event", func(first func(a *arrival) bool) {
+	DescribeTable("resumes a resumable stream once, at another replica, after the last event", func(first func(a *arrival) bool) {
 		n := 0
 		script := func(a *arrival) bool {
 			if turn(&n) == 1 {
@@ -489,7 +489,7 @@
 			chunk(a, event(1)+"id: 2\nda")
 			return reset(a.conn)
 		}),
-		Entry("silence", func(a *arrival) bool {
+		Entry("silent replica", func(a *arrival) bool {
 			streamHead(a)
 			chunk(a, event(1))
 			time.Sleep(1500 * time.Millisecond)
@@ -497,7 +497,7 @@
 		}),
 	)
 
-	It("waits for a slow replica where the budget has no retry", func() {
+	It("waits for a slow replica if the budget allows no retry", func() {
 		script := func(a *arrival) bool {
 			streamHead(a)
 			chunk(a, event(1))
@@ -513,7 +513,7 @@
 		Expect(s.Attempts).To(HaveLen(1))
 	})
 
-	It("sends again with what other daemons lend, and asks for nothing that the route does not allow", func() {
+	It("retries with budget transferred by other daemons, and requests none if the route allows no retry", func() {
 		lent := []routing.Retries{0.5, 0, 0.5}
 		serve := func(route routing.Route) (attempts, asked int) {
 			failing := func(a *arrival) bool { return answer(a, 500, sealed, "no") }
@@ -534,10 +534,10 @@
 		Expect(asked).To(Equal(3))
 		attempts, asked = serve(once)
 		Expect(attempts).To(Equal(1))
-		Expect(asked).To(BeZero(), "it may have run")
+		Expect(asked).To(BeZero(), "the request may have run")
 	})
 
-	It("reports a replica that was silent for long, and not one that it left sooner", func() {
+	It("reports a replica that was silent until the timeout, but not one that it gave up sooner", func() {
 		slow := func(a *arrival) bool {
 			time.Sleep(1200 * time.Millisecond)
 			streamHead(a)
@@ -552,7 +552,7 @@
 		}
 		once := resumable
 		once.Resumable, once.MaxAttempts = false, 1
-		Expect(reports(once, startReplica("r1", slow))).To(HaveLen(1), "it waited for the answer")
+		Expect(reports(once, startReplica("r1", slow))).To(HaveLen(1), "it waited for the response")
 		n := 0
 		first := func(a *arrival) bool {
 			if turn(&n) == 1 {
@@ -562,17 +562,17 @@
 			chunk(a, event(1)+event(2)+event(3))
 			return streamEnd(a)
 		}
-		Expect(reports(resumable, startReplica("r1", first), startReplica("r2", first))).To(BeEmpty(), "it left after a quarter of a second")
+		Expect(reports(resumable, startReplica("r1", first), startReplica("r2", first))).To(BeEmpty(), "it gave up after a quarter of a second")
 	})
 
-	It("stops the first run before the second begins", func() {
+	It("stops the first attempt before the second starts", func() {
 		n := 0
 		gone := make(chan bool, 1)
 		script := func(a *arrival) bool {
 			if turn(&n) == 1 {
 				streamHead(a)
 				chunk(a, event(1))
-				_, err := a.reader.ReadByte() // until the daemon closes
+				_, err := a.reader.ReadByte() // returns when the relay closes the connection
 				gone <- err != nil
 				return false
 			}
@@ -586,7 +586,7 @@
 		Expect(string(to.body)).To(Equal(whole))
 	})
 
-	It("goes on from the caller's last event", func() {
+	It("starts after the caller's last event", func() {
 		r := startReplica("r", func(a *arrival) bool {
 			streamHead(a)
 			chunk(a, event(8))
@@ -600,7 +600,7 @@
 		Expect(string(to.body)).To(Equal(event(8)))
 	})
 
-	It("passes a failure with its status on", func() {
+	It("forwards an error response with its status", func() {
 		r := startReplica("r", func(a *arrival) bool { return answer(a, 500, sealed, "no") })
 		w := newWorld(stream, r)
 		to, _ := w.serve(w.call("a", "POST", "x"))
@@ -608,7 +608,7 @@
 		Expect(to.header.Get("Replica-Seal")).To(Equal("good"))
 	})
 
-	It("ends at the deadline without looking whole", func() {
+	It("aborts at the deadline", func() {
 		r := startReplica("r", func(a *arrival) bool {
 			streamHead(a)
 			for i := range 100 {
@@ -625,7 +625,7 @@
 		Expect(time.Since(c.Arrived)).To(BeNumerically("<", 700*time.Millisecond))
 	})
 
-	It("counts its own requests only while they are at the replica", func() {
+	It("counts a request in the replica's load only while it is in flight", func() {
 		r := startReplica("r", func(a *arrival) bool { streamHead(a); chunk(a, event(1)); return streamEnd(a) })
 		w := newWorld(stream, r)
 		w.serve(w.call("a", "POST", "x"))
--- a/transport/relay/replica_test.go
+++ b/transport/relay/replica_test.go
@@ -19,38 +19,38 @@
 	"hingewinch.org/hingewinch/transport/relay"
 )
 
-// arrival is a request as a replica read it.
+// arrival is a request that a replica received.
 type arrival struct {
 	request *http.Request
 	body    []byte
 	conn    net.Conn
 	reader  *bufio.Reader
-	nth     int // of all requests at this replica
+	nth     int // index among all requests that the replica received, from 0
 }
 
-// id returns the request's id.
+// id returns the id of the attempt.
 func (a *arrival) id() string { return a.request.Header.Get("Attempt-Id") }
 
-// replica is a peer whose behaviour a test scripts.
+// replica is a fake replica whose responses are scripted by a test.
 type replica struct {
 	routing.Replica
 	listener net.Listener
-	// script answers one request; false closes the connection.
+	// script responds to one request. If it returns false, the connection is closed.
 	script func(a *arrival) bool
-	// readBody says whether the body is read before the script.
+	// skipBody leaves the request's body unread when the script is called.
 	skipBody bool
 
 	mu       sync.Mutex
 	arrivals []*arrival
 	conns    int
 	open     []net.Conn
-	closed   chan struct{} // a connection was closed by the daemon
+	closed   chan struct{} // receives a value when the relay closed a connection
 }
 
-// scripts guards what scripts share.
+// scripts guards the state that scripts share, and replica.script.
 var scripts sync.Mutex
 
-// turn returns the number of the call, from 1.
+// turn counts a call in n and returns its number, from 1.
 func turn(n *int) int {
 	scripts.Lock()
 	defer scripts.Unlock()
@@ -96,8 +96,8 @@
 			a.body, _ = io.ReadAll(req.Body)
 		}
 		if req.Header.Get("Expect-Replica") != string(r.ID) {
-			// As replicas do. Another process's request may come in on a port that was its
-			// replica's a moment ago.
+			// Real replicas do the same. A parallel test process may still send requests for a
+			// replica of its own that used this port before.
 			answer(a, http.StatusMisdirectedRequest, "", "")
 			return
 		}
@@ -114,7 +114,8 @@
 	}
 }
 
-// end ends the replica as a crash does: connections break, new ones are refused.
+// end simulates a crash: connections are reset, and new ones are refused. It returns false, for
+// use as the result of a script.
 func (r *replica) end() bool {
 	_ = r.listener.Close()
 	r.mu.Lock()
@@ -145,7 +146,7 @@
 
 const sealed = "Replica-Seal: good\r\n"
 
-// answer writes a whole plain answer.
+// answer writes a complete response with a content length.
 func answer(a *arrival, status int, headers, body string) bool {
 	return raw(a, fmt.Sprintf("HTTP/1.1 %d X\r\nAttempt-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, a.id(), headers, len(body), body))
 }
@@ -155,14 +156,14 @@
 	return err == nil
 }
 
-// reset closes a connection so that the peer gets a reset.
+// reset closes a connection with a TCP reset. It returns false, for use as the result of a script.
 func reset(c net.Conn) bool {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
 	return false
 }
 
-// streamHead begins a streamed answer in chunks.
+// streamHead writes the header of a chunked event stream.
 func streamHead(a *arrival) {
 	raw(a, "HTTP/1.1 200 OK\r\nAttempt-Id: "+a.id()+"\r\n"+sealed+"Transfer-Encoding: chunked\r\nContent-Type: text/event-stream\r\n\r\n")
 }
@@ -173,7 +174,7 @@
 
 func streamEnd(a *arrival) bool { return raw(a, "0\r\n\r\n") }
 
-// caller is a sink that remembers.
+// caller is a Sink that records what it is given.
 type caller struct {
 	status  int
 	header  http.Header
@@ -208,7 +209,7 @@
 func (c *caller) Refuse(o coordination.Outcome) { c.refusal = o }
 func (c *caller) Abort()                        { c.broken = true }
 
-// nobody is an observer that counts what it is told.
+// nobody is an Observer that records some of the notifications.
 type nobody struct {
 	mu         sync.Mutex
 	passedOver []routing.ReplicaID
@@ -249,7 +250,7 @@
 	n.heldBack = append(n.heldBack, c)
 }
 
-// world is a relay before some replicas.
+// world is a relay in front of some replicas.
 type world struct {
 	relay *relay.Relay
 	view  *routing.View
@@ -300,8 +301,8 @@
 	return to, s
 }
 
-// cleanUp runs at the end of a spec. In a plain test, which has none, the test ends its
-// replicas itself.
+// cleanUp calls f at the end of the current spec. In a test that is no spec it does nothing, and
+// the test itself must terminate its replicas.
 func cleanUp(f func()) {
 	if CurrentSpecReport().LeafNodeText != "" {
 		DeferCleanup(f)
--- a/transport/relay/statement_test.go
+++ b/transport/relay/statement_test.go
@@ -11,21 +11,22 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// notRun is the header with which replicas turn a request away.
+// notRun is the header field with which replicas reject a request.
 const notRun = "Not-Executed: 1\r\n"
 
-// TestWhatReplicasSayOfThemselvesIsObeyed plays replicas that ask for rest, and that leave.
+// TestWhatReplicasSayOfThemselvesIsObeyed checks that replicas which requested a backoff or
+// announced their departure, and addresses of replaced replicas, get no further requests.
 func TestWhatReplicasSayOfThemselvesIsObeyed(t *testing.T) {
-	t.Run("rest", testRest)
-	t.Run("leaving", testLeaving)
-	t.Run("another at the address", testReplaced)
+	t.Run("backoff", testRest)
+	t.Run("departure", testLeaving)
+	t.Run("replaced", testReplaced)
 }
 
-// testReplaced plays a replica that ended and came back under another id, while its entry is still
-// the former one: the first request finds out, and those after it go elsewhere, here and, by what
-// this daemon reports, at others. A route that allows one replica has that one refused.
+// testReplaced uses a replica that terminated and was replaced by another one at its address, while
+// its entry is still there. Only the first request may reach the address; later ones must go
+// elsewhere, also those of another daemon that received this daemon's reports.
 func testReplaced(t *testing.T) {
-	for name, route := range map[string]routing.Route{"may run more than once": repeatable, "runs once": once} {
+	for name, route := range map[string]routing.Route{"idempotent": repeatable, "at most once": once} {
 		t.Run(name, func(t *testing.T) {
 			RegisterTestingT(t)
 			former := startReplica("former", func(a *arrival) bool { return answer(a, 421, "Replica-Id: other\r\n", "") })
@@ -36,11 +37,11 @@
 				w.serve(w.call(fmt.Sprint(i), "POST", "x"))
 			}
 			if n := former.count(); n > 1 {
-				t.Errorf("%d requests went to the address of the replica that has gone, want one", n)
+				t.Errorf("%d requests went to the address of the replaced replica, want at most one", n)
 			}
 			reports := w.relay.Placer.Leavings.TakeReports(10, time.Now())
 			if len(reports) != 1 {
-				t.Fatalf("%d reports to other daemons, want one", len(reports))
+				t.Fatalf("%d reports for other daemons, want one", len(reports))
 			}
 			other := newWorld(route, former, living)
 			other.relay.Placer.Leavings.Observe(reports, time.Now())
@@ -48,17 +49,17 @@
 				other.serve(other.call(fmt.Sprint("other ", i), "POST", "x"))
 			}
 			if n := former.count(); n > 1 {
-				t.Errorf("%d requests of another daemon that was told", n-1)
+				t.Errorf("%d requests from another daemon after it received the report, want none", n-1)
 			}
 		})
 	}
 }
 
-// testRest is the incident of internal/soak's
-// TestReplicasThatAskForRestAreLeftAlone at one daemon: a replica turns a request away and asks
-// for rest, and is the only one, so that all that stands in for rest is void.
+// testRest reproduces the incident of internal/soak's TestReplicasThatAskForRestAreLeftAlone at a
+// single daemon: a replica rejects a request and requests a backoff. It is the only replica, so
+// that no other rule, such as ejection, keeps requests from it.
 func testRest(t *testing.T) {
-	for name, route := range map[string]routing.Route{"may run more than once": repeatable, "runs once": once, "may go on elsewhere": resumable} {
+	for name, route := range map[string]routing.Route{"idempotent": repeatable, "at most once": once, "resumable": resumable} {
 		t.Run(name, func(t *testing.T) {
 			RegisterTestingT(t)
 			r := startReplica("r", func(a *arrival) bool { return answer(a, 503, notRun+"Retry-After: 30\r\n", "") })
@@ -71,20 +72,20 @@
 				}
 			}
 			if n := r.count(); n != 1 {
-				t.Errorf("%d requests reached the replica, want only the one that it turned away", n)
+				t.Errorf("%d requests reached the replica, want only the one that it rejected", n)
 			}
 		})
 	}
 }
 
-// testLeaving plays one that says so in an answer, and whose entry
-// goes on saying that it is ready.
+// testLeaving uses a replica that announces its departure in a response, while its entry still
+// says that it is ready.
 func testLeaving(t *testing.T) {
 	for name, script := range map[string]func(a *arrival) bool{
-		"in a success": func(a *arrival) bool { return answer(a, 200, sealed+"Server-Leaving: 1\r\n", "fine") },
-		"in a failure": func(a *arrival) bool { return answer(a, 500, sealed+"Server-Leaving: 1\r\n", "") },
-		"in a refusal": func(a *arrival) bool { return answer(a, 503, notRun+"Server-Leaving: 1\r\n", "") },
-		"in a late answer": func(a *arrival) bool {
+		"in a success response": func(a *arrival) bool { return answer(a, 200, sealed+"Server-Leaving: 1\r\n", "fine") },
+		"in an error response":  func(a *arrival) bool { return answer(a, 500, sealed+"Server-Leaving: 1\r\n", "") },
+		"in a rejection":        func(a *arrival) bool { return answer(a, 503, notRun+"Server-Leaving: 1\r\n", "") },
+		"in a late response to an earlier request": func(a *arrival) bool {
 			raw(a, "HTTP/1.1 200 OK\r\nAttempt-Id: earlier\r\nServer-Leaving: 1\r\nContent-Length: 0\r\n\r\n")
 			return good(a)
 		},
@@ -99,20 +100,20 @@
 				w.serve(w.call(fmt.Sprint(i), "POST", "x"))
 			}
 			if n := r.count(); n != 1 {
-				t.Errorf("%d requests reached the replica, want only the one that it answered", n)
+				t.Errorf("%d requests reached the replica, want only the one that it responded to", n)
 			}
 		})
 	}
 }
 
-// TestRestIsLookedAtAgainBeforeTheFirstByte plays a rest and a leaving that are learnt while the
-// connection comes up.
+// TestRestIsLookedAtAgainBeforeTheFirstByte checks that a request is not sent if a backoff or a
+// departure becomes known during connection setup.
 func TestRestIsLookedAtAgainBeforeTheFirstByte(t *testing.T) {
 	for name, learn := range map[string]func(w *world, r *replica){
-		"rest": func(w *world, r *replica) {
+		"backoff": func(w *world, r *replica) {
 			w.relay.Placer.Rests.Ask(&r.Replica, time.Minute, "other", time.Now())
 		},
-		"leaving": func(w *world, r *replica) { w.relay.Placer.Leavings.Say(&r.Replica, time.Now()) },
+		"departure": func(w *world, r *replica) { w.relay.Placer.Leavings.Say(&r.Replica, time.Now()) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			RegisterTestingT(t)
@@ -121,17 +122,17 @@
 			w := newWorld(once, r)
 			views := 0
 			w.relay.View = func() *routing.View {
-				if views++; views == 2 { // the attempt has begun
+				if views++; views == 2 { // the attempt has started
 					learn(w, r)
 				}
 				return w.view
 			}
 			to, _ := w.serve(w.call("a", "POST", "x"))
 			if r.count() != 0 {
-				t.Errorf("%d requests reached the replica", r.count())
+				t.Errorf("%d requests reached the replica, want none", r.count())
 			}
 			if _, ok := to.refusal.(coordination.NotRun); !ok {
-				t.Errorf("the caller got %#v, want a refusal that says not run", to.refusal)
+				t.Errorf("the caller got %#v, want a refusal as not run", to.refusal)
 			}
 		})
 	}
