--- a/internal/soak/plants_test.go
+++ b/internal/soak/plants_test.go
@@ -48,7 +48,7 @@
 	{name: "says not run of what may have run", promise: "REFUSED", file: "platform/front.go",
 		text: "status := http.StatusBadGateway", instead: "status := http.StatusServiceUnavailable"},
 	{name: "takes a broken stream as whole", promise: "ORDER", file: "transport/relay/answer.go",
-		text: "return x.broken(ctx, eris.Wrap(err, \"read stream\"))", instead: "break"},
+		text: "return x.brokenResponse(ctx, eris.Wrap(err, \"read stream\"))", instead: "break"},
 	{name: "sends work to evacuated domains", promise: "EVAC", file: "coordination/routing/evacuate.go",
 		text: "if !e.evacuated[r.Domain] {", instead: "if r.ID != \"\" || !e.evacuated[r.Domain] {"},
 	{name: "takes cold replicas for warm ones", promise: "FAILBACK", file: "coordination/routing/cold.go",
--- a/transport/clock/clock.go
+++ b/transport/clock/clock.go
@@ -26,9 +26,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// noticed is the change of the offset between the wall clock and the monotonic clock from which
-// a suspension is checked for. Gradual adjustments change the offset by less in any second.
-const noticed = 100 * time.Millisecond
+// minOffsetChange is the change of the offset between the wall clock and the monotonic clock from
+// which a suspension is checked for. Gradual adjustments change it by less in any second.
+const minOffsetChange = 100 * time.Millisecond
 
 // Reading is a simultaneous reading of the system's clocks.
 type Reading struct {
@@ -49,46 +49,46 @@
 type Clock struct {
 	source Source
 
-	suspended atomic.Int64 // total suspended time detected so far, in nanoseconds
-	drift     atomic.Int64 // wall clock minus monotonic clock at the last check, in nanoseconds
+	suspended  atomic.Int64 // total suspended time detected so far, in nanoseconds
+	wallOffset atomic.Int64 // wall clock minus monotonic clock at the last check, in nanoseconds
 
-	mu   sync.Mutex
-	lead time.Duration // Source.Lead at the last check
+	mu          sync.Mutex
+	suspendLead time.Duration // Source.Lead at the last check
 }
 
 // New returns a clock that reads the given source.
 func New(s Source) *Clock {
 	c := &Clock{source: s}
 	r := s.Read()
-	c.drift.Store(int64(r.Wall - r.Steady))
-	c.lead, _ = s.Lead()
+	c.wallOffset.Store(int64(r.Wall - r.Steady))
+	c.suspendLead, _ = s.Lead()
 	return c
 }
 
 // Now returns the current time, suspensions included.
 func (c *Clock) Now() time.Time {
 	r := c.source.Read()
-	drift := r.Wall - r.Steady
-	if (drift - time.Duration(c.drift.Load())).Abs() >= noticed {
-		c.look(drift)
+	wallOffset := r.Wall - r.Steady
+	if (wallOffset - time.Duration(c.wallOffset.Load())).Abs() >= minOffsetChange {
+		c.checkSuspension(wallOffset)
 	}
 	return r.At.Add(c.Suspended())
 }
 
-// look is called when the wall clock has moved against the monotonic clock. It adds to the
-// suspended time what CLOCK_BOOTTIME gained since the last check. A suspension moves the wall
-// clock ahead by the same amount, so that at most noticed more than that is added.
-func (c *Clock) look(drift time.Duration) {
+// checkSuspension is called when the wall clock has moved against the monotonic clock. It adds to
+// the suspended time what CLOCK_BOOTTIME gained since the last check. A suspension moves the wall
+// clock ahead by the same amount, so that at most minOffsetChange more than that is added.
+func (c *Clock) checkSuspension(wallOffset time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	moved := drift - time.Duration(c.drift.Swap(int64(drift)))
+	offsetChange := wallOffset - time.Duration(c.wallOffset.Swap(int64(wallOffset)))
 	lead, ok := c.source.Lead()
 	if !ok {
 		return
 	}
-	by := min(lead-c.lead, moved+noticed)
-	c.suspended.Add(int64(max(0, by)))
-	c.lead = lead
+	suspended := min(lead-c.suspendLead, offsetChange+minOffsetChange)
+	c.suspended.Add(int64(max(0, suspended)))
+	c.suspendLead = lead
 }
 
 // Suspended returns the total suspended time detected so far.
@@ -98,21 +98,21 @@
 func (c *Clock) Timer(t time.Time) time.Time { return t.Add(-c.Suspended()) }
 
 // system is the clock behind the package-level functions.
-var system = New(processSource{begun: time.Now()})
+var system = New(systemSource{start: time.Now()})
 
-// processSource reads the operating system's clocks.
-type processSource struct{ begun time.Time }
+// systemSource reads the operating system's clocks.
+type systemSource struct{ start time.Time }
 
-var _ Source = processSource{}
+var _ Source = systemSource{}
 
 // Read implements [Source]. It makes no system call: Clock.Now calls it each time.
-func (s processSource) Read() Reading {
+func (s systemSource) Read() Reading {
 	t := time.Now()
-	return Reading{At: t, Steady: t.Sub(s.begun), Wall: time.Duration(t.UnixNano())}
+	return Reading{At: t, Steady: t.Sub(s.start), Wall: time.Duration(t.UnixNano())}
 }
 
 // Lead implements [Source].
-func (processSource) Lead() (time.Duration, bool) {
+func (systemSource) Lead() (time.Duration, bool) {
 	var steady, counting unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &counting) != nil {
 		return 0, false
--- a/transport/clock/clock_test.go
+++ b/transport/clock/clock_test.go
@@ -24,7 +24,7 @@
 func TestClockCountsSuspensions(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		play func(f *fakeSource, look func())
+		run  func(f *fakeSource, look func())
 		want time.Duration // elapsed by the clock
 	}{
 		{"no suspension", func(f *fakeSource, _ func()) { f.run(time.Minute) }, time.Minute},
@@ -39,7 +39,7 @@
 		{"wall clock steps forward and back", func(f *fakeSource, look func()) { f.step(time.Hour); look(); f.run(time.Second); f.step(-time.Hour) }, time.Second},
 		{"suspension after the wall clock stepped back", func(f *fakeSource, look func()) { f.step(-time.Hour); look(); f.suspend(4 * time.Second) }, 4 * time.Second},
 		{"CLOCK_BOOTTIME is not available", func(f *fakeSource, _ func()) { f.unknown = true; f.run(time.Second); f.suspend(5 * time.Second) }, time.Second},
-		{"CLOCK_BOOTTIME jumps by itself", func(f *fakeSource, _ func()) { f.boot += 1000 * time.Hour; f.step(time.Second) }, time.Second + noticed},
+		{"CLOCK_BOOTTIME jumps by itself", func(f *fakeSource, _ func()) { f.boot += 1000 * time.Hour; f.step(time.Second) }, time.Second + minOffsetChange},
 		{"gradual wall clock adjustments", func(f *fakeSource, look func()) {
 			for range 50 {
 				f.run(time.Second)
@@ -51,7 +51,7 @@
 		f := &fakeSource{boot: time.Hour}
 		clock := New(f)
 		begun := clock.Now()
-		c.play(f, func() { clock.Now() })
+		c.run(f, func() { clock.Now() })
 		if got := clock.Now().Sub(begun); got != c.want {
 			t.Errorf("%s: %v elapsed, want %v", c.name, got, c.want)
 		}
@@ -78,7 +78,7 @@
 	if d := Since(a); d < 2*time.Millisecond || d > time.Minute {
 		t.Errorf("%v elapsed, want at least 2ms and at most a minute", d)
 	}
-	if lead, ok := (processSource{}).Lead(); !ok || lead < 0 {
+	if lead, ok := (systemSource{}).Lead(); !ok || lead < 0 {
 		t.Errorf("lead %v, known %t", lead, ok)
 	}
 	if left := Until(a.Add(time.Hour)); left > time.Hour || left < 59*time.Minute {
--- a/transport/fetch.go
+++ b/transport/fetch.go
@@ -33,19 +33,19 @@
 	}
 	defer resp.Body.Close()
 	timer.Reset(t.Idle)
-	resp.Body = &timedBody{ReadCloser: resp.Body, timer: timer, idle: t.Idle}
+	resp.Body = &idleTimeoutBody{ReadCloser: resp.Body, timer: timer, idle: t.Idle}
 	return read(resp)
 }
 
-// timedBody is a response body that restarts the idle timeout after each read.
-type timedBody struct {
+// idleTimeoutBody is a response body that restarts the idle timeout after each read.
+type idleTimeoutBody struct {
 	io.ReadCloser
 	timer *time.Timer
 	idle  time.Duration
 }
 
 // Read implements [io.Reader].
-func (b *timedBody) Read(p []byte) (int, error) {
+func (b *idleTimeoutBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	b.timer.Reset(b.idle)
 	return n, err
--- a/transport/recorder.go
+++ b/transport/recorder.go
@@ -18,7 +18,7 @@
 const PathTimeline = "/timeline"
 
 // defaultRingSize is the number of events that a daemon keeps.
-const ringSize = 4096
+const defaultRingSize = 4096
 
 // Recorder records the timeline events of one daemon. It is safe for concurrent use.
 type Recorder struct {
@@ -32,7 +32,7 @@
 
 // NewRecorder returns a recorder for a daemon. If logger is nil, events are not logged.
 func NewRecorder(d state.DaemonID, logger *log.Logger) *Recorder {
-	return NewRecorderSize(d, logger, ringSize)
+	return NewRecorderSize(d, logger, defaultRingSize)
 }
 
 // NewRecorderSize is like [NewRecorder] but keeps the given number of events.
--- a/transport/relay/answer.go
+++ b/transport/relay/answer.go
@@ -17,65 +17,65 @@
 
 // Causes of responses that can't be forwarded.
 var (
-	errDrained   = errors.New("replica left the view during connection setup")
-	errOrder     = errors.New("event ids do not increase or an event is too large")
-	errTooLarge  = errors.New("response is too large")
-	errOwnFault  = errors.New("replica answered with an error of its own")
-	errCaller    = errors.New("write to caller failed")
-	errEndInside = errors.New("stream ended inside an event")
+	errNotReady        = errors.New("replica stopped being ready during connection setup")
+	errBadEvents       = errors.New("event ids do not increase or an event is too large")
+	errTooLarge        = errors.New("response is too large")
+	errReplicaError    = errors.New("replica answered with an error of its own")
+	errCallerWrite     = errors.New("write to caller failed")
+	errIncompleteEvent = errors.New("stream ended inside an event")
 )
 
 // streamReadBytes is the size of the buffer for reading streams. It holds some events.
 const streamReadBytes = 2 << 10
 
-// maxAnswerBytes is the maximum size of a response that is not streamed, which is held
+// maxResponseBytes is the maximum size of a response that is not streamed, which is held
 // in memory.
-const maxAnswerBytes = 8 << 20
+const maxResponseBytes = 8 << 20
 
-// relayWhole reads a response to its end and then forwards it. Nothing is forwarded of
+// forwardComplete reads a response to its end and then forwards it. Nothing is forwarded of
 // an incomplete response, so that the request can be retried.
-func (s *serving) relayWhole(ctx context.Context, x *exchange, t *routing.Target) *failure {
+func (s *activeCall) forwardComplete(ctx context.Context, x *exchange, t *routing.Target) *failure {
 	status := x.response.StatusCode
-	body, err := io.ReadAll(io.LimitReader(x.response.Body, maxAnswerBytes+1))
+	body, err := io.ReadAll(io.LimitReader(x.response.Body, maxResponseBytes+1))
 	if err != nil {
-		return x.broken(ctx, eris.Wrap(err, "read body"))
+		return x.brokenResponse(ctx, eris.Wrap(err, "read body"))
 	}
-	if len(body) > maxAnswerBytes {
+	if len(body) > maxResponseBytes {
 		return &failure{outcome: mayHaveRun, result: routing.ResultBroken, err: errTooLarge}
 	}
 	now := clock.Now()
-	x.end(true, now)
+	x.releaseConn(true, now)
 	if status < http.StatusInternalServerError {
-		s.praise(&t.Replica, now)
-		return s.answer(ctx, status, x.response.Header, body)
+		s.recordSuccess(&t.Replica, now)
+		return s.respond(ctx, status, x.response.Header, body)
 	}
 	if x.head.Says.Rest == 0 { // a requested backoff does not count as a failure
 		s.failed = append(s.failed, t.Replica)
 	}
 	if s.attempts.BetterAnswerPossible() {
 		// Another replica may succeed; if none does, this response is forwarded.
-		s.fallback = &fallback{status: status, header: x.response.Header, body: body}
-		return &failure{outcome: mayHaveRun, result: routing.ResultFailed, err: errOwnFault}
+		s.fallback = &errorResponse{status: status, header: x.response.Header, body: body}
+		return &failure{outcome: mayHaveRun, result: routing.ResultFailed, err: errReplicaError}
 	}
 	if s.attempts.Sent == 1 {
-		s.blameFailed()
+		s.recordErrorResponses()
 	}
-	return s.answer(ctx, status, x.response.Header, body)
+	return s.respond(ctx, status, x.response.Header, body)
 }
 
-// blameFailed records the error responses of earlier attempts as failures of their
+// recordErrorResponses records the error responses of earlier attempts as failures of their
 // replicas. It is not called if several replicas failed on the request and none served
 // it: then the fault is likely the request's.
-func (s *serving) blameFailed() {
+func (s *activeCall) recordErrorResponses() {
 	for i := range s.failed {
-		s.blame(&s.failed[i], routing.ResultFailed, errOwnFault)
+		s.recordFailure(&s.failed[i], routing.ResultFailed, errReplicaError)
 	}
 	s.failed = nil
 }
 
-func (s *serving) answer(ctx context.Context, status int, h http.Header, body []byte) *failure {
+func (s *activeCall) respond(ctx context.Context, status int, h http.Header, body []byte) *failure {
 	if s.attempts.Begun {
-		return &failure{outcome: mayHaveRun, result: routing.ResultFailed, err: errOwnFault}
+		return &failure{outcome: mayHaveRun, result: routing.ResultFailed, err: errReplicaError}
 	}
 	s.attempts.Begun = true
 	s.summary.Status = status
@@ -86,9 +86,9 @@
 	return nil
 }
 
-// relayStream forwards events as they arrive. The header is sent with the first event,
+// forwardStream forwards events as they arrive. The header is sent with the first event,
 // so that a stream that breaks before it can still be refused with an error status.
-func (s *serving) relayStream(ctx context.Context, x *exchange, t *routing.Target) *failure {
+func (s *activeCall) forwardStream(ctx context.Context, x *exchange, t *routing.Target) *failure {
 	if s.events == nil {
 		s.events = newEventReader(s.call.LastEvent)
 	}
@@ -99,79 +99,79 @@
 			return f
 		}
 		n, err := x.response.Body.Read(buf)
-		if f := s.pass(x, buf[:n]); f != nil {
+		if f := s.forwardEvents(x, buf[:n]); f != nil {
 			return f
 		}
 		if errors.Is(err, io.EOF) {
 			break
 		}
 		if err != nil {
-			return x.broken(ctx, eris.Wrap(err, "read stream"))
+			return x.brokenResponse(ctx, eris.Wrap(err, "read stream"))
 		}
 	}
-	if len(s.events.rest) > 0 {
-		return x.broken(ctx, errEndInside)
+	if len(s.events.pending) > 0 {
+		return x.brokenResponse(ctx, errIncompleteEvent)
 	}
-	if f := s.begin(x); f != nil {
+	if f := s.sendHeader(x); f != nil {
 		return f
 	}
 	now := clock.Now()
-	s.praise(&t.Replica, now)
-	x.end(true, now)
+	s.recordSuccess(&t.Replica, now)
+	x.releaseConn(true, now)
 	return nil
 }
 
 // awaitEvent waits for more bytes of a stream. If the stream can be resumed at another
 // replica, it waits no longer than the event timeout.
-func (s *serving) awaitEvent(ctx context.Context, x *exchange) *failure {
+func (s *activeCall) awaitEvent(ctx context.Context, x *exchange) *failure {
 	if x.conn.reader.Buffered() > 0 {
 		return nil
 	}
 	until := x.deadline
-	wait, leave := s.attempts.EventTimeout()
-	if leave {
+	wait, canResume := s.attempts.EventTimeout()
+	if canResume {
 		until = clock.Now().Add(wait)
 	}
-	arrived, err := x.await(until)
-	if err == nil && !arrived && leave && !s.reserveRetry(ctx) {
-		arrived, err = x.await(x.deadline)
+	arrived, err := x.awaitBytes(until)
+	if err == nil && !arrived && canResume && !s.reserveRetry(ctx) {
+		arrived, err = x.awaitBytes(x.deadline)
 	}
 	if err != nil {
 		// A response without a length ends with the connection; the next read returns EOF.
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
-		return x.broken(ctx, err)
+		return x.brokenResponse(ctx, err)
 	}
 	if arrived {
 		return nil
 	}
-	f := x.silent()
-	f.blame = clock.Now().Before(x.deadline)
+	f := x.silentReplica()
+	f.countsAgainst = clock.Now().Before(x.deadline)
 	return f
 }
 
-// pass forwards the events that p completes to the caller.
-func (s *serving) pass(x *exchange, p []byte) *failure {
-	whole, ok := s.events.take(p)
+// forwardEvents forwards the events that p completes to the caller.
+func (s *activeCall) forwardEvents(x *exchange, p []byte) *failure {
+	events, ok := s.events.add(p)
 	if !ok {
-		return &failure{outcome: mayHaveRun, result: routing.ResultBroken, blame: true, err: errOrder}
+		return &failure{outcome: mayHaveRun, result: routing.ResultBroken, countsAgainst: true, err: errBadEvents}
 	}
-	if len(whole) == 0 {
+	if len(events) == 0 {
 		return nil
 	}
-	if f := s.begin(x); f != nil {
+	if f := s.sendHeader(x); f != nil {
 		return f
 	}
-	if err := s.sink.Write(whole); err != nil {
-		return &failure{outcome: mayHaveRun, result: routing.ResultGood, err: errCaller}
+	if err := s.sink.Write(events); err != nil {
+		return &failure{outcome: mayHaveRun, result: routing.ResultGood, err: errCallerWrite}
 	}
 	return nil
 }
 
-// begin sends the header of a streamed response, unless it was sent. A stream that is
+// sendHeader sends the header of a streamed response, unless it was sent. A stream that is
 // resumed at another replica keeps the first one's header.
-func (s *serving) begin(x *exchange) *failure {
+func (s *activeCall) sendHeader(x *exchange) *failure {
 	if s.attempts.Begun {
 		return nil
 	}
@@ -179,7 +179,7 @@
 	s.summary.Status = x.response.StatusCode
 	s.summary.FirstByte = clock.Since(s.call.Arrived)
 	if err := s.sink.Begin(x.response.StatusCode, x.response.Header); err != nil {
-		return &failure{outcome: mayHaveRun, result: routing.ResultGood, err: errCaller}
+		return &failure{outcome: mayHaveRun, result: routing.ResultGood, err: errCallerWrite}
 	}
 	return nil
 }
--- a/transport/relay/ended.go
+++ b/transport/relay/ended.go
@@ -16,13 +16,13 @@
 	"hingewinch.org/hingewinch/transport/clock"
 )
 
-// endCheckAge is how long the result of a check is reused. All connections to a replica break
+// crashCheckMaxAge is how long the result of a check is reused. All connections to a replica break
 // within some milliseconds of its crash, and a replica takes longer than this to restart.
-const endCheckAge = 100 * time.Millisecond
+const crashCheckMaxAge = 100 * time.Millisecond
 
-// isCut reports whether the error means that the peer closed or reset the connection.
-func isCut(err error) bool {
-	for _, e := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE, errEndInside} {
+// isConnectionClosed reports whether the error means that the peer closed or reset the connection.
+func isConnectionClosed(err error) bool {
+	for _, e := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE, errIncompleteEvent} {
 		if errors.Is(err, e) {
 			return true
 		}
@@ -30,60 +30,61 @@
 	return false
 }
 
-// endChecks holds the latest check of each replica, so that concurrent requests share one. The
+// crashChecks holds the latest check of each replica, so that concurrent requests share one. The
 // zero value is empty.
-type endChecks struct {
+type crashChecks struct {
 	mu     sync.Mutex
-	latest map[routing.Incarnation]*endCheck
+	latest map[routing.Incarnation]*crashCheck
 }
 
-// endCheck is one check of a replica. ended is valid once done is closed.
-type endCheck struct {
-	begun time.Time
-	done  chan struct{}
-	ended bool
+// crashCheck is one check of a replica. refused is valid once done is closed.
+type crashCheck struct {
+	started time.Time
+	done    chan struct{}
+	refused bool
 }
 
-// begin returns the current check of a replica. If isNew is true, the caller must perform it.
-func (e *endChecks) begin(id routing.Incarnation, now time.Time) (c *endCheck, isNew bool) {
+// current returns the check of a replica that has not expired, or else a new one. If isNew is true,
+// the caller must perform the check.
+func (e *crashChecks) current(id routing.Incarnation, now time.Time) (c *crashCheck, isNew bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if c = e.latest[id]; c != nil && now.Sub(c.begun) < endCheckAge {
+	if c = e.latest[id]; c != nil && now.Sub(c.started) < crashCheckMaxAge {
 		return c, false
 	}
 	if e.latest == nil {
-		e.latest = make(map[routing.Incarnation]*endCheck)
+		e.latest = make(map[routing.Incarnation]*crashCheck)
 	}
-	c = &endCheck{begun: now, done: make(chan struct{})}
+	c = &crashCheck{started: now, done: make(chan struct{})}
 	e.latest[id] = c
 	return c, true
 }
 
-// forget removes expired checks.
-func (e *endChecks) forget(now time.Time) {
+// removeExpired removes expired checks.
+func (e *crashChecks) removeExpired(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for id, c := range e.latest {
-		if now.Sub(c.begun) >= endCheckAge {
+		if now.Sub(c.started) >= crashCheckMaxAge {
 			delete(e.latest, id)
 		}
 	}
 }
 
-// hasEnded reports whether a replica refuses connections. All requests whose connections broke
+// hasTerminated reports whether a replica refuses connections. Requests whose connections broke
 // at the same time share one dial, which goes on if the caller of the request that started it
 // disconnects. If the replica accepts the connection, it is kept in the pool.
-func (p *Pool) hasEnded(ctx context.Context, r *routing.Replica, limit int, now time.Time) bool {
-	c, isNew := p.checks.begin(r.Incarnation(), now)
+func (p *Pool) hasTerminated(ctx context.Context, r *routing.Replica, limit int, now time.Time) bool {
+	c, isNew := p.crashChecks.current(r.Incarnation(), now)
 	if isNew {
-		c.ended = p.refuses(context.WithoutCancel(ctx), r, limit)
+		c.refused = p.refusesConnection(context.WithoutCancel(ctx), r, limit)
 		close(c.done)
 	}
 	<-c.done
-	return c.ended
+	return c.refused
 }
 
-func (p *Pool) refuses(ctx context.Context, r *routing.Replica, limit int) bool {
+func (p *Pool) refusesConnection(ctx context.Context, r *routing.Replica, limit int) bool {
 	if !p.reserve(r.Incarnation(), limit) {
 		return false // the limit is reached, so other connections are open
 	}
--- a/transport/relay/events.go
+++ b/transport/relay/events.go
@@ -10,52 +10,52 @@
 
 // eventReader splits a stream into events and keeps the id of the last one.
 type eventReader struct {
-	rest  []byte // an incomplete event at the end of the input
-	last  string // id of the last event returned
-	seq   int64  // last as a number; -1 if there is none
-	count int    // of events returned
+	pending []byte // an incomplete event at the end of the input
+	lastID  string // id of the last event returned
+	lastSeq int64  // lastID as a number; -1 if there is none
+	count   int    // of events returned
 }
 
 // maxEventBytes is the maximum size of an event.
 const maxEventBytes = 1 << 20
 
 func newEventReader(last string) *eventReader {
-	e := &eventReader{last: last, seq: -1}
+	e := &eventReader{lastID: last, lastSeq: -1}
 	if n, err := strconv.ParseInt(last, 10, 64); err == nil {
-		e.seq = n
+		e.lastSeq = n
 	}
 	return e
 }
 
-// take appends bytes of the stream and returns the events that are complete now.
+// add appends bytes of the stream and returns the events that are complete now.
 // The result is valid until the next call. It returns false if an event's id does not
 // increase or an event is too large.
-func (e *eventReader) take(p []byte) ([]byte, bool) {
-	e.rest = append(e.rest, p...)
-	end := lastBoundary(e.rest)
+func (e *eventReader) add(p []byte) ([]byte, bool) {
+	e.pending = append(e.pending, p...)
+	end := completeLen(e.pending)
 	if end == 0 {
-		return nil, len(e.rest) <= maxEventBytes
+		return nil, len(e.pending) <= maxEventBytes
 	}
-	whole := e.rest[:end]
+	complete := e.pending[:end]
 	for at := 0; at < end; {
-		next := at + nextBoundary(whole[at:])
-		seq, id, ok := eventID(whole[at:next])
+		next := at + firstEventLen(complete[at:])
+		seq, id, ok := parseEventID(complete[at:next])
 		if ok {
-			if seq <= e.seq {
+			if seq <= e.lastSeq {
 				return nil, false
 			}
-			e.seq, e.last = seq, id
+			e.lastSeq, e.lastID = seq, id
 		}
 		e.count++
 		at = next
 	}
-	out := append([]byte(nil), whole...)
-	e.rest = append(e.rest[:0], e.rest[end:]...)
+	out := append([]byte(nil), complete...)
+	e.pending = append(e.pending[:0], e.pending[end:]...)
 	return out, true
 }
 
 // reset discards an incomplete event, before the stream is resumed at another replica.
-func (e *eventReader) reset() { e.rest = e.rest[:0] }
+func (e *eventReader) reset() { e.pending = e.pending[:0] }
 
 var (
 	boundary   = []byte("\n\n")
@@ -63,8 +63,8 @@
 	idField    = []byte("id:")
 )
 
-// lastBoundary returns the length of the complete events at the start of p.
-func lastBoundary(p []byte) int {
+// completeLen returns the length of the complete events at the start of p.
+func completeLen(p []byte) int {
 	end := 0
 	if i := bytes.LastIndex(p, boundary); i >= 0 {
 		end = i + len(boundary)
@@ -75,8 +75,8 @@
 	return end
 }
 
-// nextBoundary returns the length of the first event in p.
-func nextBoundary(p []byte) int {
+// firstEventLen returns the length of the first event in p.
+func firstEventLen(p []byte) int {
 	end := len(p)
 	if i := bytes.Index(p, boundary); i >= 0 {
 		end = i + len(boundary)
@@ -87,9 +87,9 @@
 	return end
 }
 
-// eventID returns the id of an event, as text and as a number. It returns false if the
+// parseEventID returns the id of an event, as text and as a number. It returns false if the
 // event has no id or the id is not a number.
-func eventID(event []byte) (seq int64, id string, ok bool) {
+func parseEventID(event []byte) (seq int64, id string, ok bool) {
 	for len(event) > 0 {
 		line := event
 		if i := bytes.IndexByte(event, '\n'); i >= 0 {
--- a/transport/relay/events_test.go
+++ b/transport/relay/events_test.go
@@ -21,7 +21,7 @@
 		var out []byte
 		for rest := stream; len(rest) > 0; {
 			n := min(size, len(rest))
-			whole, ok := e.take(rest[:n])
+			whole, ok := e.add(rest[:n])
 			if !ok {
 				break
 			}
--- a/transport/relay/exchange.go
+++ b/transport/relay/exchange.go
@@ -22,35 +22,35 @@
 )
 
 const (
-	// separateWriteBytes is the size from which a body is written concurrently with reading
+	// concurrentWriteBytes is the size from which a body is written concurrently with reading
 	// the response, because a replica may respond before it has read the whole body.
 	// Smaller bodies fit into the socket's send buffer.
-	separateWriteBytes = 16 << 10
-	// strayAnswers is the maximum number of late responses to earlier requests that are skipped.
-	strayAnswers = 2
-	// maxRefusalBytes is how much of a rejection's body is read in order to reuse the connection.
-	maxRefusalBytes = 4 << 10
-	// bodyWriteGrace is how long to wait, after a complete response, for the body to be written.
-	bodyWriteGrace = 2 * time.Millisecond
+	concurrentWriteBytes = 16 << 10
+	// maxStrayResponses is the maximum number of late responses to earlier requests that are skipped.
+	maxStrayResponses = 2
+	// maxRejectionBytes is how much of a rejection's body is read in order to reuse the connection.
+	maxRejectionBytes = 4 << 10
+	// bodyWriteTimeout is how long to wait, after a complete response, for the body to be written.
+	bodyWriteTimeout = 2 * time.Millisecond
 )
 
 // Causes of failed exchanges.
 var (
-	errStray    = errors.New("responses on the connection belong to other requests")
-	errUnsealed = errors.New("successful response without the replica's seal")
-	errEncoded  = errors.New("response has a content encoding that was not requested")
-	errSilent   = errors.New("replica is silent")
-	errBarred   = errors.New("replica requested a backoff or announced its departure during connection setup")
-	errHeldBack = errors.New("request was quarantined during connection setup")
-	errRefused  = errors.New("replica rejected the request without running it")
+	errStrayResponses = errors.New("responses on the connection belong to other requests")
+	errUnsealed       = errors.New("successful response without the replica's seal")
+	errEncoded        = errors.New("response has a content encoding that was not requested")
+	errSilent         = errors.New("replica is silent")
+	errIneligible     = errors.New("replica requested a backoff or announced its departure during connection setup")
+	errQuarantined    = errors.New("request was quarantined during connection setup")
+	errRejected       = errors.New("replica rejected the request without running it")
 )
 
 // failure describes an exchange without a usable response.
 type failure struct {
-	outcome coordination.Outcome // of the request
-	result  routing.Result       // of the replica; recorded only if blame is set
-	blame   bool                 // result counts against the replica
-	cut     bool                 // the replica closed the connection while it had the request
+	outcome       coordination.Outcome // of the request
+	result        routing.Result       // of the replica; recorded only if countsAgainst is set
+	countsAgainst bool                 // result counts against the replica
+	connClosed    bool                 // the replica closed the connection while it had the request
 	// replaced means that another replica responded at the address.
 	replaced bool
 	err      error
@@ -63,59 +63,59 @@
 	call     *Call
 	conn     *conn
 	deadline time.Time
-	// stopWatching stops the function that closes the connection when the caller
+	// stopCancelWatch stops the function that closes the connection when the caller
 	// disconnects. It returns false if that function has already started.
-	stopWatching func() bool
+	stopCancelWatch func() bool
 
-	sent     time.Time // taken before the first byte was written
-	writing  sync.WaitGroup
-	writeErr error
-	whole    bool // the complete request was written before reading began
-	arrived  bool // the replica has sent at least one byte
-	response *http.Response
-	head     ResponseHead
-	// heard is called with the replica's self-report in each response, including late
+	sent           time.Time // taken before the first byte was written
+	writing        sync.WaitGroup
+	writeErr       error
+	requestWritten bool // the complete request was written before reading began
+	received       bool // the replica has sent at least one byte
+	response       *http.Response
+	head           ResponseHead
+	// onSelfReport is called with the replica's self-report in each response, including late
 	// responses to earlier requests.
-	heard func(Statement)
-	ended bool // the connection was returned to the pool or closed
+	onSelfReport func(Statement)
+	connReleased bool // the connection was returned to the pool or closed
 }
 
 // buffers pools the buffers in which requests are encoded.
 var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 8<<10); return &b }}
 
-// begin writes the request. A large body is written by a separate goroutine, concurrently
-// with reading the response. It returns nil unless a write has failed.
-func (x *exchange) begin(ctx context.Context, h RequestHead) *failure {
+// writeRequest writes the request. A large body is written by a separate goroutine,
+// concurrently with reading the response. It returns nil unless a write has failed.
+func (x *exchange) writeRequest(ctx context.Context, h RequestHead) *failure {
 	x.sent = clock.Now()
-	x.stopWatching = context.AfterFunc(ctx, func() { _ = x.conn.Close() })
+	x.stopCancelWatch = context.AfterFunc(ctx, func() { _ = x.conn.Close() })
 	_ = x.conn.SetWriteDeadline(clock.Timer(x.deadline)) // on failure, the write fails too
 	buf := buffers.Get().(*[]byte)
 	head := x.codec.AppendRequest((*buf)[:0], x.call, h)
-	if len(x.call.Body) < separateWriteBytes {
+	if len(x.call.Body) < concurrentWriteBytes {
 		head = append(head, x.call.Body...)
 		n, err := x.conn.Write(head)
-		x.whole = err == nil
+		x.requestWritten = err == nil
 		*buf = head[:0]
 		buffers.Put(buf)
-		return x.wrote(ctx, n, err)
+		return x.writeFailure(ctx, n, err)
 	}
 	n, err := x.conn.Write(head)
 	*buf = head[:0]
 	buffers.Put(buf)
 	if err != nil {
-		return x.wrote(ctx, n, err)
+		return x.writeFailure(ctx, n, err)
 	}
 	x.writing.Go(func() { _, x.writeErr = x.conn.Write(x.call.Body) })
 	return nil
 }
 
-// wrote returns the failure for a write that returned n and err, or nil if err is nil. Only
+// writeFailure returns the failure for a write that returned n and err, or nil if err is nil. Only
 // if no byte was written is it certain that the request has not run.
-func (x *exchange) wrote(ctx context.Context, n int, err error) *failure {
+func (x *exchange) writeFailure(ctx context.Context, n int, err error) *failure {
 	if err == nil {
 		return nil
 	}
-	f := &failure{result: routing.ResultBroken, blame: ctx.Err() == nil, err: eris.Wrap(err, "write request")}
+	f := &failure{result: routing.ResultBroken, countsAgainst: ctx.Err() == nil, err: eris.Wrap(err, "write request")}
 	if n == 0 {
 		f.outcome = coordination.NotRun{Reason: coordination.ReasonConnect}
 		return f
@@ -124,11 +124,11 @@
 	return f
 }
 
-// await waits until there are bytes to read. It returns false if none have arrived by the
+// awaitBytes waits until there are bytes to read. It returns false if none have arrived by the
 // given time or the exchange's deadline.
-func (x *exchange) await(until time.Time) (bool, error) {
+func (x *exchange) awaitBytes(until time.Time) (bool, error) {
 	if x.conn.reader.Buffered() > 0 {
-		x.arrived = true
+		x.received = true
 		return true, nil
 	}
 	if until.After(x.deadline) {
@@ -137,7 +137,7 @@
 	_ = x.conn.SetReadDeadline(clock.Timer(until)) // on failure, the read fails too
 	_, err := x.conn.reader.Peek(1)
 	if err == nil {
-		x.arrived = true
+		x.received = true
 		_ = x.conn.SetReadDeadline(clock.Timer(x.deadline))
 		return true, nil
 	}
@@ -147,57 +147,57 @@
 	return false, err
 }
 
-// readHead reads the header of the response to this request. It skips late responses to
+// readHeader reads the header of the response to this request. It skips late responses to
 // earlier requests.
-func (x *exchange) readHead(ctx context.Context) *failure {
-	for range strayAnswers + 1 {
+func (x *exchange) readHeader(ctx context.Context) *failure {
+	for range maxStrayResponses + 1 {
 		resp, err := http.ReadResponse(x.conn.reader, &http.Request{Method: x.call.Method})
 		if err != nil {
-			return x.broken(ctx, eris.Wrap(err, "read response"))
+			return x.brokenResponse(ctx, eris.Wrap(err, "read response"))
 		}
 		x.response, x.head = resp, x.codec.ReadResponse(resp.StatusCode, resp.Header)
 		if resp.StatusCode != http.StatusMisdirectedRequest { // sent by another replica
-			x.heard(x.head.Says)
+			x.onSelfReport(x.head.Says)
 		}
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
 		if x.head.Request == x.call.ID {
-			return x.check()
+			return x.checkResponse()
 		}
-		x.conn.maxIdle = -1
+		x.conn.idleTimeout = -1
 		if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
 			break // the body ends only when the connection does
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-			return x.broken(ctx, eris.Wrap(err, "read stray response"))
+			return x.brokenResponse(ctx, eris.Wrap(err, "read stray response"))
 		}
 	}
-	return x.broken(ctx, errStray)
+	return x.brokenResponse(ctx, errStrayResponses)
 }
 
-// isAnswered reports whether the addressed replica has responded to the request, with any status.
-func (x *exchange) isAnswered() bool {
+// hasResponse reports whether the addressed replica has responded to the request, with any status.
+func (x *exchange) hasResponse() bool {
 	return x.response != nil && x.head.Request == x.call.ID && x.response.StatusCode != http.StatusMisdirectedRequest
 }
 
-// check returns nil if the response can be forwarded, and the failure otherwise.
-func (x *exchange) check() *failure {
+// checkResponse returns nil if the response can be forwarded, and the failure otherwise.
+func (x *exchange) checkResponse() *failure {
 	status := x.response.StatusCode
 	switch {
 	case x.head.NotRun:
-		_, err := io.CopyN(io.Discard, x.response.Body, maxRefusalBytes)
-		x.end(errors.Is(err, io.EOF), clock.Now())
+		_, err := io.CopyN(io.Discard, x.response.Body, maxRejectionBytes)
+		x.releaseConn(errors.Is(err, io.EOF), clock.Now())
 		// A requested backoff (coordination/routing/resting.go) does not count as a failure.
 		replaced := status == http.StatusMisdirectedRequest
 		return &failure{
 			outcome: coordination.NotRun{Reason: coordination.ReasonUpstreamBusy},
-			result:  routing.ResultRefused, blame: !replaced && x.head.Says.Rest == 0, replaced: replaced, err: errRefused,
+			result:  routing.ResultRefused, countsAgainst: !replaced && x.head.Says.Rest == 0, replaced: replaced, err: errRejected,
 		}
 	case status < http.StatusMultipleChoices && !x.head.Sealed:
-		return &failure{outcome: mayHaveRun, result: routing.ResultBroken, blame: true, err: errUnsealed}
+		return &failure{outcome: mayHaveRun, result: routing.ResultBroken, countsAgainst: true, err: errUnsealed}
 	case x.head.Encoded:
-		return &failure{outcome: mayHaveRun, result: routing.ResultBroken, blame: true, err: errEncoded}
+		return &failure{outcome: mayHaveRun, result: routing.ResultBroken, countsAgainst: true, err: errEncoded}
 	}
 	return nil
 }
@@ -205,51 +205,52 @@
 // mayHaveRun is the outcome of a request whose response can't be used.
 var mayHaveRun = coordination.MayHaveRun{Reason: coordination.ReasonBrokenAnswer}
 
-// broken returns the failure for a response that could not be read completely.
-func (x *exchange) broken(ctx context.Context, err error) *failure {
+// brokenResponse returns the failure for a response that could not be read completely.
+func (x *exchange) brokenResponse(ctx context.Context, err error) *failure {
 	reason := coordination.ReasonBrokenAnswer
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		reason = coordination.ReasonDeadline
 	}
 	return &failure{
 		outcome: coordination.MayHaveRun{Reason: reason}, result: routing.ResultBroken,
-		blame: ctx.Err() == nil, cut: ctx.Err() == nil && isCut(err), err: err,
+		countsAgainst: ctx.Err() == nil, connClosed: ctx.Err() == nil && isConnectionClosed(err), err: err,
 	}
 }
 
-// silent returns the failure for a replica that sends nothing, though the deadline has not passed.
-func (x *exchange) silent() *failure {
+// silentReplica returns the failure for a replica that sends nothing, although the deadline has
+// not passed.
+func (x *exchange) silentReplica() *failure {
 	return &failure{
 		outcome: coordination.MayHaveRun{Reason: coordination.ReasonNoAnswer},
-		result:  routing.ResultSilent, blame: true, err: errSilent,
+		result:  routing.ResultSilent, countsAgainst: true, err: errSilent,
 	}
 }
 
-// expired returns the failure for a response that has not started by the deadline.
-func (x *exchange) expired() *failure {
+// deadlineExpired returns the failure for a response that has not started by the deadline.
+func (x *exchange) deadlineExpired() *failure {
 	return &failure{
 		outcome: coordination.MayHaveRun{Reason: coordination.ReasonDeadline},
 		result:  routing.ResultSilent, err: errSilent,
 	}
 }
 
-// end returns the connection to the pool if it can be reused, and closes it otherwise.
-// whole tells whether the response was read to its end.
-func (x *exchange) end(whole bool, now time.Time) {
-	x.ended = true
-	live := x.stopWatching == nil || x.stopWatching()
-	if !x.whole && whole && live {
+// releaseConn returns the connection to the pool if it can be reused, and closes it otherwise.
+// complete tells whether the response was read to its end.
+func (x *exchange) releaseConn(complete bool, now time.Time) {
+	x.connReleased = true
+	callerConnected := x.stopCancelWatch == nil || x.stopCancelWatch()
+	if !x.requestWritten && complete && callerConnected {
 		// The request's body may still be being written. It is waited for only for
 		// a moment: a replica that responded early may never read the rest.
-		whole = x.bodyWritten()
+		complete = x.bodyWritten()
 	}
-	if !whole || !live || x.conn.maxIdle < 0 || x.response.Close || x.conn.reader.Buffered() > 0 {
+	if !complete || !callerConnected || x.conn.idleTimeout < 0 || x.response.Close || x.conn.reader.Buffered() > 0 {
 		x.pool.discard(x.conn)
 		x.writing.Wait()
 		return
 	}
 	if idle := x.head.Says.Idle; idle > 0 {
-		x.conn.maxIdle = time.Duration(float64(idle) * idleShare)
+		x.conn.idleTimeout = time.Duration(float64(idle) * idleTimeoutFraction)
 	}
 	x.pool.put(x.conn, now)
 }
@@ -263,16 +264,16 @@
 	select {
 	case <-done:
 		return x.writeErr == nil
-	case <-time.After(bodyWriteGrace):
+	case <-time.After(bodyWriteTimeout):
 		return false
 	}
 }
 
-// abandon closes the connection, so that the replica stops processing the request.
-func (x *exchange) abandon() {
-	x.ended = true
-	if x.stopWatching != nil {
-		x.stopWatching()
+// closeConn closes the connection, so that the replica stops processing the request.
+func (x *exchange) closeConn() {
+	x.connReleased = true
+	if x.stopCancelWatch != nil {
+		x.stopCancelWatch()
 	}
 	x.pool.discard(x.conn)
 	x.writing.Wait()
@@ -281,13 +282,13 @@
 // unreachable returns the failure for a connection that could not be opened. Nothing
 // was sent.
 func unreachable(ctx context.Context, err error) *failure {
-	blame := ctx.Err() == nil && !errors.Is(err, errFull)
-	var oe *net.OpError
-	if errors.As(err, &oe) && errors.Is(oe.Err, os.ErrDeadlineExceeded) && ctx.Err() != nil {
-		blame = false
+	countsAgainst := ctx.Err() == nil && !errors.Is(err, errConnectionLimit)
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && errors.Is(opErr.Err, os.ErrDeadlineExceeded) && ctx.Err() != nil {
+		countsAgainst = false
 	}
 	return &failure{
 		outcome: coordination.NotRun{Reason: coordination.ReasonConnect},
-		result:  routing.ResultUnreachable, blame: blame, err: eris.Wrap(err, "connect"),
+		result:  routing.ResultUnreachable, countsAgainst: countsAgainst, err: eris.Wrap(err, "connect"),
 	}
 }
--- a/transport/relay/exchange_test.go
+++ b/transport/relay/exchange_test.go
@@ -13,13 +13,13 @@
 func TestOneByteMayHaveRun(t *testing.T) {
 	x := &exchange{}
 	failed := errors.New("broken pipe")
-	if o := x.wrote(context.Background(), 0, failed).outcome; !coordination.MayRetry(o) {
+	if o := x.writeFailure(context.Background(), 0, failed).outcome; !coordination.MayRetry(o) {
 		t.Errorf("nothing written: %T", o)
 	}
-	if o := x.wrote(context.Background(), 1, failed).outcome; coordination.MayRetry(o) {
+	if o := x.writeFailure(context.Background(), 1, failed).outcome; coordination.MayRetry(o) {
 		t.Errorf("one byte written: %T", o)
 	}
-	if f := x.wrote(context.Background(), 10, nil); f != nil {
+	if f := x.writeFailure(context.Background(), 10, nil); f != nil {
 		t.Errorf("all written: %v", f)
 	}
 }
--- a/transport/relay/pool.go
+++ b/transport/relay/pool.go
@@ -19,14 +19,14 @@
 
 const (
 	readBufferBytes = 4 << 10 // holds a header and some events
-	// idleShare is the fraction of the replica's idle timeout for which a connection is
+	// idleTimeoutFraction is the fraction of the replica's idle timeout for which a connection is
 	// kept, so that it is not reused at the moment the replica closes it. 0.9 serves
 	// callers equally well.
-	idleShare = 0.7
-	// idleDefault is the idle timeout for replicas that state none.
-	idleDefault = 20 * time.Second
-	// idlePerReplica is the maximum number of idle connections to one replica.
-	idlePerReplica = 32
+	idleTimeoutFraction = 0.7
+	// defaultIdleTimeout is the idle timeout for replicas that state none.
+	defaultIdleTimeout = 20 * time.Second
+	// maxIdlePerReplica is the maximum number of idle connections to one replica.
+	maxIdlePerReplica = 32
 )
 
 // conn is a connection to a replica.
@@ -36,14 +36,14 @@
 	replica routing.Incarnation
 	reused  bool
 	opened  time.Time
-	// maxIdle is how long it may be idle; negative: it must not be reused.
-	maxIdle   time.Duration
-	idleSince time.Time
+	// idleTimeout is how long it may be idle; negative: it must not be reused.
+	idleTimeout time.Duration
+	idleSince   time.Time
 }
 
-// clean reports whether an idle connection is still open and has no unread bytes, which
+// isReusable reports whether an idle connection is still open and has no unread bytes, which
 // would belong to no request.
-func (c *conn) clean() bool {
+func (c *conn) isReusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -67,22 +67,22 @@
 
 // Pool keeps idle connections to replicas and counts the open ones. It is safe for concurrent use.
 type Pool struct {
-	dialer    net.Dialer
-	dialTimes routing.DialTimes
-	doubts    routing.LinkDoubts
-	checks    endChecks
+	dialer      net.Dialer
+	dialTimes   routing.DialTimes
+	linkDoubts  routing.LinkDoubts
+	crashChecks crashChecks
 
-	mu    sync.Mutex
-	idle  map[routing.Incarnation][]*conn
-	count map[routing.Incarnation]int // open connections
+	mu        sync.Mutex
+	idle      map[routing.Incarnation][]*conn
+	openCount map[routing.Incarnation]int // open connections
 }
 
 // NewPool returns an empty pool.
 func NewPool() *Pool {
 	return &Pool{
-		dialer: net.Dialer{KeepAlive: -1},
-		idle:   make(map[routing.Incarnation][]*conn),
-		count:  make(map[routing.Incarnation]int),
+		dialer:    net.Dialer{KeepAlive: -1},
+		idle:      make(map[routing.Incarnation][]*conn),
+		openCount: make(map[routing.Incarnation]int),
 	}
 }
 
@@ -92,18 +92,18 @@
 // At most limit connections are open to a replica at a time; 0 means no limit.
 func (p *Pool) get(ctx context.Context, r *routing.Replica, limit int, now time.Time) (*conn, error) {
 	for {
-		c := p.take(r.Incarnation(), now)
+		c := p.takeIdle(r.Incarnation(), now)
 		if c == nil {
 			break
 		}
-		if p.doubts.Trusts(r.Domain, c.idleSince) && c.clean() {
+		if p.linkDoubts.Trusts(r.Domain, c.idleSince) && c.isReusable() {
 			c.reused = true
 			return c, nil
 		}
 		p.discard(c)
 	}
 	if !p.reserve(r.Incarnation(), limit) {
-		return nil, errFull
+		return nil, errConnectionLimit
 	}
 	return p.open(ctx, r)
 }
@@ -115,7 +115,7 @@
 		p.release(r.Incarnation())
 		return nil, err
 	}
-	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferBytes), replica: r.Incarnation(), opened: clock.Now(), maxIdle: idleDefault}, nil
+	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferBytes), replica: r.Incarnation(), opened: clock.Now(), idleTimeout: defaultIdleTimeout}, nil
 }
 
 // dial opens a TCP connection, with a timeout that adapts to the duration of earlier dials.
@@ -130,18 +130,18 @@
 	return raw, err
 }
 
-// errFull means that this daemon has reached its share of a replica's connections.
-var errFull = errors.New("all connections that this daemon may open to the replica are in use")
+// errConnectionLimit means that this daemon has reached its share of a replica's connections.
+var errConnectionLimit = errors.New("all connections that this daemon may open to the replica are in use")
 
 // reserve counts a connection that is about to be opened. It returns false if the limit is
 // reached.
 func (p *Pool) reserve(id routing.Incarnation, limit int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if limit > 0 && p.count[id] >= limit {
+	if limit > 0 && p.openCount[id] >= limit {
 		return false
 	}
-	p.count[id]++
+	p.openCount[id]++
 	return true
 }
 
@@ -152,12 +152,12 @@
 }
 
 func (p *Pool) releaseLocked(id routing.Incarnation) {
-	if p.count[id]--; p.count[id] <= 0 {
-		delete(p.count, id)
+	if p.openCount[id]--; p.openCount[id] <= 0 {
+		delete(p.openCount, id)
 	}
 }
 
-func (p *Pool) take(id routing.Incarnation, now time.Time) *conn {
+func (p *Pool) takeIdle(id routing.Incarnation, now time.Time) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[id]
@@ -166,7 +166,7 @@
 	}
 	c := list[len(list)-1]
 	p.idle[id] = list[:len(list)-1]
-	if now.Sub(c.idleSince) > c.maxIdle {
+	if now.Sub(c.idleSince) > c.idleTimeout {
 		// The others have been idle for longer.
 		for _, old := range p.idle[id] {
 			p.closeLocked(old)
@@ -184,7 +184,7 @@
 	c.idleSince = now
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[c.replica]) >= idlePerReplica {
+	if len(p.idle[c.replica]) >= maxIdlePerReplica {
 		p.closeLocked(c)
 		return
 	}
@@ -205,13 +205,13 @@
 
 // Sweep closes idle connections that have timed out or whose replica is not wanted.
 func (p *Pool) Sweep(wanted func(routing.Incarnation) bool, now time.Time) {
-	p.checks.forget(now)
+	p.crashChecks.removeExpired(now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if wanted(id) && now.Sub(c.idleSince) <= c.maxIdle {
+			if wanted(id) && now.Sub(c.idleSince) <= c.idleTimeout {
 				kept = append(kept, c)
 				continue
 			}
@@ -232,7 +232,7 @@
 	defer p.mu.Unlock()
 	var oldest time.Time
 	for _, c := range p.idle[id] {
-		if (oldest.IsZero() || c.opened.Before(oldest)) && c.clean() {
+		if (oldest.IsZero() || c.opened.Before(oldest)) && c.isReusable() {
 			oldest = c.opened
 		}
 	}
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -33,25 +33,25 @@
 // New returns a Relay with the given options.
 func New(o Options) *Relay { return &Relay{Options: o} }
 
-// serving is the state of one call. It is used by one goroutine.
-type serving struct {
+// activeCall is the state of one call. It is used by one goroutine.
+type activeCall struct {
 	*Relay
-	call     *Call
-	sink     Sink
-	summary  Summary
-	attempts routing.Attempts
-	tried    routing.Tried
-	served   bool         // the caller has the complete response
-	events   *eventReader // of a streamed response; nil before the first
+	call      *Call
+	sink      Sink
+	summary   Summary
+	attempts  routing.Attempts
+	tried     routing.Tried
+	completed bool         // the caller has the complete response
+	events    *eventReader // of a streamed response; nil before the first
 	// fallback is a replica's error response, which is forwarded if no further
 	// attempt gives a better one.
-	fallback *fallback
+	fallback *errorResponse
 	// failed are the replicas whose error responses have not yet been recorded as failures.
 	failed []routing.Replica
 }
 
-// fallback is a complete error response.
-type fallback struct {
+// errorResponse is a complete error response.
+type errorResponse struct {
 	status int
 	header http.Header
 	body   []byte
@@ -60,7 +60,7 @@
 // Serve forwards a call and writes the response to sink. It returns when the caller has
 // its final response, or has disconnected, in which case ctx is done.
 func (r *Relay) Serve(ctx context.Context, c *Call, sink Sink) *Summary {
-	s := &serving{Relay: r, call: c, sink: sink, attempts: routing.NewAttempts(c.Route)}
+	s := &activeCall{Relay: r, call: c, sink: sink, attempts: routing.NewAttempts(c.Route)}
 	for range routing.MaxChoices {
 		if !s.attempt(ctx) {
 			break
@@ -72,12 +72,12 @@
 
 // attempt chooses a replica and sends the call to it. It returns true if another
 // attempt is allowed.
-func (s *serving) attempt(ctx context.Context) bool {
+func (s *activeCall) attempt(ctx context.Context) bool {
 	now := clock.Now()
 	if ctx.Err() != nil || !s.attempts.InTime(s.call.Deadline, now) {
 		return false
 	}
-	if s.heldBack(now) {
+	if s.isQuarantined(now) {
 		return false
 	}
 	view := s.View()
@@ -91,9 +91,9 @@
 		return false
 	}
 	s.tried.Replicas = append(s.tried.Replicas, target.Replica.ID)
-	failure := s.measured(ctx, &target, now)
+	failure := s.sendAndRecord(ctx, &target, now)
 	if failure == nil {
-		s.served = true
+		s.completed = true
 		return false
 	}
 	if failure.result == routing.ResultUnreachable && target.Replica.Domain != view.Domain {
@@ -102,9 +102,9 @@
 	return s.attempts.Failed(failure.outcome)
 }
 
-// measured sends the call to a replica, updates what is known about the replica, and adds
+// sendAndRecord sends the call to a replica, updates what is known about the replica, and adds
 // the attempt to the summary.
-func (s *serving) measured(ctx context.Context, t *routing.Target, begun time.Time) *failure {
+func (s *activeCall) sendAndRecord(ctx context.Context, t *routing.Target, begun time.Time) *failure {
 	a := Attempt{
 		Replica: t.Replica.ID, Rank: t.Rank, Cold: t.Replica.IsCold(begun), Copied: t.Source.ID,
 		Load: t.Load, Mean: t.Mean, Coverage: t.Coverage,
@@ -116,30 +116,30 @@
 	a.Duration = clock.Since(begun)
 	if f != nil {
 		a.Err = f.err
-		if f.blame {
-			s.blame(&t.Replica, f.result, f.err)
+		if f.countsAgainst {
+			s.recordFailure(&t.Replica, f.result, f.err)
 		}
-		if f.cut {
-			s.noteEnd(ctx, &t.Replica)
+		if f.connClosed {
+			s.checkCrash(ctx, &t.Replica)
 		}
 		if f.replaced {
-			s.noteReplaced(&t.Replica)
+			s.recordReplaced(&t.Replica)
 		}
 	}
 	s.summary.Attempts = append(s.summary.Attempts, a)
 	return f
 }
 
-// blame records a failure of a replica.
-func (s *serving) blame(r *routing.Replica, result routing.Result, err error) {
+// recordFailure reports a failure of a replica to the routing, which may eject it.
+func (s *activeCall) recordFailure(r *routing.Replica, result routing.Result, err error) {
 	if s.Placer.Health.Report(r, result, clock.Now()) {
 		s.Observer.Ejected(r, s.call, err)
 	}
 }
 
-// heldBack reports whether the call's content is quarantined because replicas crash on it. If
+// isQuarantined reports whether the call's content is quarantined because replicas crash on it. If
 // so, it sets the outcome.
-func (s *serving) heldBack(now time.Time) bool {
+func (s *activeCall) isQuarantined(now time.Time) bool {
 	if !s.Crashes.Held(s.call.Content, now) {
 		return false
 	}
@@ -147,11 +147,11 @@
 	return true
 }
 
-// noteEnd checks whether a replica that broke a connection has crashed, and records the crash.
+// checkCrash checks whether a replica that broke a connection has crashed, and records the crash.
 // It returns before the call may be retried, since the crash may quarantine its content.
-func (s *serving) noteEnd(ctx context.Context, r *routing.Replica) {
+func (s *activeCall) checkCrash(ctx context.Context, r *routing.Replica) {
 	now := clock.Now()
-	if !s.Pool.hasEnded(ctx, r, s.View().ConnectionLimit(s.call.Service), now) {
+	if !s.Pool.hasTerminated(ctx, r, s.View().ConnectionLimit(s.call.Service), now) {
 		return
 	}
 	s.Observer.EndedUnder(r, s.call)
@@ -161,10 +161,10 @@
 	}
 }
 
-// noteReplaced records that another replica responded at a replica's address: the addressed one
+// recordReplaced records that another replica responded at a replica's address: the addressed one
 // has terminated, and its entry is out of date. Other daemons are informed; otherwise each would
 // find out by requests of its own, and a caller that retries at one of them would be rejected again.
-func (s *serving) noteReplaced(r *routing.Replica) {
+func (s *activeCall) recordReplaced(r *routing.Replica) {
 	now := clock.Now()
 	s.Placer.Health.ReportEnd(r, now)
 	if s.Placer.Leavings.Say(r, now) {
@@ -172,17 +172,17 @@
 	}
 }
 
-// praise records a complete response as a success of the replica, and clears the content's
+// recordSuccess records a complete response as a success of the replica, and clears the content's
 // crashes. Error responses of earlier attempts are then recorded as failures.
-func (s *serving) praise(r *routing.Replica, now time.Time) {
+func (s *activeCall) recordSuccess(r *routing.Replica, now time.Time) {
 	s.Placer.Health.Report(r, routing.ResultGood, now)
 	s.Crashes.Acquit(s.call.Content, now)
-	s.blameFailed()
+	s.recordErrorResponses()
 }
 
 // send performs one exchange and forwards the response. It returns nil if the caller has
 // the complete response.
-func (s *serving) send(ctx context.Context, t *routing.Target, a *Attempt) *failure {
+func (s *activeCall) send(ctx context.Context, t *routing.Target, a *Attempt) *failure {
 	now := clock.Now()
 	c, err := s.Pool.get(ctx, &t.Replica, s.View().ConnectionLimit(s.call.Service), now)
 	if err != nil {
@@ -192,73 +192,73 @@
 	// All of this may have changed during connection setup.
 	if !s.View().IsReady(&t.Replica) {
 		s.Pool.discard(c)
-		return &failure{outcome: coordination.NotRun{Reason: coordination.ReasonConnect, RetryAfter: routing.RetryAfter}, err: errDrained}
+		return &failure{outcome: coordination.NotRun{Reason: coordination.ReasonConnect, RetryAfter: routing.RetryAfter}, err: errNotReady}
 	}
 	if now := clock.Now(); s.Placer.Bars(&t.Replica, now) {
 		s.Pool.put(c, now)
-		return &failure{outcome: s.Placer.WhyNone(s.View(), &s.call.Request, now), err: errBarred}
+		return &failure{outcome: s.Placer.WhyNone(s.View(), &s.call.Request, now), err: errIneligible}
 	}
-	if s.heldBack(clock.Now()) {
+	if s.isQuarantined(clock.Now()) {
 		s.Pool.put(c, clock.Now())
-		return &failure{outcome: s.attempts.Outcome, err: errHeldBack}
+		return &failure{outcome: s.attempts.Outcome, err: errQuarantined}
 	}
 	x := &exchange{
 		pool: s.Pool, codec: s.Codec, call: s.call, conn: c, deadline: s.call.Deadline,
-		heard: func(says Statement) { s.hear(&t.Replica, a, says) },
+		onSelfReport: func(says Statement) { s.applySelfReport(&t.Replica, a, says) },
 	}
 	if s.attempts.CountSend() {
 		s.Budgets.CountRequest(s.call.Service, now)
 	}
-	f := x.begin(ctx, RequestHead{
+	f := x.writeRequest(ctx, RequestHead{
 		Replica: &t.Replica, Source: t.Source.Address,
 		Left: clock.Until(s.call.Deadline) - routing.ReturnMargin, LastEvent: s.lastEvent(),
 	})
 	if f == nil {
 		f = s.receive(ctx, x, t, a)
 	}
-	if f != nil && f.result == routing.ResultBroken && f.blame && !x.arrived {
-		s.Pool.doubts.Broke(t.Replica.Domain, clock.Now())
+	if f != nil && f.result == routing.ResultBroken && f.countsAgainst && !x.received {
+		s.Pool.linkDoubts.Broke(t.Replica.Domain, clock.Now())
 	}
-	if f != nil && !x.ended {
-		x.abandon()
+	if f != nil && !x.connReleased {
+		x.closeConn()
 	}
 	return f
 }
 
 // lastEvent returns the id of the last event that the caller received.
-func (s *serving) lastEvent() string {
+func (s *activeCall) lastEvent() string {
 	if s.events != nil {
-		return s.events.last
+		return s.events.lastID
 	}
 	return s.call.LastEvent
 }
 
 // receive waits for the response and forwards it.
-func (s *serving) receive(ctx context.Context, x *exchange, t *routing.Target, a *Attempt) *failure {
+func (s *activeCall) receive(ctx context.Context, x *exchange, t *routing.Target, a *Attempt) *failure {
 	if f := s.awaitFirstByte(ctx, x, &t.Replica); f != nil {
 		return f
 	}
-	f := x.readHead(ctx)
-	if x.isAnswered() {
+	f := x.readHeader(ctx)
+	if x.hasResponse() {
 		s.Placer.Health.Lived(&t.Replica, x.conn.opened, x.sent)
 	}
 	if f != nil {
 		return f
 	}
-	s.noteLoad(t, a, x.head.Says.Load)
+	s.recordLoad(t, a, x.head.Says.Load)
 	status := x.response.StatusCode
 	if len(s.call.Prompt) > 0 && isSuccess(status) {
 		s.Placer.RecordRead(&s.call.Request, t, clock.Now())
 	}
 	if s.call.Route.Kind == routing.Stream && isSuccess(status) {
-		return s.relayStream(ctx, x, t)
+		return s.forwardStream(ctx, x, t)
 	}
-	return s.relayWhole(ctx, x, t)
+	return s.forwardComplete(ctx, x, t)
 }
 
-// hear applies a replica's self-report. It is called before any of the response is
+// applySelfReport applies a replica's self-report. It is called before any of the response is
 // forwarded, and whatever becomes of the request.
-func (s *serving) hear(r *routing.Replica, a *Attempt, says Statement) {
+func (s *activeCall) applySelfReport(r *routing.Replica, a *Attempt, says Statement) {
 	now := clock.Now()
 	a.Rest, a.Leaving = max(a.Rest, says.Rest), a.Leaving || says.Leaving
 	s.Observer.Said(r, s.call, says)
@@ -270,8 +270,8 @@
 	}
 }
 
-// noteLoad records the load that a replica reported, without the request it responded to.
-func (s *serving) noteLoad(t *routing.Target, a *Attempt, l ReportedLoad) {
+// recordLoad records the load that a replica reported, without the request it responded to.
+func (s *activeCall) recordLoad(t *routing.Target, a *Attempt, l ReportedLoad) {
 	a.Reported = l
 	if l.Known && s.Placer.ReportLoad(&s.call.Request, t, max(0, l.Requests-1), clock.Now()) {
 		s.Observer.Crowded(&t.Replica, s.call, l)
@@ -284,43 +284,43 @@
 // awaitFirstByte waits for the first byte of the response. If the request can be retried at
 // another replica, it gives up after the first-byte timeout. Otherwise the timeout counts against
 // the replica, and it waits until the deadline.
-func (s *serving) awaitFirstByte(ctx context.Context, x *exchange, r *routing.Replica) *failure {
-	wait, leave := s.attempts.FirstByteTimeout()
-	arrived, err := x.await(clock.Now().Add(wait))
+func (s *activeCall) awaitFirstByte(ctx context.Context, x *exchange, r *routing.Replica) *failure {
+	wait, canRetry := s.attempts.FirstByteTimeout()
+	arrived, err := x.awaitBytes(clock.Now().Add(wait))
 	if err != nil {
-		return x.broken(ctx, err)
+		return x.brokenResponse(ctx, err)
 	}
 	if arrived {
 		return nil
 	}
 	if !clock.Now().Before(x.deadline) {
-		return x.expired()
+		return x.deadlineExpired()
 	}
-	if leave && s.reserveRetry(ctx) {
-		return x.silent()
+	if canRetry && s.reserveRetry(ctx) {
+		return x.silentReplica()
 	}
-	s.blame(r, routing.ResultSilent, errSilent)
-	if !leave {
+	s.recordFailure(r, routing.ResultSilent, errSilent)
+	if !canRetry {
 		s.Placer.Health.ReportSilence(r, clock.Now())
 	}
-	if arrived, err = x.await(x.deadline); err != nil {
-		return x.broken(ctx, err)
+	if arrived, err = x.awaitBytes(x.deadline); err != nil {
+		return x.brokenResponse(ctx, err)
 	}
 	if arrived {
 		return nil
 	}
-	return x.expired()
+	return x.deadlineExpired()
 }
 
 // reserveRetry reports whether the call may be retried if this attempt is given up. It reserves
 // the retry in the budget, or else by borrowing.
-func (s *serving) reserveRetry(ctx context.Context) bool {
+func (s *activeCall) reserveRetry(ctx context.Context) bool {
 	return s.attempts.ReserveRetry(s.Budgets, s.call.Service, clock.Now()) || s.borrowRetry(ctx)
 }
 
 // borrowRetry asks other daemons for the retry budget that this one lacks, and reserves the retry
 // if they transfer enough.
-func (s *serving) borrowRetry(ctx context.Context) bool {
+func (s *activeCall) borrowRetry(ctx context.Context) bool {
 	loan := routing.Retries(0)
 	for range routing.MaxLenders {
 		missing := s.attempts.Missing(s.Budgets, s.call.Service, loan, clock.Now())
@@ -336,7 +336,7 @@
 }
 
 // finish completes the summary, and writes the final response if the caller has none.
-func (s *serving) finish(ctx context.Context) {
+func (s *activeCall) finish(ctx context.Context) {
 	s.summary.Total = clock.Since(s.call.Arrived)
 	s.summary.Outcome = s.attempts.Outcome
 	s.summary.Gone = ctx.Err() != nil
@@ -344,7 +344,7 @@
 		s.summary.Events = s.events.count
 	}
 	switch {
-	case s.served:
+	case s.completed:
 		s.summary.Outcome = coordination.Answered{Status: s.summary.Status}
 	case s.summary.Gone || s.attempts.Begun:
 		s.sink.Abort()
--- a/transport/tls.go
+++ b/transport/tls.go
@@ -23,37 +23,37 @@
 // IsZero reports whether TLS is not configured.
 func (f TLSFiles) IsZero() bool { return f == TLSFiles{} }
 
-// certificateCheck is the minimum time between two checks for changed files.
-const certificateCheck = 10 * time.Second
+// certificateCheckInterval is the minimum time between two checks for changed files.
+const certificateCheckInterval = 10 * time.Second
 
-// certificates holds the certificates in use and reloads them when their files change.
-type certificates struct {
+// certificateReloader holds the certificates in use and reloads them when their files change.
+type certificateReloader struct {
 	files TLSFiles
 	now   func() time.Time
 
-	mu      sync.Mutex
-	checked time.Time
-	stamp   [3]time.Time
-	cert    *tls.Certificate
-	pool    *x509.CertPool
+	mu        sync.Mutex
+	lastCheck time.Time
+	modTimes  [3]time.Time
+	cert      *tls.Certificate
+	pool      *x509.CertPool
 }
 
-// loadCertificates loads the files for the first time. Unlike a reload, it returns an
+// newCertificateReloader loads the files for the first time. Unlike a reload, it returns an
 // error if one of them can't be loaded.
-func loadCertificates(files TLSFiles, now func() time.Time) (*certificates, error) {
-	c := &certificates{files: files, now: now}
-	stamp, err := c.modified()
+func newCertificateReloader(files TLSFiles, now func() time.Time) (*certificateReloader, error) {
+	c := &certificateReloader{files: files, now: now}
+	stamp, err := c.readModTimes()
 	if err != nil {
 		return nil, err
 	}
 	if err := c.load(); err != nil {
 		return nil, err
 	}
-	c.stamp, c.checked = stamp, now()
+	c.modTimes, c.lastCheck = stamp, now()
 	return c, nil
 }
 
-func (c *certificates) modified() (stamp [3]time.Time, err error) {
+func (c *certificateReloader) readModTimes() (stamp [3]time.Time, err error) {
 	for i, name := range []string{c.files.Certificate, c.files.Key, c.files.Authority} {
 		if name == "" {
 			continue
@@ -67,7 +67,7 @@
 	return stamp, nil
 }
 
-func (c *certificates) load() error {
+func (c *certificateReloader) load() error {
 	cert, err := tls.LoadX509KeyPair(c.files.Certificate, c.files.Key)
 	if err != nil {
 		return eris.Wrap(err, "load certificate and key; check that the key belongs to the certificate")
@@ -87,15 +87,15 @@
 	return nil
 }
 
-// current returns the certificate and the CA pool in use. If certificateCheck has passed
-// since the last check and the files have changed, it reloads them first.
-func (c *certificates) current() (*tls.Certificate, *x509.CertPool) {
+// current returns the certificate and the CA pool in use. If certificateCheckInterval
+// has passed since the last check and the files have changed, it reloads them first.
+func (c *certificateReloader) current() (*tls.Certificate, *x509.CertPool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now := c.now(); now.Sub(c.checked) >= certificateCheck {
-		c.checked = now
-		if stamp, err := c.modified(); err == nil && stamp != c.stamp && c.load() == nil {
-			c.stamp = stamp
+	if now := c.now(); now.Sub(c.lastCheck) >= certificateCheckInterval {
+		c.lastCheck = now
+		if stamp, err := c.readModTimes(); err == nil && stamp != c.modTimes && c.load() == nil {
+			c.modTimes = stamp
 		}
 	}
 	return c.cert, c.pool
@@ -104,7 +104,7 @@
 // ServerTLS returns a server configuration. If a CA file is given, clients must present
 // a certificate that chains to it.
 func ServerTLS(files TLSFiles) (*tls.Config, error) {
-	c, err := loadCertificates(files, time.Now)
+	c, err := newCertificateReloader(files, time.Now)
 	if err != nil {
 		return nil, err
 	}
@@ -126,7 +126,7 @@
 // are dialed by IP address, and replacement VMs reuse addresses. Whoever has a
 // certificate of the CA counts as a daemon of the fleet.
 func ClientTLS(files TLSFiles) (*tls.Config, error) {
-	c, err := loadCertificates(files, time.Now)
+	c, err := newCertificateReloader(files, time.Now)
 	if err != nil {
 		return nil, err
 	}
--- a/transport/tls_test.go
+++ b/transport/tls_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func serialOf(t *testing.T, c *certificates) int64 {
+func serialOf(t *testing.T, c *certificateReloader) int64 {
 	t.Helper()
 	cert, _ := c.current()
 	leaf, err := x509.ParseCertificate(cert.Certificate[0])
@@ -55,19 +55,19 @@
 	f := TLSFiles{Certificate: filepath.Join(dir, "c.pem"), Key: filepath.Join(dir, "c.key")}
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	writeIdentity(t, f, 1, now)
-	c, err := loadCertificates(f, func() time.Time { return now })
+	c, err := newCertificateReloader(f, func() time.Time { return now })
 	if err != nil {
 		t.Fatal(err)
 	}
 	writeIdentity(t, f, 2, now.Add(time.Second))
-	now = now.Add(certificateCheck)
+	now = now.Add(certificateCheckInterval)
 	if got := serialOf(t, c); got != 2 {
 		t.Fatalf("certificate %d is in use, want the renewed one", got)
 	}
 	if err := os.WriteFile(f.Certificate, []byte("broken"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	now = now.Add(certificateCheck)
+	now = now.Add(certificateCheckInterval)
 	if got := serialOf(t, c); got != 2 {
 		t.Fatalf("certificate %d is in use, want the last valid one", got)
 	}
