--- a/internal/soak/serving_test.go
+++ b/internal/soak/serving_test.go
@@ -77,7 +77,7 @@
 }
 
 // TestRepliesThoughReplicasAreSaidToHaveEnded is the incident of transport/relay's
-// TestReplicaThatIsSaidToHaveEndedAndAnswersIsUsed over real processes: all daemons are told, after
+// TestResponseDisprovesReportedCrash over real processes: all daemons are told, after
 // a cut that is not played, that all replicas of each service have ended.
 func TestRepliesThoughReplicasAreSaidToHaveEnded(t *testing.T) {
 	const daemons = 8
--- a/transport/clock/clock_test.go
+++ b/transport/clock/clock_test.go
@@ -58,9 +58,9 @@
 	}
 }
 
-// TestTimersAreThoseOfTheRuntime checks that a deadline converted to the runtime's clock
+// TestRuntimeTime checks that a deadline converted to the runtime's clock
 // leaves the same time as it does on this clock after a suspension.
-func TestTimersAreThoseOfTheRuntime(t *testing.T) {
+func TestRuntimeTime(t *testing.T) {
 	f := &fakeSource{}
 	clock := New(f)
 	deadline := clock.Now().Add(8 * time.Second)
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestProcessClockRuns uses the real clocks of the machine that runs the test.
-func TestProcessClockRuns(t *testing.T) {
+// TestSystemClock uses the real clocks of the machine that runs the test.
+func TestSystemClock(t *testing.T) {
 	a := Now()
 	time.Sleep(2 * time.Millisecond)
 	if d := Since(a); d < 2*time.Millisecond || d > time.Minute {
--- a/transport/relay/crash_test.go
+++ b/transport/relay/crash_test.go
@@ -15,7 +15,7 @@
 
 var _ = Describe("A request that crashes replicas", func() {
 	gone := 0
-	crashed := func(w *world, c *relay.Call, ends int) {
+	reportCrashes := func(w *fixture, c *relay.Call, ends int) {
 		for range ends {
 			gone++
 			r := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint("gone", gone))})
@@ -24,10 +24,10 @@
 	}
 
 	It("is refused at once as not run, with a long Retry-After, when it is quarantined", func() {
-		r := startReplica("r", good)
-		w := newWorld(once, r)
+		r := startReplica("r", respondOK)
+		w := newFixture(atMostOnce, r)
 		c := w.call("a", "POST", "x")
-		crashed(w, c, 3)
+		reportCrashes(w, c, 3)
 		to, s := w.serve(c)
 		refusal, ok := to.refusal.(coordination.NotRun)
 		Expect(ok).To(BeTrue())
@@ -40,14 +40,14 @@
 	})
 
 	It("is refused as not run when another daemon reports the third crash during connection setup", func() {
-		r := startReplica("r", good)
-		w := newWorld(once, r)
+		r := startReplica("r", respondOK)
+		w := newFixture(atMostOnce, r)
 		c := w.call("a", "POST", "x")
-		crashed(w, c, 2)
+		reportCrashes(w, c, 2)
 		views := 0
 		w.relay.View = func() *routing.View {
 			if views++; views == 2 { // the attempt has started
-				crashed(w, c, 1)
+				reportCrashes(w, c, 1)
 			}
 			return w.view
 		}
@@ -61,51 +61,51 @@
 	It("is not retried, and reported as maybe run, after the third crash", func() {
 		first, second := startReplica("a", nil), startReplica("b", nil)
 		for _, r := range []*replica{first, second} {
-			r.script = func(*arrival) bool { return r.end() }
+			r.script = func(*receivedRequest) bool { return r.crash() }
 		}
-		w := newWorld(repeatable, first, second)
+		w := newFixture(idempotent, first, second)
 		c := w.call("x", "POST", "x")
-		crashed(w, c, 2)
+		reportCrashes(w, c, 2)
 		to, _ := w.serve(c)
 		Expect(to.refusal).To(beMayHaveRun())
 		Expect(first.count() + second.count()).To(Equal(1))
-		Expect(w.seen.heldBack).To(ConsistOf(c.Content))
+		Expect(w.observer.quarantined).To(ConsistOf(c.Content))
 	})
 
 	It("is not resumed at another replica when the third crash breaks its stream", func() {
 		first, second := startReplica("a", nil), startReplica("b", nil)
 		for _, r := range []*replica{first, second} {
-			r.script = func(a *arrival) bool {
+			r.script = func(a *receivedRequest) bool {
 				streamHead(a)
 				chunk(a, event(1))
 				time.Sleep(20 * time.Millisecond)
-				return r.end()
+				return r.crash()
 			}
 		}
-		w := newWorld(resumable, first, second)
+		w := newFixture(resumable, first, second)
 		c := w.call("x", "POST", "x")
-		crashed(w, c, 2)
+		reportCrashes(w, c, 2)
 		to, _ := w.serve(c)
 		Expect(to.broken).To(BeTrue(), "the caller must not take the stream as complete")
 		Expect(first.count() + second.count()).To(Equal(1))
 	})
 
 	It("is sent again after a complete response has cleared earlier crashes", func() {
-		r := startReplica("r", good)
-		w := newWorld(once, r)
+		r := startReplica("r", respondOK)
+		w := newFixture(atMostOnce, r)
 		c := w.call("a", "POST", "x")
-		crashed(w, c, 2)
+		reportCrashes(w, c, 2)
 		w.serve(c)
-		crashed(w, c, 2)
+		reportCrashes(w, c, 2)
 		to, _ := w.serve(w.call("b", "POST", "x"))
 		Expect(to.status).To(Equal(200))
 	})
 
 	It("is not cleared by an error response", func() {
-		r := startReplica("r", func(a *arrival) bool { return answer(a, 500, sealed, "") })
-		w := newWorld(once, r)
+		r := startReplica("r", func(a *receivedRequest) bool { return respond(a, 500, sealed, "") })
+		w := newFixture(atMostOnce, r)
 		c := w.call("a", "POST", "x")
-		crashed(w, c, 2)
+		reportCrashes(w, c, 2)
 		w.serve(c)
 		late := routing.NewReplica(routing.Replica{ID: "late"})
 		w.relay.Crashes.ReportEnd(c.Content, c.Workspace, &late, time.Now())
@@ -113,32 +113,32 @@
 	})
 })
 
-// TestRequestThatCrashesReplicasStops reproduces the incident of internal/soak's
+// TestCrashingRequestIsQuarantined reproduces the incident of internal/soak's
 // TestCrashingRequestsReachFewReplicas at a single daemon: requests with the same content, each
 // under a new id, crash every replica that receives one. The incident happened because crashes
 // were not remembered across ids.
-func TestRequestThatCrashesReplicasStops(t *testing.T) {
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	const tries, allowed = 10, 6 // three crashes, and three requests received after them
-	for name, route := range map[string]routing.Route{"idempotent": repeatable, "at most once": once, "resumable": resumable} {
+	for name, route := range map[string]routing.Route{"idempotent": idempotent, "at most once": atMostOnce, "resumable": resumable} {
 		t.Run(name, func(t *testing.T) {
 			RegisterTestingT(t)
 			var replicas []*replica
 			for i := range 2 * tries {
 				var r *replica
-				r = startReplica(fmt.Sprint(i), func(a *arrival) bool {
+				r = startReplica(fmt.Sprint(i), func(a *receivedRequest) bool {
 					if string(a.body) != "crash" {
-						return good(a)
+						return respondOK(a)
 					}
 					if route.Kind == routing.Stream {
 						streamHead(a)
 						chunk(a, event(1))
 					}
-					return r.end()
+					return r.crash()
 				})
-				t.Cleanup(func() { r.end() })
+				t.Cleanup(func() { r.crash() })
 				replicas = append(replicas, r)
 			}
-			w := newWorld(route, replicas...)
+			w := newFixture(route, replicas...)
 			for i := range tries {
 				w.serve(w.call(fmt.Sprint(i), "POST", "crash"))
 			}
--- a/transport/relay/ended_test.go
+++ b/transport/relay/ended_test.go
@@ -18,24 +18,24 @@
 		var arrived sync.WaitGroup
 		arrived.Add(requests)
 		var r *replica
-		r = startReplica("r", func(*arrival) bool {
+		r = startReplica("r", func(*receivedRequest) bool {
 			arrived.Done()
 			arrived.Wait()
-			return r.end()
+			return r.crash()
 		})
-		w := newWorld(once, r)
+		w := newFixture(atMostOnce, r)
 		var served sync.WaitGroup
 		for i := range requests {
 			served.Go(func() { w.serve(w.call(string(rune('a'+i)), "POST", "x")) })
 		}
 		served.Wait()
-		Expect(w.seen.endedUnder).To(ConsistOf(routing.RequestID("a"), routing.RequestID("b"), routing.RequestID("c"), routing.RequestID("d"), routing.RequestID("e"), routing.RequestID("f")))
+		Expect(w.observer.crashedDuring).To(ConsistOf(routing.RequestID("a"), routing.RequestID("b"), routing.RequestID("c"), routing.RequestID("d"), routing.RequestID("e"), routing.RequestID("f")))
 		_, why := w.relay.Placer.Health.Explain(&r.Replica, time.Now())
 		Expect(why).To(ContainSubstring("ended"))
 		to, s := w.serve(w.call("g", "POST", "y"))
 		Expect(to.refusal).To(beNotRun())
 		Expect(s.Attempts).To(ConsistOf(HaveField("Cold", true)), "no other replica is left, so it is tried as if it were cold")
-		other := startReplica("other", good)
+		other := startReplica("other", respondOK)
 		w.view.Pools["s"].Ready = append(w.view.Pools["s"].Ready, other.Replica)
 		w.view.Pools["s"].Sort()
 		for i := range 8 {
@@ -45,46 +45,46 @@
 		}
 	})
 
-	DescribeTable("is not recorded if the replica goes on running", func(script func(a *arrival) bool) {
+	DescribeTable("is not recorded if the replica goes on running", func(script func(a *receivedRequest) bool) {
 		r := startReplica("r", script)
-		w := newWorld(once, r)
+		w := newFixture(atMostOnce, r)
 		w.serve(w.call("a", "POST", "x"))
-		Expect(w.seen.endedUnder).To(BeEmpty())
+		Expect(w.observer.crashedDuring).To(BeEmpty())
 		w.serve(w.call("b", "POST", "x"))
 		Expect(r.connections()).To(BeNumerically("<=", 3), "the connection opened for the check is reused")
 	},
-		Entry("connection reset", func(a *arrival) bool { return reset(a.conn) }),
-		Entry("truncated response", func(a *arrival) bool {
-			raw(a, "HTTP/1.1 200 OK\r\nAttempt-Id: "+a.id()+"\r\n"+sealed+"Content-Length: 9\r\n\r\nx")
+		Entry("connection reset", func(a *receivedRequest) bool { return reset(a.conn) }),
+		Entry("truncated response", func(a *receivedRequest) bool {
+			write(a, "HTTP/1.1 200 OK\r\nAttempt-Id: "+a.id()+"\r\n"+sealed+"Content-Length: 9\r\n\r\nx")
 			return false
 		}),
-		Entry("malformed response", func(a *arrival) bool { raw(a, "none\r\n\r\n"); return false }),
-		Entry("complete response", good),
+		Entry("malformed response", func(a *receivedRequest) bool { write(a, "none\r\n\r\n"); return false }),
+		Entry("complete response", respondOK),
 	)
 
 	It("is not recorded for a request whose caller disconnected", func() {
 		var r *replica
 		arrived := make(chan struct{})
-		r = startReplica("r", func(a *arrival) bool {
+		r = startReplica("r", func(a *receivedRequest) bool {
 			_ = r.listener.Close() // accepts no new connections but goes on with the request
 			close(arrived)
 			time.Sleep(50 * time.Millisecond)
-			return r.end()
+			return r.crash()
 		})
-		w := newWorld(once, r)
+		w := newFixture(atMostOnce, r)
 		ctx, leave := context.WithCancel(context.Background())
 		go func() { <-arrived; leave() }()
-		w.relay.Serve(ctx, w.call("a", "POST", "x"), &caller{})
-		Expect(w.seen.endedUnder).To(BeEmpty())
+		w.relay.Serve(ctx, w.call("a", "POST", "x"), &recordingSink{})
+		Expect(w.observer.crashedDuring).To(BeEmpty())
 	})
 })
 
 var _ = Describe("Connections", func() {
 	It("to a replica's former incarnation are not used after it restarts under the same id", func() {
-		r := startReplica("r", good)
+		r := startReplica("r", respondOK)
 		r.Replica.Born = 1
 		r.Replica = routing.NewReplica(r.Replica)
-		w := newWorld(once, r)
+		w := newFixture(atMostOnce, r)
 		w.serve(w.call("a", "POST", "x"))
 		w.serve(w.call("b", "POST", "x"))
 		Expect(r.connections()).To(Equal(1))
--- a/transport/relay/exchange_test.go
+++ b/transport/relay/exchange_test.go
@@ -8,9 +8,9 @@
 	"hingewinch.org/hingewinch/coordination"
 )
 
-// TestOneByteMayHaveRun checks the outcome of a failed write: the request counts as not run
+// TestPartialWriteMayHaveRun checks the outcome of a failed write: the request counts as not run
 // only if not a single byte of it was written.
-func TestOneByteMayHaveRun(t *testing.T) {
+func TestPartialWriteMayHaveRun(t *testing.T) {
 	x := &exchange{}
 	failed := errors.New("broken pipe")
 	if o := x.writeFailure(context.Background(), 0, failed).outcome; !coordination.MayRetry(o) {
--- a/transport/relay/lives_test.go
+++ b/transport/relay/lives_test.go
@@ -10,7 +10,7 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// TestReplicaThatIsSaidToHaveEndedAndAnswersIsUsed checks that a crash reported by another daemon
+// TestResponseDisprovesReportedCrash checks that a crash reported by another daemon
 // is ignored once the replica has responded on a connection opened before the reported crash.
 //
 // It guards against daemons that refuse all requests to a small service for seconds although all
@@ -19,17 +19,17 @@
 // partition healed, each side reported the crashes that it had observed, and reported crashes were
 // assumed for 10 s despite responses to the contrary: 45 refusals in the same second as 49
 // responses of one of the replicas.
-func TestReplicaThatIsSaidToHaveEndedAndAnswersIsUsed(t *testing.T) {
+func TestResponseDisprovesReportedCrash(t *testing.T) {
 	RegisterTestingT(t)
 	answered := make(chan struct{})
-	r := startReplica("r", func(a *arrival) bool {
+	r := startReplica("r", func(a *receivedRequest) bool {
 		if string(a.body) == "slow" {
 			<-answered
 		}
-		return good(a)
+		return respondOK(a)
 	})
-	t.Cleanup(func() { r.end() })
-	w := newWorld(once, r)
+	t.Cleanup(func() { r.crash() })
+	w := newFixture(atMostOnce, r)
 	w.serve(w.call("first", "POST", "x")) // opens the connection that is used again below
 	time.Sleep(time.Second)
 	var slow sync.WaitGroup
@@ -48,13 +48,13 @@
 	}
 }
 
-// TestOpenConnectionsProveThatAReplicaLives checks that the pool returns when the oldest idle
+// TestPoolReportsOldestOpenConnection checks that the pool returns when the oldest idle
 // connection was opened, and none after the replica has closed it.
-func TestOpenConnectionsProveThatAReplicaLives(t *testing.T) {
+func TestPoolReportsOldestOpenConnection(t *testing.T) {
 	RegisterTestingT(t)
-	r := startReplica("r", good)
-	t.Cleanup(func() { r.end() })
-	w := newWorld(once, r)
+	r := startReplica("r", respondOK)
+	t.Cleanup(func() { r.crash() })
+	w := newFixture(atMostOnce, r)
 	before := time.Now()
 	if _, ok := w.relay.Pool.OpenSince(r.Incarnation()); ok {
 		t.Error("there is an open connection before the first request")
@@ -67,6 +67,6 @@
 	if w.serve(w.call("b", "POST", "x")); r.connections() != 1 {
 		t.Error("the connection was not reused")
 	}
-	r.end()
+	r.crash()
 	Eventually(func() bool { _, ok := w.relay.Pool.OpenSince(r.Incarnation()); return ok }).Should(BeFalse())
 }
--- a/transport/relay/replica_test.go
+++ b/transport/relay/replica_test.go
@@ -19,46 +19,46 @@
 	"hingewinch.org/hingewinch/transport/relay"
 )
 
-// arrival is a request that a replica received.
-type arrival struct {
+// receivedRequest is a request that a replica received.
+type receivedRequest struct {
 	request *http.Request
 	body    []byte
 	conn    net.Conn
 	reader  *bufio.Reader
-	nth     int // index among all requests that the replica received, from 0
+	index   int // index among all requests that the replica received, from 0
 }
 
 // id returns the id of the attempt.
-func (a *arrival) id() string { return a.request.Header.Get("Attempt-Id") }
+func (a *receivedRequest) id() string { return a.request.Header.Get("Attempt-Id") }
 
 // replica is a fake replica whose responses are scripted by a test.
 type replica struct {
 	routing.Replica
 	listener net.Listener
 	// script responds to one request. If it returns false, the connection is closed.
-	script func(a *arrival) bool
+	script func(a *receivedRequest) bool
 	// skipBody leaves the request's body unread when the script is called.
 	skipBody bool
 
-	mu       sync.Mutex
-	arrivals []*arrival
-	conns    int
-	open     []net.Conn
-	closed   chan struct{} // receives a value when the relay closed a connection
+	mu        sync.Mutex
+	requests  []*receivedRequest
+	conns     int
+	openConns []net.Conn
+	closed    chan struct{} // receives a value when the relay closed a connection
 }
 
-// scripts guards the state that scripts share, and replica.script.
-var scripts sync.Mutex
+// scriptMu guards the state that scripts share, and replica.script.
+var scriptMu sync.Mutex
 
-// turn counts a call in n and returns its number, from 1.
-func turn(n *int) int {
-	scripts.Lock()
-	defer scripts.Unlock()
+// countCall counts a call in n and returns its number, from 1.
+func countCall(n *int) int {
+	scriptMu.Lock()
+	defer scriptMu.Unlock()
 	*n++
 	return *n
 }
 
-func startReplica(id string, script func(a *arrival) bool) *replica {
+func startReplica(id string, script func(a *receivedRequest) bool) *replica {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	r := &replica{listener: l, script: script, closed: make(chan struct{}, 64)}
@@ -76,7 +76,7 @@
 		}
 		r.mu.Lock()
 		r.conns++
-		r.open = append(r.open, c)
+		r.openConns = append(r.openConns, c)
 		r.mu.Unlock()
 		go r.serve(c)
 	}
@@ -91,36 +91,36 @@
 			r.closed <- struct{}{}
 			return
 		}
-		a := &arrival{request: req, conn: c, reader: reader}
+		a := &receivedRequest{request: req, conn: c, reader: reader}
 		if !r.skipBody {
 			a.body, _ = io.ReadAll(req.Body)
 		}
 		if req.Header.Get("Expect-Replica") != string(r.ID) {
 			// Real replicas do the same. A parallel test process may still send requests for a
 			// replica of its own that used this port before.
-			answer(a, http.StatusMisdirectedRequest, "", "")
+			respond(a, http.StatusMisdirectedRequest, "", "")
 			return
 		}
 		r.mu.Lock()
-		a.nth = len(r.arrivals)
-		r.arrivals = append(r.arrivals, a)
+		a.index = len(r.requests)
+		r.requests = append(r.requests, a)
 		r.mu.Unlock()
-		scripts.Lock()
+		scriptMu.Lock()
 		script := r.script
-		scripts.Unlock()
+		scriptMu.Unlock()
 		if !script(a) {
 			return
 		}
 	}
 }
 
-// end simulates a crash: connections are reset, and new ones are refused. It returns false, for
+// crash simulates a crash: connections are reset, and new ones are refused. It returns false, for
 // use as the result of a script.
-func (r *replica) end() bool {
+func (r *replica) crash() bool {
 	_ = r.listener.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, c := range r.open {
+	for _, c := range r.openConns {
 		reset(c)
 	}
 	return false
@@ -129,7 +129,7 @@
 func (r *replica) count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.arrivals)
+	return len(r.requests)
 }
 
 func (r *replica) connections() int {
@@ -138,20 +138,20 @@
 	return r.conns
 }
 
-func (r *replica) arrival(i int) *arrival {
+func (r *replica) received(i int) *receivedRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.arrivals[i]
+	return r.requests[i]
 }
 
 const sealed = "Replica-Seal: good\r\n"
 
-// answer writes a complete response with a content length.
-func answer(a *arrival, status int, headers, body string) bool {
-	return raw(a, fmt.Sprintf("HTTP/1.1 %d X\r\nAttempt-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, a.id(), headers, len(body), body))
+// respond writes a complete response with a content length.
+func respond(a *receivedRequest, status int, headers, body string) bool {
+	return write(a, fmt.Sprintf("HTTP/1.1 %d X\r\nAttempt-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, a.id(), headers, len(body), body))
 }
 
-func raw(a *arrival, text string) bool {
+func write(a *receivedRequest, text string) bool {
 	_, err := a.conn.Write([]byte(text))
 	return err == nil
 }
@@ -164,18 +164,18 @@
 }
 
 // streamHead writes the header of a chunked event stream.
-func streamHead(a *arrival) {
-	raw(a, "HTTP/1.1 200 OK\r\nAttempt-Id: "+a.id()+"\r\n"+sealed+"Transfer-Encoding: chunked\r\nContent-Type: text/event-stream\r\n\r\n")
+func streamHead(a *receivedRequest) {
+	write(a, "HTTP/1.1 200 OK\r\nAttempt-Id: "+a.id()+"\r\n"+sealed+"Transfer-Encoding: chunked\r\nContent-Type: text/event-stream\r\n\r\n")
 }
 
 func event(n int) string { return fmt.Sprintf("id: %d\ndata: %d\n\n", n, n) }
 
-func chunk(a *arrival, text string) { raw(a, fmt.Sprintf("%x\r\n%s\r\n", len(text), text)) }
+func chunk(a *receivedRequest, text string) { write(a, fmt.Sprintf("%x\r\n%s\r\n", len(text), text)) }
 
-func streamEnd(a *arrival) bool { return raw(a, "0\r\n\r\n") }
+func streamEnd(a *receivedRequest) bool { return write(a, "0\r\n\r\n") }
 
-// caller is a Sink that records what it is given.
-type caller struct {
+// recordingSink is a Sink that records what it is given.
+type recordingSink struct {
 	status  int
 	header  http.Header
 	body    []byte
@@ -185,17 +185,17 @@
 	wrote   chan struct{}
 }
 
-func (c *caller) Answer(status int, h http.Header, body []byte) error {
+func (c *recordingSink) Answer(status int, h http.Header, body []byte) error {
 	c.status, c.header, c.body, c.whole = status, h, body, true
 	return nil
 }
 
-func (c *caller) Begin(status int, h http.Header) error {
+func (c *recordingSink) Begin(status int, h http.Header) error {
 	c.status, c.header = status, h.Clone()
 	return nil
 }
 
-func (c *caller) Write(p []byte) error {
+func (c *recordingSink) Write(p []byte) error {
 	c.body = append(c.body, p...)
 	if c.wrote != nil {
 		select {
@@ -206,59 +206,59 @@
 	return nil
 }
 
-func (c *caller) Refuse(o coordination.Outcome) { c.refusal = o }
-func (c *caller) Abort()                        { c.broken = true }
+func (c *recordingSink) Refuse(o coordination.Outcome) { c.refusal = o }
+func (c *recordingSink) Abort()                        { c.broken = true }
 
-// nobody is an Observer that records some of the notifications.
-type nobody struct {
-	mu         sync.Mutex
-	passedOver []routing.ReplicaID
-	crowded    []routing.ReplicaID
-	endedUnder []routing.RequestID
-	heldBack   []routing.ContentKey
+// recordingObserver is an Observer that records some of the notifications.
+type recordingObserver struct {
+	mu            sync.Mutex
+	ejected       []routing.ReplicaID
+	overloaded    []routing.ReplicaID
+	crashedDuring []routing.RequestID
+	quarantined   []routing.ContentKey
 }
 
-func (n *nobody) Finished(*relay.Call, *relay.Summary) {}
+func (n *recordingObserver) Finished(*relay.Call, *relay.Summary) {}
 
-func (n *nobody) Said(*routing.Replica, *relay.Call, relay.Statement) {}
+func (n *recordingObserver) Said(*routing.Replica, *relay.Call, relay.Statement) {}
 
-func (n *nobody) Rests(*routing.Replica, *relay.Call, time.Duration) {}
-func (n *nobody) Leaves(*routing.Replica, *relay.Call)               {}
-func (n *nobody) Replaced(*routing.Replica, *relay.Call)             {}
+func (n *recordingObserver) Rests(*routing.Replica, *relay.Call, time.Duration) {}
+func (n *recordingObserver) Leaves(*routing.Replica, *relay.Call)               {}
+func (n *recordingObserver) Replaced(*routing.Replica, *relay.Call)             {}
 
-func (n *nobody) Ejected(r *routing.Replica, _ *relay.Call, _ error) {
+func (n *recordingObserver) Ejected(r *routing.Replica, _ *relay.Call, _ error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.passedOver = append(n.passedOver, r.ID)
+	n.ejected = append(n.ejected, r.ID)
 }
 
-func (n *nobody) Crowded(r *routing.Replica, _ *relay.Call, _ relay.ReportedLoad) {
+func (n *recordingObserver) Crowded(r *routing.Replica, _ *relay.Call, _ relay.ReportedLoad) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.crowded = append(n.crowded, r.ID)
+	n.overloaded = append(n.overloaded, r.ID)
 }
 
-func (n *nobody) EndedUnder(_ *routing.Replica, c *relay.Call) {
+func (n *recordingObserver) EndedUnder(_ *routing.Replica, c *relay.Call) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.endedUnder = append(n.endedUnder, c.ID)
+	n.crashedDuring = append(n.crashedDuring, c.ID)
 }
 
-func (n *nobody) HeldBack(c routing.ContentKey) {
+func (n *recordingObserver) HeldBack(c routing.ContentKey) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.heldBack = append(n.heldBack, c)
+	n.quarantined = append(n.quarantined, c)
 }
 
-// world is a relay in front of some replicas.
-type world struct {
-	relay *relay.Relay
-	view  *routing.View
-	route *routing.Route
-	seen  *nobody
+// fixture is a relay in front of some replicas.
+type fixture struct {
+	relay    *relay.Relay
+	view     *routing.View
+	route    *routing.Route
+	observer *recordingObserver
 }
 
-func newWorld(route routing.Route, replicas ...*replica) *world {
+func newFixture(route routing.Route, replicas ...*replica) *fixture {
 	route.Name, route.Host, route.Prefix = "r", "h", "/"
 	route.Shares = []routing.Share{{Service: "s", Weight: 1}}
 	route.MaxAttempts = max(route.MaxAttempts, 1)
@@ -267,7 +267,7 @@
 	}
 	t, err := routing.NewTable(&routing.Config{Version: 1, Routes: []routing.Route{route}, Services: []routing.Service{{Name: "s"}}})
 	Expect(err).NotTo(HaveOccurred())
-	w := &world{seen: &nobody{}}
+	w := &fixture{observer: &recordingObserver{}}
 	w.route, _ = t.Match("h", "/")
 	pool := &routing.Pool{}
 	for _, r := range replicas {
@@ -281,12 +281,12 @@
 		},
 		Budgets: routing.NewRetryBudgets(routing.RetryRule{Ratio: 0.2, Extra: 1000, Window: 10 * time.Second}, 1),
 		Borrow:  func(context.Context, routing.ServiceName, routing.Retries) routing.Retries { return 0 },
-		Codec:   platform.Codec{}, Observer: w.seen, Pool: relay.NewPool(), Crashes: routing.NewCrashes(),
+		Codec:   platform.Codec{}, Observer: w.observer, Pool: relay.NewPool(), Crashes: routing.NewCrashes(),
 	})
 	return w
 }
 
-func (w *world) call(id, method, body string) *relay.Call {
+func (w *fixture) call(id, method, body string) *relay.Call {
 	c := &relay.Call{Method: method, Target: "/x?y=1", Host: "h", Body: []byte(body), Header: http.Header{"Attempt-Id": {id}}}
 	c.ID, c.Route, c.Service = routing.RequestID(id), w.route, "s"
 	c.Content = routing.NewContentKey(c.Host, c.Target, c.Workspace, c.Body)
@@ -295,8 +295,8 @@
 	return c
 }
 
-func (w *world) serve(c *relay.Call) (*caller, *relay.Summary) {
-	to := &caller{}
+func (w *fixture) serve(c *relay.Call) (*recordingSink, *relay.Summary) {
+	to := &recordingSink{}
 	s := w.relay.Serve(context.Background(), c, to)
 	return to, s
 }
--- a/transport/relay/statement_test.go
+++ b/transport/relay/statement_test.go
@@ -11,14 +11,14 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// notRun is the header field with which replicas reject a request.
-const notRun = "Not-Executed: 1\r\n"
+// rejected is the header field with which replicas reject a request.
+const rejected = "Not-Executed: 1\r\n"
 
-// TestWhatReplicasSayOfThemselvesIsObeyed checks that replicas which requested a backoff or
+// TestSelfReportsAreApplied checks that replicas which requested a backoff or
 // announced their departure, and addresses of replaced replicas, get no further requests.
-func TestWhatReplicasSayOfThemselvesIsObeyed(t *testing.T) {
-	t.Run("backoff", testRest)
-	t.Run("departure", testLeaving)
+func TestSelfReportsAreApplied(t *testing.T) {
+	t.Run("backoff", testBackoff)
+	t.Run("departure", testDeparture)
 	t.Run("replaced", testReplaced)
 }
 
@@ -26,13 +26,13 @@
 // its entry is still there. Only the first request may reach the address; later ones must go
 // elsewhere, also those of another daemon that received this daemon's reports.
 func testReplaced(t *testing.T) {
-	for name, route := range map[string]routing.Route{"idempotent": repeatable, "at most once": once} {
+	for name, route := range map[string]routing.Route{"idempotent": idempotent, "at most once": atMostOnce} {
 		t.Run(name, func(t *testing.T) {
 			RegisterTestingT(t)
-			former := startReplica("former", func(a *arrival) bool { return answer(a, 421, "Replica-Id: other\r\n", "") })
-			living := startReplica("living", good)
-			t.Cleanup(func() { former.end(); living.end() })
-			w := newWorld(route, former, living)
+			former := startReplica("former", func(a *receivedRequest) bool { return respond(a, 421, "Replica-Id: other\r\n", "") })
+			living := startReplica("living", respondOK)
+			t.Cleanup(func() { former.crash(); living.crash() })
+			w := newFixture(route, former, living)
 			for i := range 40 {
 				w.serve(w.call(fmt.Sprint(i), "POST", "x"))
 			}
@@ -43,7 +43,7 @@
 			if len(reports) != 1 {
 				t.Fatalf("%d reports for other daemons, want one", len(reports))
 			}
-			other := newWorld(route, former, living)
+			other := newFixture(route, former, living)
 			other.relay.Placer.Leavings.Observe(reports, time.Now())
 			for i := range 40 {
 				other.serve(other.call(fmt.Sprint("other ", i), "POST", "x"))
@@ -55,16 +55,16 @@
 	}
 }
 
-// testRest reproduces the incident of internal/soak's TestReplicasThatAskForRestAreLeftAlone at a
+// testBackoff reproduces the incident of internal/soak's TestReplicasThatAskForRestAreLeftAlone at a
 // single daemon: a replica rejects a request and requests a backoff. It is the only replica, so
 // that no other rule, such as ejection, keeps requests from it.
-func testRest(t *testing.T) {
-	for name, route := range map[string]routing.Route{"idempotent": repeatable, "at most once": once, "resumable": resumable} {
+func testBackoff(t *testing.T) {
+	for name, route := range map[string]routing.Route{"idempotent": idempotent, "at most once": atMostOnce, "resumable": resumable} {
 		t.Run(name, func(t *testing.T) {
 			RegisterTestingT(t)
-			r := startReplica("r", func(a *arrival) bool { return answer(a, 503, notRun+"Retry-After: 30\r\n", "") })
-			t.Cleanup(func() { r.end() })
-			w := newWorld(route, r)
+			r := startReplica("r", func(a *receivedRequest) bool { return respond(a, 503, rejected+"Retry-After: 30\r\n", "") })
+			t.Cleanup(func() { r.crash() })
+			w := newFixture(route, r)
 			for i := range 8 {
 				to, _ := w.serve(w.call(fmt.Sprint(i), "POST", "x"))
 				if to.refusal == nil {
@@ -78,23 +78,23 @@
 	}
 }
 
-// testLeaving uses a replica that announces its departure in a response, while its entry still
+// testDeparture uses a replica that announces its departure in a response, while its entry still
 // says that it is ready.
-func testLeaving(t *testing.T) {
-	for name, script := range map[string]func(a *arrival) bool{
-		"in a success response": func(a *arrival) bool { return answer(a, 200, sealed+"Server-Leaving: 1\r\n", "fine") },
-		"in an error response":  func(a *arrival) bool { return answer(a, 500, sealed+"Server-Leaving: 1\r\n", "") },
-		"in a rejection":        func(a *arrival) bool { return answer(a, 503, notRun+"Server-Leaving: 1\r\n", "") },
-		"in a late response to an earlier request": func(a *arrival) bool {
-			raw(a, "HTTP/1.1 200 OK\r\nAttempt-Id: earlier\r\nServer-Leaving: 1\r\nContent-Length: 0\r\n\r\n")
-			return good(a)
+func testDeparture(t *testing.T) {
+	for name, script := range map[string]func(a *receivedRequest) bool{
+		"in a success response": func(a *receivedRequest) bool { return respond(a, 200, sealed+"Server-Leaving: 1\r\n", "fine") },
+		"in an error response":  func(a *receivedRequest) bool { return respond(a, 500, sealed+"Server-Leaving: 1\r\n", "") },
+		"in a rejection":        func(a *receivedRequest) bool { return respond(a, 503, rejected+"Server-Leaving: 1\r\n", "") },
+		"in a late response to an earlier request": func(a *receivedRequest) bool {
+			write(a, "HTTP/1.1 200 OK\r\nAttempt-Id: earlier\r\nServer-Leaving: 1\r\nContent-Length: 0\r\n\r\n")
+			return respondOK(a)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			RegisterTestingT(t)
 			r := startReplica("r", script)
-			t.Cleanup(func() { r.end() })
-			w := newWorld(once, r)
+			t.Cleanup(func() { r.crash() })
+			w := newFixture(atMostOnce, r)
 			w.serve(w.call("first", "POST", "x"))
 			for i := range 4 {
 				w.serve(w.call(fmt.Sprint(i), "POST", "x"))
@@ -106,20 +106,20 @@
 	}
 }
 
-// TestRestIsLookedAtAgainBeforeTheFirstByte checks that a request is not sent if a backoff or a
+// TestEligibilityIsRecheckedBeforeWriting checks that a request is not sent if a backoff or a
 // departure becomes known during connection setup.
-func TestRestIsLookedAtAgainBeforeTheFirstByte(t *testing.T) {
-	for name, learn := range map[string]func(w *world, r *replica){
-		"backoff": func(w *world, r *replica) {
+func TestEligibilityIsRecheckedBeforeWriting(t *testing.T) {
+	for name, learn := range map[string]func(w *fixture, r *replica){
+		"backoff": func(w *fixture, r *replica) {
 			w.relay.Placer.Rests.Ask(&r.Replica, time.Minute, "other", time.Now())
 		},
-		"departure": func(w *world, r *replica) { w.relay.Placer.Leavings.Say(&r.Replica, time.Now()) },
+		"departure": func(w *fixture, r *replica) { w.relay.Placer.Leavings.Say(&r.Replica, time.Now()) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			RegisterTestingT(t)
-			r := startReplica("r", good)
-			t.Cleanup(func() { r.end() })
-			w := newWorld(once, r)
+			r := startReplica("r", respondOK)
+			t.Cleanup(func() { r.crash() })
+			w := newFixture(atMostOnce, r)
 			views := 0
 			w.relay.View = func() *routing.View {
 				if views++; views == 2 { // the attempt has started
--- a/transport/tls_test.go
+++ b/transport/tls_test.go
@@ -50,7 +50,7 @@
 	return leaf.SerialNumber.Int64()
 }
 
-func TestRenewedCertificateIsTaken(t *testing.T) {
+func TestRenewedCertificateIsReloaded(t *testing.T) {
 	dir := t.TempDir()
 	f := TLSFiles{Certificate: filepath.Join(dir, "c.pem"), Key: filepath.Join(dir, "c.key")}
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
