--- a/daemon/routes/golden_test.go
+++ b/daemon/routes/golden_test.go
@@ -94,7 +94,7 @@
 		func() { l.Replaced(&replica, call) },
 		func() { l.Era(feed.Position{Era: 1, Revision: 9}, feed.Position{Era: 2, Revision: 5}, "store", 3, 4) },
 		func() { l.Former(2, "gone") },
-		func() { l.Said(&replica, call, relay.Statement{NotUnderstood: []string{"Retry-After: soon"}}) },
+		func() { l.SelfReported(&replica, call, relay.SelfReport{NotUnderstood: []string{"Retry-After: soon"}}) },
 	} {
 		write()
 	}
--- a/daemon/routes/log_replicas.go
+++ b/daemon/routes/log_replicas.go
@@ -80,10 +80,10 @@
 		Int("reported_load", reportedLoad(load)).Msg(prefixReplica + "crowded; avoided for a moment")
 }
 
-// Said counts what a replica said of itself in an answer. What can't be read has a line, one a
+// SelfReported counts what a replica said of itself in an answer. What can't be read has a line, one a
 // second at most: a replica may say it in each answer.
-func (l *Log) Said(r *routing.Replica, c *relay.Call, says relay.Statement) {
-	if says.Rest > 0 {
+func (l *Log) SelfReported(r *routing.Replica, c *relay.Call, says relay.SelfReport) {
+	if says.Backoff > 0 {
 		l.metrics.RestsAsked.Inc(1)
 	}
 	if says.Leaving {
--- a/transport/relay/answer.go
+++ b/transport/relay/answer.go
@@ -49,7 +49,7 @@
 		s.recordSuccess(&t.Replica, now)
 		return s.respond(ctx, status, x.response.Header, body)
 	}
-	if x.head.Says.Rest == 0 { // a requested backoff does not count as a failure
+	if x.head.SelfReport.Backoff == 0 { // a requested backoff does not count as a failure
 		s.failed = append(s.failed, t.Replica)
 	}
 	if s.attempts.BetterAnswerPossible() {
--- a/transport/relay/call.go
+++ b/transport/relay/call.go
@@ -33,20 +33,20 @@
 
 // ResponseHead is the parsed header of a replica's response.
 type ResponseHead struct {
-	Request routing.RequestID // id of the request that it responds to; empty: not given
-	Sealed  bool              // the response carries the replica's seal
-	NotRun  bool              // the replica states that it did not run the request
-	Encoded bool              // the body has a content encoding
-	Says    Statement
+	Request    routing.RequestID // id of the request that it responds to; empty: not given
+	Sealed     bool              // the response carries the replica's seal
+	NotRun     bool              // the replica states that it did not run the request
+	Encoded    bool              // the body has a content encoding
+	SelfReport SelfReport
 }
 
-// Statement is what a replica reports about itself in the header of a response, whatever the
+// SelfReport is what a replica reports about itself in the header of a response, whatever the
 // status. The zero value reports nothing.
-type Statement struct {
+type SelfReport struct {
 	Load ReportedLoad  // when it began to respond
 	Idle time.Duration // how long the connection may be idle; 0: not given
-	// Rest is the requested backoff: for how long this daemon should send it no requests; 0: none.
-	Rest    time.Duration
+	// Backoff is for how long the replica wants no requests from this daemon; 0: not requested.
+	Backoff time.Duration
 	Leaving bool // it takes no new requests and terminates soon
 	// NotUnderstood are the header fields that could not be parsed, as "Name: value". They are
 	// ignored otherwise.
@@ -120,8 +120,8 @@
 	EndedUnder(r *routing.Replica, c *Call)
 	// HeldBack is called when a content is quarantined: its requests are not sent any more.
 	HeldBack(content routing.ContentKey)
-	// Said is called with what a replica reported about itself in a response.
-	Said(r *routing.Replica, c *Call, says Statement)
+	// SelfReported is called with what a replica reported about itself in a response.
+	SelfReported(r *routing.Replica, c *Call, report SelfReport)
 	// Rests is called when a replica that was not backing off requested a backoff: it gets no
 	// requests from this daemon for the time that is left.
 	Rests(r *routing.Replica, c *Call, left time.Duration)
--- a/transport/relay/exchange.go
+++ b/transport/relay/exchange.go
@@ -76,7 +76,7 @@
 	head           ResponseHead
 	// onSelfReport is called with the replica's self-report in each response, including late
 	// responses to earlier requests.
-	onSelfReport func(Statement)
+	onSelfReport func(SelfReport)
 	connReleased bool // the connection was returned to the pool or closed
 }
 
@@ -157,7 +157,7 @@
 		}
 		x.response, x.head = resp, x.codec.ReadResponse(resp.StatusCode, resp.Header)
 		if resp.StatusCode != http.StatusMisdirectedRequest { // sent by another replica
-			x.onSelfReport(x.head.Says)
+			x.onSelfReport(x.head.SelfReport)
 		}
 		if resp.StatusCode < http.StatusOK {
 			continue
@@ -192,7 +192,7 @@
 		replaced := status == http.StatusMisdirectedRequest
 		return &failure{
 			outcome: coordination.NotRun{Reason: coordination.ReasonUpstreamBusy},
-			result:  routing.ResultRefused, countsAgainst: !replaced && x.head.Says.Rest == 0, replaced: replaced, err: errRejected,
+			result:  routing.ResultRefused, countsAgainst: !replaced && x.head.SelfReport.Backoff == 0, replaced: replaced, err: errRejected,
 		}
 	case status < http.StatusMultipleChoices && !x.head.Sealed:
 		return &failure{outcome: mayHaveRun, result: routing.ResultBroken, countsAgainst: true, err: errUnsealed}
@@ -249,7 +249,7 @@
 		x.writing.Wait()
 		return
 	}
-	if idle := x.head.Says.Idle; idle > 0 {
+	if idle := x.head.SelfReport.Idle; idle > 0 {
 		x.conn.idleTimeout = time.Duration(float64(idle) * idleTimeoutFraction)
 	}
 	x.pool.put(x.conn, now)
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -204,7 +204,7 @@
 	}
 	x := &exchange{
 		pool: s.Pool, codec: s.Codec, call: s.call, conn: c, deadline: s.call.Deadline,
-		onSelfReport: func(says Statement) { s.applySelfReport(&t.Replica, a, says) },
+		onSelfReport: func(report SelfReport) { s.applySelfReport(&t.Replica, a, report) },
 	}
 	if s.attempts.CountSend() {
 		s.Budgets.CountRequest(s.call.Service, now)
@@ -245,7 +245,7 @@
 	if f != nil {
 		return f
 	}
-	s.recordLoad(t, a, x.head.Says.Load)
+	s.recordLoad(t, a, x.head.SelfReport.Load)
 	status := x.response.StatusCode
 	if len(s.call.Prompt) > 0 && isSuccess(status) {
 		s.Placer.RecordRead(&s.call.Request, t, clock.Now())
@@ -258,14 +258,14 @@
 
 // applySelfReport applies a replica's self-report. It is called before any of the response is
 // forwarded, and whatever becomes of the request.
-func (s *activeCall) applySelfReport(r *routing.Replica, a *Attempt, says Statement) {
+func (s *activeCall) applySelfReport(r *routing.Replica, a *Attempt, report SelfReport) {
 	now := clock.Now()
-	a.Rest, a.Leaving = max(a.Rest, says.Rest), a.Leaving || says.Leaving
-	s.Observer.Said(r, s.call, says)
-	if left, isNew := s.Placer.Rests.Ask(r, says.Rest, s.call.ID, now); isNew {
+	a.Rest, a.Leaving = max(a.Rest, report.Backoff), a.Leaving || report.Leaving
+	s.Observer.SelfReported(r, s.call, report)
+	if left, isNew := s.Placer.Rests.Ask(r, report.Backoff, s.call.ID, now); isNew {
 		s.Observer.Rests(r, s.call, left)
 	}
-	if says.Leaving && s.Placer.Leavings.Say(r, now) {
+	if report.Leaving && s.Placer.Leavings.Say(r, now) {
 		s.Observer.Leaves(r, s.call)
 	}
 }
--- a/transport/relay/replica_test.go
+++ b/transport/relay/replica_test.go
@@ -220,7 +220,7 @@
 
 func (n *recordingObserver) Finished(*relay.Call, *relay.Summary) {}
 
-func (n *recordingObserver) Said(*routing.Replica, *relay.Call, relay.Statement) {}
+func (n *recordingObserver) SelfReported(*routing.Replica, *relay.Call, relay.SelfReport) {}
 
 func (n *recordingObserver) Rests(*routing.Replica, *relay.Call, time.Duration) {}
 func (n *recordingObserver) Leaves(*routing.Replica, *relay.Call)               {}
