--- a/daemon/routes/log_replicas.go
+++ b/daemon/routes/log_replicas.go
@@ -80,10 +80,10 @@
 		Int("reported_load", reportedLoad(load)).Msg(prefixReplica + "crowded; avoided for a moment")
 }
 
-// Said counts what a replica reported about itself in a response. Invalid fields are logged at most
+// SelfReported counts what a replica reported about itself in a response. Invalid fields are logged at most
 // once per second, because a replica may send them in each response.
-func (l *Log) Said(r *routing.Replica, c *relay.Call, says relay.Statement) {
-	if says.Rest > 0 {
+func (l *Log) SelfReported(r *routing.Replica, c *relay.Call, says relay.SelfReport) {
+	if says.Backoff > 0 {
 		l.metrics.BackoffsRequested.Inc(1)
 	}
 	if says.Leaving {
--- a/transport/relay/exchange.go
+++ b/transport/relay/exchange.go
@@ -1,6 +1,6 @@
-// This file carries out one exchange on one connection: it writes the request,
-// reads the answer's header, and says what is known of the request when there is
-// none.
+// This file performs one exchange on one connection: it writes the request and reads
+// the response's header. If the exchange fails, it determines whether the replica may
+// have run the request.
 
 package relay
 
@@ -22,99 +22,100 @@
 )
 
 const (
-	// separateWriteBytes is the size from which a body is written beside the
-	// reading of the answer, because a replica may answer before it has read all.
-	// Smaller ones fit the socket's buffer.
-	separateWriteBytes = 16 << 10
-	// strayAnswers is how many late answers to earlier requests are skipped.
-	strayAnswers = 2
-	// maxRefusalBytes is how much of a refusal's body is read to be able to use its connection again.
-	maxRefusalBytes = 4 << 10
-	// bodyWriteGrace is how long the end of a body's writing is waited for after a whole answer.
-	bodyWriteGrace = 2 * time.Millisecond
+	// concurrentWriteBytes is the size from which a body is written concurrently with reading
+	// the response, because a replica may respond before it has read the whole body.
+	// Smaller bodies fit into the socket's send buffer.
+	concurrentWriteBytes = 16 << 10
+	// maxStrayResponses is the maximum number of late responses to earlier requests that are skipped.
+	maxStrayResponses = 2
+	// maxRejectionBytes is how much of a rejection's body is read in order to reuse the connection.
+	maxRejectionBytes = 4 << 10
+	// bodyWriteTimeout is how long to wait, after a complete response, for the body to be written.
+	bodyWriteTimeout = 2 * time.Millisecond
 )
 
-// Errors of exchanges.
+// Causes of failed exchanges.
 var (
-	errStray    = errors.New("answers on the connection belong to other requests")
-	errUnsealed = errors.New("success without the replica's seal")
-	errEncoded  = errors.New("answer is encoded, which nobody asked for")
-	errSilent   = errors.New("replica is silent")
-	errBarred   = errors.New("replica rests or leaves, as was learnt while the connection came up")
-	errHeldBack = errors.New("held back while the connection came up")
-	errRefused  = errors.New("replica says that it did not run the request")
+	errStrayResponses = errors.New("responses on the connection belong to other requests")
+	errUnsealed       = errors.New("successful response without the replica's seal")
+	errEncoded        = errors.New("response has a content encoding that was not requested")
+	errSilent         = errors.New("replica is silent")
+	errIneligible     = errors.New("replica requested a backoff or announced its departure during connection setup")
+	errQuarantined    = errors.New("request was quarantined during connection setup")
+	errRejected       = errors.New("replica rejected the request without running it")
 )
 
-// failure is an exchange without a usable answer.
+// failure describes an exchange without a usable response.
 type failure struct {
-	outcome coordination.Outcome // of the request
-	result  routing.Result       // of the replica, if blame is set
-	blame   bool                 // the result is held against the replica
-	cut     bool                 // the replica's end of the connection closed under the whole request
-	// replaced says that another replica answered at the address.
+	outcome       coordination.Outcome // of the request
+	result        routing.Result       // of the replica; recorded only if countsAgainst is set
+	countsAgainst bool                 // result counts against the replica
+	connClosed    bool                 // the replica closed the connection while it had the request
+	// replaced means that another replica responded at the address.
 	replaced bool
 	err      error
 }
 
-// exchange is one request on one connection.
+// exchange is one request and its response on one connection.
 type exchange struct {
 	pool     *Pool
 	codec    Codec
 	call     *Call
 	conn     *conn
 	deadline time.Time
-	// stopWatching ends the watch for the caller's leaving. It returns false if the
-	// caller has left.
-	stopWatching func() bool
+	// stopCancelWatch stops the function that closes the connection when the caller
+	// disconnects. It returns false if that function has already started.
+	stopCancelWatch func() bool
 
-	sent     time.Time // before its first byte was written
-	writing  sync.WaitGroup
-	writeErr error
-	whole    bool // the request was written whole before the answer was read
-	arrived  bool // bytes of the replica have arrived
-	response *http.Response
-	head     ResponseHead
-	// heard takes what the replica says of itself in each answer, late ones included.
-	heard func(Statement)
-	ended bool // the connection was given back or closed
+	sent           time.Time // taken before the first byte was written
+	writing        sync.WaitGroup
+	writeErr       error
+	requestWritten bool // the complete request was written before reading began
+	received       bool // the replica has sent at least one byte
+	response       *http.Response
+	head           ResponseHead
+	// onSelfReport is called with the replica's self-report in each response, including late
+	// responses to earlier requests.
+	onSelfReport func(SelfReport)
+	connReleased bool // the connection was returned to the pool or closed
 }
 
-// buffers holds the buffers in which requests are put together.
+// buffers pools the buffers in which requests are encoded.
 var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 8<<10); return &b }}
 
-// begin writes the request; a large body goes on being written beside the reading of
-// the answer. The failure is nil unless the writing failed.
-func (x *exchange) begin(ctx context.Context, h RequestHead) *failure {
+// writeRequest writes the request. A large body is written by a separate goroutine,
+// concurrently with reading the response. It returns nil unless a write has failed.
+func (x *exchange) writeRequest(ctx context.Context, h RequestHead) *failure {
 	x.sent = clock.Now()
-	x.stopWatching = context.AfterFunc(ctx, func() { _ = x.conn.Close() })
-	_ = x.conn.SetWriteDeadline(clock.Timer(x.deadline)) // an error shows at the write
+	x.stopCancelWatch = context.AfterFunc(ctx, func() { _ = x.conn.Close() })
+	_ = x.conn.SetWriteDeadline(clock.Timer(x.deadline)) // on failure, the write fails too
 	buf := buffers.Get().(*[]byte)
 	head := x.codec.AppendRequest((*buf)[:0], x.call, h)
-	if len(x.call.Body) < separateWriteBytes {
+	if len(x.call.Body) < concurrentWriteBytes {
 		head = append(head, x.call.Body...)
 		n, err := x.conn.Write(head)
-		x.whole = err == nil
+		x.requestWritten = err == nil
 		*buf = head[:0]
 		buffers.Put(buf)
-		return x.wrote(ctx, n, err)
+		return x.writeFailure(ctx, n, err)
 	}
 	n, err := x.conn.Write(head)
 	*buf = head[:0]
 	buffers.Put(buf)
 	if err != nil {
-		return x.wrote(ctx, n, err)
+		return x.writeFailure(ctx, n, err)
 	}
 	x.writing.Go(func() { _, x.writeErr = x.conn.Write(x.call.Body) })
 	return nil
 }
 
-// wrote is the failure of writing n bytes of a request; nil without an error. Only if
-// no byte was written the request surely has not run.
-func (x *exchange) wrote(ctx context.Context, n int, err error) *failure {
+// writeFailure returns the failure for a write that returned n and err, or nil if err is nil. Only
+// if no byte was written is it certain that the request has not run.
+func (x *exchange) writeFailure(ctx context.Context, n int, err error) *failure {
 	if err == nil {
 		return nil
 	}
-	f := &failure{result: routing.ResultBroken, blame: ctx.Err() == nil, err: eris.Wrap(err, "write request")}
+	f := &failure{result: routing.ResultBroken, countsAgainst: ctx.Err() == nil, err: eris.Wrap(err, "write request")}
 	if n == 0 {
 		f.outcome = coordination.NotRun{Reason: coordination.ReasonConnect}
 		return f
@@ -123,20 +124,20 @@
 	return f
 }
 
-// await waits until bytes of the replica have arrived. It returns false if it stays
-// silent until then.
-func (x *exchange) await(until time.Time) (bool, error) {
+// awaitBytes waits until there are bytes to read. It returns false if none have arrived by the
+// given time or the exchange's deadline.
+func (x *exchange) awaitBytes(until time.Time) (bool, error) {
 	if x.conn.reader.Buffered() > 0 {
-		x.arrived = true
+		x.received = true
 		return true, nil
 	}
 	if until.After(x.deadline) {
 		until = x.deadline
 	}
-	_ = x.conn.SetReadDeadline(clock.Timer(until)) // an error shows at the read
+	_ = x.conn.SetReadDeadline(clock.Timer(until)) // on failure, the read fails too
 	_, err := x.conn.reader.Peek(1)
 	if err == nil {
-		x.arrived = true
+		x.received = true
 		_ = x.conn.SetReadDeadline(clock.Timer(x.deadline))
 		return true, nil
 	}
@@ -146,109 +147,110 @@
 	return false, err
 }
 
-// readHead reads the header of the answer to this request. Late answers to earlier
-// requests are skipped.
-func (x *exchange) readHead(ctx context.Context) *failure {
-	for range strayAnswers + 1 {
+// readHeader reads the header of the response to this request. It skips late responses to
+// earlier requests.
+func (x *exchange) readHeader(ctx context.Context) *failure {
+	for range maxStrayResponses + 1 {
 		resp, err := http.ReadResponse(x.conn.reader, &http.Request{Method: x.call.Method})
 		if err != nil {
-			return x.broken(ctx, eris.Wrap(err, "read answer"))
+			return x.brokenResponse(ctx, eris.Wrap(err, "read response"))
 		}
 		x.response, x.head = resp, x.codec.ReadResponse(resp.StatusCode, resp.Header)
-		if resp.StatusCode != http.StatusMisdirectedRequest { // that is another replica's
-			x.heard(x.head.Says)
+		if resp.StatusCode != http.StatusMisdirectedRequest { // sent by another replica
+			x.onSelfReport(x.head.SelfReport)
 		}
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
 		if x.head.Request == x.call.ID {
-			return x.check()
+			return x.checkResponse()
 		}
-		x.conn.maxIdle = -1
+		x.conn.idleTimeout = -1
 		if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-			break // its end is the connection's
+			break // the body ends only when the connection does
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-			return x.broken(ctx, eris.Wrap(err, "read stray answer"))
+			return x.brokenResponse(ctx, eris.Wrap(err, "read stray response"))
 		}
 	}
-	return x.broken(ctx, errStray)
+	return x.brokenResponse(ctx, errStrayResponses)
 }
 
-// isAnswered reports whether the replica that was meant has answered the request, in whatever way.
-func (x *exchange) isAnswered() bool {
+// hasResponse reports whether the addressed replica has responded to the request, with any status.
+func (x *exchange) hasResponse() bool {
 	return x.response != nil && x.head.Request == x.call.ID && x.response.StatusCode != http.StatusMisdirectedRequest
 }
 
-// check reports whether the answer can be passed on; nil if it can.
-func (x *exchange) check() *failure {
+// checkResponse returns nil if the response can be forwarded, and the failure otherwise.
+func (x *exchange) checkResponse() *failure {
 	status := x.response.StatusCode
 	switch {
 	case x.head.NotRun:
-		_, err := io.CopyN(io.Discard, x.response.Body, maxRefusalBytes)
-		x.end(errors.Is(err, io.EOF), clock.Now())
-		// One that asks for rest is obeyed (coordination/routing/resting.go); it has not failed.
+		_, err := io.CopyN(io.Discard, x.response.Body, maxRejectionBytes)
+		x.releaseConn(errors.Is(err, io.EOF), clock.Now())
+		// A requested backoff (coordination/routing/resting.go) does not count as a failure.
 		replaced := status == http.StatusMisdirectedRequest
 		return &failure{
 			outcome: coordination.NotRun{Reason: coordination.ReasonUpstreamBusy},
-			result:  routing.ResultRefused, blame: !replaced && x.head.Says.Rest == 0, replaced: replaced, err: errRefused,
+			result:  routing.ResultRefused, countsAgainst: !replaced && x.head.SelfReport.Backoff == 0, replaced: replaced, err: errRejected,
 		}
 	case status < http.StatusMultipleChoices && !x.head.Sealed:
-		return &failure{outcome: mayHaveRun, result: routing.ResultBroken, blame: true, err: errUnsealed}
+		return &failure{outcome: mayHaveRun, result: routing.ResultBroken, countsAgainst: true, err: errUnsealed}
 	case x.head.Encoded:
-		return &failure{outcome: mayHaveRun, result: routing.ResultBroken, blame: true, err: errEncoded}
+		return &failure{outcome: mayHaveRun, result: routing.ResultBroken, countsAgainst: true, err: errEncoded}
 	}
 	return nil
 }
 
-// mayHaveRun is the outcome of an answer that can't be used.
+// mayHaveRun is the outcome of a request whose response can't be used.
 var mayHaveRun = coordination.MayHaveRun{Reason: coordination.ReasonBrokenAnswer}
 
-// broken is the failure of an answer that ended early.
-func (x *exchange) broken(ctx context.Context, err error) *failure {
+// brokenResponse returns the failure for a response that could not be read completely.
+func (x *exchange) brokenResponse(ctx context.Context, err error) *failure {
 	reason := coordination.ReasonBrokenAnswer
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		reason = coordination.ReasonDeadline
 	}
 	return &failure{
 		outcome: coordination.MayHaveRun{Reason: reason}, result: routing.ResultBroken,
-		blame: ctx.Err() == nil, cut: ctx.Err() == nil && isCut(err), err: err,
+		countsAgainst: ctx.Err() == nil, connClosed: ctx.Err() == nil && isConnectionClosed(err), err: err,
 	}
 }
 
-// silent is the failure of a replica that does not answer although there is time.
-func (x *exchange) silent() *failure {
+// silentReplica returns the failure for a replica that sends nothing, although the deadline has
+// not passed.
+func (x *exchange) silentReplica() *failure {
 	return &failure{
 		outcome: coordination.MayHaveRun{Reason: coordination.ReasonNoAnswer},
-		result:  routing.ResultSilent, blame: true, err: errSilent,
+		result:  routing.ResultSilent, countsAgainst: true, err: errSilent,
 	}
 }
 
-// expired is the failure of an answer that has not come by the deadline.
-func (x *exchange) expired() *failure {
+// deadlineExpired returns the failure for a response that has not started by the deadline.
+func (x *exchange) deadlineExpired() *failure {
 	return &failure{
 		outcome: coordination.MayHaveRun{Reason: coordination.ReasonDeadline},
 		result:  routing.ResultSilent, err: errSilent,
 	}
 }
 
-// end gives the connection back if nothing is left on it, and closes it
-// otherwise. whole says that the answer was read to its end.
-func (x *exchange) end(whole bool, now time.Time) {
-	x.ended = true
-	live := x.stopWatching == nil || x.stopWatching()
-	if !x.whole && whole && live {
-		// The rest of a long body may still be on its way out. It is not waited
-		// for: a replica that answered early may never read it.
-		whole = x.bodyWritten()
+// releaseConn returns the connection to the pool if it can be reused, and closes it otherwise.
+// complete tells whether the response was read to its end.
+func (x *exchange) releaseConn(complete bool, now time.Time) {
+	x.connReleased = true
+	callerConnected := x.stopCancelWatch == nil || x.stopCancelWatch()
+	if !x.requestWritten && complete && callerConnected {
+		// The request's body may still be being written. It is waited for only for
+		// a moment: a replica that responded early may never read the rest.
+		complete = x.bodyWritten()
 	}
-	if !whole || !live || x.conn.maxIdle < 0 || x.response.Close || x.conn.reader.Buffered() > 0 {
+	if !complete || !callerConnected || x.conn.idleTimeout < 0 || x.response.Close || x.conn.reader.Buffered() > 0 {
 		x.pool.discard(x.conn)
 		x.writing.Wait()
 		return
 	}
-	if idle := x.head.Says.Idle; idle > 0 {
-		x.conn.maxIdle = time.Duration(float64(idle) * idleShare)
+	if idle := x.head.SelfReport.Idle; idle > 0 {
+		x.conn.idleTimeout = time.Duration(float64(idle) * idleTimeoutFraction)
 	}
 	x.pool.put(x.conn, now)
 }
@@ -262,31 +264,31 @@
 	select {
 	case <-done:
 		return x.writeErr == nil
-	case <-time.After(bodyWriteGrace):
+	case <-time.After(bodyWriteTimeout):
 		return false
 	}
 }
 
-// abandon closes the connection, so that the replica stops working.
-func (x *exchange) abandon() {
-	x.ended = true
-	if x.stopWatching != nil {
-		x.stopWatching()
+// closeConn closes the connection, so that the replica stops processing the request.
+func (x *exchange) closeConn() {
+	x.connReleased = true
+	if x.stopCancelWatch != nil {
+		x.stopCancelWatch()
 	}
 	x.pool.discard(x.conn)
 	x.writing.Wait()
 }
 
-// unreachable is the failure of a connection that was not taken: nothing was
-// sent.
+// unreachable returns the failure for a connection that could not be opened. Nothing
+// was sent.
 func unreachable(ctx context.Context, err error) *failure {
-	blame := ctx.Err() == nil && !errors.Is(err, errFull)
-	var oe *net.OpError
-	if errors.As(err, &oe) && errors.Is(oe.Err, os.ErrDeadlineExceeded) && ctx.Err() != nil {
-		blame = false
+	countsAgainst := ctx.Err() == nil && !errors.Is(err, errConnectionLimit)
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && errors.Is(opErr.Err, os.ErrDeadlineExceeded) && ctx.Err() != nil {
+		countsAgainst = false
 	}
 	return &failure{
 		outcome: coordination.NotRun{Reason: coordination.ReasonConnect},
-		result:  routing.ResultUnreachable, blame: blame, err: eris.Wrap(err, "connect"),
+		result:  routing.ResultUnreachable, countsAgainst: countsAgainst, err: eris.Wrap(err, "connect"),
 	}
 }
--- a/transport/relay/exchange_test.go
+++ b/transport/relay/exchange_test.go
@@ -8,18 +8,18 @@
 	"hingewinch.org/hingewinch/coordination"
 )
 
-// TestOneByteMayHaveRun holds the evidence of a failed write: only a write of
-// which the system took nothing means that the request has not run.
-func TestOneByteMayHaveRun(t *testing.T) {
+// TestPartialWriteMayHaveRun checks the outcome of a failed write: the request counts as not run
+// only if not a single byte of it was written.
+func TestPartialWriteMayHaveRun(t *testing.T) {
 	x := &exchange{}
 	failed := errors.New("broken pipe")
-	if o := x.wrote(context.Background(), 0, failed).outcome; !coordination.MayRetry(o) {
+	if o := x.writeFailure(context.Background(), 0, failed).outcome; !coordination.MayRetry(o) {
 		t.Errorf("nothing written: %T", o)
 	}
-	if o := x.wrote(context.Background(), 1, failed).outcome; coordination.MayRetry(o) {
+	if o := x.writeFailure(context.Background(), 1, failed).outcome; coordination.MayRetry(o) {
 		t.Errorf("one byte written: %T", o)
 	}
-	if f := x.wrote(context.Background(), 10, nil); f != nil {
+	if f := x.writeFailure(context.Background(), 10, nil); f != nil {
 		t.Errorf("all written: %v", f)
 	}
 }
--- a/transport/relay/pool.go
+++ b/transport/relay/pool.go
@@ -1,6 +1,6 @@
-// This file keeps connections to replicas. A connection belongs to one incarnation of a
-// replica and not to an address, because addresses move to other services, and one that was
-// open to a replica before it started again leads nowhere.
+// This file implements the pool of connections to replicas. Connections are pooled by the
+// incarnation of a replica and not by address, because addresses are reused by other services,
+// and because a connection to a former incarnation is dead.
 
 package relay
 
@@ -18,15 +18,15 @@
 )
 
 const (
-	readBufferBytes = 4 << 10 // a header and some events fit
-	// idleShare is the part of the replica's own idle time for which a
-	// connection is kept, so that it is not used while the replica closes it. With
-	// 0.9 callers are served as well.
-	idleShare = 0.7
-	// idleDefault holds where the replica names no time.
-	idleDefault = 20 * time.Second
-	// idlePerReplica bounds the idle connections to one replica.
-	idlePerReplica = 32
+	readBufferBytes = 4 << 10 // holds a header and some events
+	// idleTimeoutFraction is the fraction of the replica's idle timeout for which a connection is
+	// kept, so that it is not reused at the moment the replica closes it. 0.9 serves
+	// callers equally well.
+	idleTimeoutFraction = 0.7
+	// defaultIdleTimeout is the idle timeout for replicas that state none.
+	defaultIdleTimeout = 20 * time.Second
+	// maxIdlePerReplica is the maximum number of idle connections to one replica.
+	maxIdlePerReplica = 32
 )
 
 // conn is a connection to a replica.
@@ -36,14 +36,14 @@
 	replica routing.Incarnation
 	reused  bool
 	opened  time.Time
-	// maxIdle is how long it may be idle; below 0: it must not be used again.
-	maxIdle   time.Duration
-	idleSince time.Time
+	// idleTimeout is how long it may be idle; negative: it must not be reused.
+	idleTimeout time.Duration
+	idleSince   time.Time
 }
 
-// clean reports whether a connection that was idle is still open and nothing has
-// arrived on it. Bytes that came meanwhile belong to no request.
-func (c *conn) clean() bool {
+// isReusable reports whether an idle connection is still open and has no unread bytes, which
+// would belong to no request.
+func (c *conn) isReusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -65,60 +65,60 @@
 	return err == nil && open
 }
 
-// Pool keeps idle connections. It is safe for use by many goroutines.
+// Pool keeps idle connections to replicas and counts the open ones. It is safe for concurrent use.
 type Pool struct {
-	dialer    net.Dialer
-	dialTimes routing.DialTimes
-	doubts    routing.BrokenLinks
-	checks    endChecks
+	dialer      net.Dialer
+	dialTimes   routing.DialTimes
+	linkDoubts  routing.BrokenLinks
+	crashChecks crashChecks
 
-	mu    sync.Mutex
-	idle  map[routing.Incarnation][]*conn
-	count map[routing.Incarnation]int // open connections
+	mu        sync.Mutex
+	idle      map[routing.Incarnation][]*conn
+	openCount map[routing.Incarnation]int // open connections
 }
 
 // NewPool returns an empty pool.
 func NewPool() *Pool {
 	return &Pool{
-		dialer: net.Dialer{KeepAlive: -1},
-		idle:   make(map[routing.Incarnation][]*conn),
-		count:  make(map[routing.Incarnation]int),
+		dialer:    net.Dialer{KeepAlive: -1},
+		idle:      make(map[routing.Incarnation][]*conn),
+		openCount: make(map[routing.Incarnation]int),
 	}
 }
 
-// get returns a connection to a replica: the one that was used last, or a new
-// one. What is newest is the least likely to be closed, and the others grow old
-// and are closed, so that their number follows the need.
-// At most limit connections are open to a replica at a time; 0 is no bound.
+// get returns a connection to a replica: the most recently used idle one, or else a new
+// one. The most recently used is the least likely to have been closed by the replica, and
+// the others time out, so that the number of connections follows the demand.
+// At most limit connections are open to a replica at a time; 0 means no limit.
 func (p *Pool) get(ctx context.Context, r *routing.Replica, limit int, now time.Time) (*conn, error) {
 	for {
-		c := p.take(r.Incarnation(), now)
+		c := p.takeIdle(r.Incarnation(), now)
 		if c == nil {
 			break
 		}
-		if p.doubts.MayReuse(r.Domain, c.idleSince) && c.clean() {
+		if p.linkDoubts.MayReuse(r.Domain, c.idleSince) && c.isReusable() {
 			c.reused = true
 			return c, nil
 		}
 		p.discard(c)
 	}
 	if !p.reserve(r.Incarnation(), limit) {
-		return nil, errFull
+		return nil, errConnectionLimit
 	}
 	return p.open(ctx, r)
 }
 
-// open opens a connection that was reserved.
+// open opens a connection that was counted by reserve, and uncounts it on failure.
 func (p *Pool) open(ctx context.Context, r *routing.Replica) (*conn, error) {
 	raw, err := p.dial(ctx, r.Address)
 	if err != nil {
 		p.release(r.Incarnation())
 		return nil, err
 	}
-	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferBytes), replica: r.Incarnation(), opened: clock.Now(), maxIdle: idleDefault}, nil
+	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferBytes), replica: r.Incarnation(), opened: clock.Now(), idleTimeout: defaultIdleTimeout}, nil
 }
 
-// dial opens a connection.
+// dial opens a TCP connection, with a timeout that adapts to the duration of earlier dials.
 func (p *Pool) dial(ctx context.Context, address string) (net.Conn, error) {
 	dialer := p.dialer
 	dialer.Timeout = p.dialTimes.Timeout()
@@ -130,17 +130,18 @@
 	return raw, err
 }
 
-// errFull means that this daemon has its share of a replica's connections.
-var errFull = errors.New("all connections that this daemon may open to the replica are in use")
+// errConnectionLimit means that this daemon has reached its share of a replica's connections.
+var errConnectionLimit = errors.New("all connections that this daemon may open to the replica are in use")
 
-// reserve counts a connection before it is opened, if there may be one more.
+// reserve counts a connection that is about to be opened. It returns false if the limit is
+// reached.
 func (p *Pool) reserve(id routing.Incarnation, limit int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if limit > 0 && p.count[id] >= limit {
+	if limit > 0 && p.openCount[id] >= limit {
 		return false
 	}
-	p.count[id]++
+	p.openCount[id]++
 	return true
 }
 
@@ -151,12 +152,12 @@
 }
 
 func (p *Pool) releaseLocked(id routing.Incarnation) {
-	if p.count[id]--; p.count[id] <= 0 {
-		delete(p.count, id)
+	if p.openCount[id]--; p.openCount[id] <= 0 {
+		delete(p.openCount, id)
 	}
 }
 
-func (p *Pool) take(id routing.Incarnation, now time.Time) *conn {
+func (p *Pool) takeIdle(id routing.Incarnation, now time.Time) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[id]
@@ -165,8 +166,8 @@
 	}
 	c := list[len(list)-1]
 	p.idle[id] = list[:len(list)-1]
-	if now.Sub(c.idleSince) > c.maxIdle {
-		// All that were idle for longer are too old as well.
+	if now.Sub(c.idleSince) > c.idleTimeout {
+		// The others have been idle for longer.
 		for _, old := range p.idle[id] {
 			p.closeLocked(old)
 		}
@@ -177,20 +178,20 @@
 	return c
 }
 
-// put gives back a connection whose answer was whole.
+// put returns a connection to the pool after a complete response.
 func (p *Pool) put(c *conn, now time.Time) {
 	_ = c.SetDeadline(time.Time{})
 	c.idleSince = now
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[c.replica]) >= idlePerReplica {
+	if len(p.idle[c.replica]) >= maxIdlePerReplica {
 		p.closeLocked(c)
 		return
 	}
 	p.idle[c.replica] = append(p.idle[c.replica], c)
 }
 
-// discard closes a connection that can't be used again.
+// discard closes a connection that can't be reused.
 func (p *Pool) discard(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -202,15 +203,15 @@
 	p.releaseLocked(c.replica)
 }
 
-// Sweep closes connections that were idle for too long, or to replicas that are not wanted.
+// Sweep closes idle connections that have timed out or whose replica is not wanted.
 func (p *Pool) Sweep(wanted func(routing.Incarnation) bool, now time.Time) {
-	p.checks.forget(now)
+	p.crashChecks.removeExpired(now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if wanted(id) && now.Sub(c.idleSince) <= c.maxIdle {
+			if wanted(id) && now.Sub(c.idleSince) <= c.idleTimeout {
 				kept = append(kept, c)
 				continue
 			}
@@ -224,14 +225,14 @@
 	}
 }
 
-// OpenSince returns when the oldest idle connection to a replica was opened that is still open; false
-// if there is none.
+// OpenSince returns when the oldest idle connection to a replica that is still open was opened. It
+// returns false if there is none.
 func (p *Pool) OpenSince(id routing.Incarnation) (time.Time, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var oldest time.Time
 	for _, c := range p.idle[id] {
-		if (oldest.IsZero() || c.opened.Before(oldest)) && c.clean() {
+		if (oldest.IsZero() || c.opened.Before(oldest)) && c.isReusable() {
 			oldest = c.opened
 		}
 	}
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -1,5 +1,5 @@
-// This file carries out the attempts of a call, one replica after another. Whether
-// there is another attempt is decided in coordination/routing/retry.go.
+// This file performs the attempts of a call, one replica after another.
+// coordination/routing/retry.go decides whether there is another attempt.
 
 package relay
 
@@ -13,7 +13,7 @@
 	"hingewinch.org/hingewinch/transport/clock"
 )
 
-// Options are the parts of a Relay. All are needed.
+// Options configures a Relay. All fields are required.
 type Options struct {
 	View     func() *routing.View
 	Placer   *routing.Placer
@@ -22,45 +22,45 @@
 	Codec    Codec
 	Observer Observer
 	Pool     *Pool
-	// Borrow asks another daemon for what is missing of a retry at a service, and returns what
-	// it lends.
+	// Borrow asks another daemon to transfer the missing amount of retry budget for a service. It
+	// returns the amount received.
 	Borrow func(ctx context.Context, s routing.ServiceName, missing routing.Retries) routing.Retries
 }
 
-// Relay serves calls. It is safe for use by many goroutines.
+// Relay forwards calls to replicas. It is safe for concurrent use.
 type Relay struct{ Options }
 
-// New returns a relay.
+// New returns a Relay with the given options.
 func New(o Options) *Relay { return &Relay{Options: o} }
 
-// serving is the state of one call. One goroutine uses it.
-type serving struct {
+// activeCall is the state of one call. It is used by one goroutine.
+type activeCall struct {
 	*Relay
-	call     *Call
-	sink     Sink
-	summary  Summary
-	attempts routing.Attempts
-	tried    routing.Tried
-	served   bool         // the caller has the whole answer
-	events   *eventReader // of a streamed answer; nil before the first
-	// fallback is a replica's own error answer, which goes out if no further
+	call      *Call
+	sink      Sink
+	summary   Summary
+	attempts  routing.Attempts
+	tried     routing.Tried
+	completed bool         // the caller has the complete response
+	events    *eventReader // of a streamed response; nil before the first
+	// fallback is a replica's error response, which is forwarded if no further
 	// attempt gives a better one.
-	fallback *fallback
-	// failed are the replicas that answered with errors of their own.
+	fallback *errorResponse
+	// failed are the replicas whose error responses have not yet been recorded as failures.
 	failed []routing.Replica
 }
 
-// fallback is a whole answer with an error.
-type fallback struct {
+// errorResponse is a complete error response.
+type errorResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// Serve answers a call. It returns when the caller has its final answer or has
-// left, which shows in ctx.
+// Serve forwards a call and writes the response to sink. It returns when the caller has
+// its final response, or has disconnected, in which case ctx is done.
 func (r *Relay) Serve(ctx context.Context, c *Call, sink Sink) *Summary {
-	s := &serving{Relay: r, call: c, sink: sink, attempts: routing.NewAttempts(c.Route)}
+	s := &activeCall{Relay: r, call: c, sink: sink, attempts: routing.NewAttempts(c.Route)}
 	for range routing.MaxChoices {
 		if !s.attempt(ctx) {
 			break
@@ -70,14 +70,14 @@
 	return &s.summary
 }
 
-// attempt sends the call to one replica. It returns true if another one may be
-// chosen.
-func (s *serving) attempt(ctx context.Context) bool {
+// attempt chooses a replica and sends the call to it. It returns true if another
+// attempt is allowed.
+func (s *activeCall) attempt(ctx context.Context) bool {
 	now := clock.Now()
 	if ctx.Err() != nil || !s.attempts.InTime(s.call.Deadline, now) {
 		return false
 	}
-	if s.heldBack(now) {
+	if s.isQuarantined(now) {
 		return false
 	}
 	view := s.View()
@@ -91,9 +91,9 @@
 		return false
 	}
 	s.tried.Replicas = append(s.tried.Replicas, target.Replica.ID)
-	failure := s.measured(ctx, &target, now)
+	failure := s.sendAndRecord(ctx, &target, now)
 	if failure == nil {
-		s.served = true
+		s.completed = true
 		return false
 	}
 	if failure.result == routing.ResultUnreachable && target.Replica.Domain != view.Domain {
@@ -102,8 +102,9 @@
 	return s.attempts.RecordFailure(failure.outcome)
 }
 
-// measured sends the call to a replica and takes down how that went.
-func (s *serving) measured(ctx context.Context, t *routing.Target, begun time.Time) *failure {
+// sendAndRecord sends the call to a replica, updates what is known about the replica, and adds
+// the attempt to the summary.
+func (s *activeCall) sendAndRecord(ctx context.Context, t *routing.Target, begun time.Time) *failure {
 	a := Attempt{
 		Replica: t.Replica.ID, Rank: t.Rank, Cold: t.Replica.IsCold(begun), Copied: t.Source.ID,
 		Load: t.Load, Mean: t.Mean, Coverage: t.Coverage,
@@ -115,29 +116,30 @@
 	a.Duration = clock.Since(begun)
 	if f != nil {
 		a.Err = f.err
-		if f.blame {
-			s.blame(&t.Replica, f.result, f.err)
+		if f.countsAgainst {
+			s.recordFailure(&t.Replica, f.result, f.err)
 		}
-		if f.cut {
-			s.noteEnd(ctx, &t.Replica)
+		if f.connClosed {
+			s.checkCrash(ctx, &t.Replica)
 		}
 		if f.replaced {
-			s.noteReplaced(&t.Replica)
+			s.recordReplaced(&t.Replica)
 		}
 	}
 	s.summary.Attempts = append(s.summary.Attempts, a)
 	return f
 }
 
-// blame holds a result against a replica.
-func (s *serving) blame(r *routing.Replica, result routing.Result, err error) {
+// recordFailure reports a failure of a replica to the routing, which may eject it.
+func (s *activeCall) recordFailure(r *routing.Replica, result routing.Result, err error) {
 	if s.Placer.Health.Report(r, result, clock.Now()) {
 		s.Observer.Ejected(r, s.call, err)
 	}
 }
 
-// heldBack reports whether the call may not be sent because replicas end under it.
-func (s *serving) heldBack(now time.Time) bool {
+// isQuarantined reports whether the call's content is quarantined because replicas crash on it. If
+// so, it sets the outcome.
+func (s *activeCall) isQuarantined(now time.Time) bool {
 	if !s.Crashes.Quarantined(s.call.Content, now) {
 		return false
 	}
@@ -145,11 +147,11 @@
 	return true
 }
 
-// noteEnd finds out whether a replica that broke an answer off has ended. That is known
-// before the call may be sent again.
-func (s *serving) noteEnd(ctx context.Context, r *routing.Replica) {
+// checkCrash checks whether a replica that broke a connection has crashed, and records the crash.
+// It returns before the call may be retried, since the crash may quarantine its content.
+func (s *activeCall) checkCrash(ctx context.Context, r *routing.Replica) {
 	now := clock.Now()
-	if !s.Pool.hasEnded(ctx, r, s.View().ConnectionLimit(s.call.Service), now) {
+	if !s.Pool.hasTerminated(ctx, r, s.View().ConnectionLimit(s.call.Service), now) {
 		return
 	}
 	s.Observer.EndedUnder(r, s.call)
@@ -159,10 +161,10 @@
 	}
 }
 
-// noteReplaced takes in that another replica answered at a replica's address: the one that was meant
-// has ended, and its entry is not up to date. Other daemons are told, or each would find out by
-// requests of its own, and a caller that comes back by one of them would be turned away again.
-func (s *serving) noteReplaced(r *routing.Replica) {
+// recordReplaced records that another replica responded at a replica's address: the addressed one
+// has terminated, and its entry is out of date. Other daemons are informed; otherwise each would
+// find out by requests of its own, and a caller that retries at one of them would be rejected again.
+func (s *activeCall) recordReplaced(r *routing.Replica) {
 	now := clock.Now()
 	s.Placer.Health.ReportTermination(r, now)
 	if s.Placer.Departures.RecordAnnounced(r, now) {
@@ -170,152 +172,155 @@
 	}
 }
 
-// praise counts a whole answer in a replica's favour, and the errors of those that
-// were asked before against them.
-func (s *serving) praise(r *routing.Replica, now time.Time) {
+// recordSuccess records a complete response as a success of the replica, and clears the content's
+// crashes. Error responses of earlier attempts are then recorded as failures.
+func (s *activeCall) recordSuccess(r *routing.Replica, now time.Time) {
 	s.Placer.Health.Report(r, routing.ResultGood, now)
 	s.Crashes.Clear(s.call.Content, now)
-	s.blameFailed()
+	s.recordErrorResponses()
 }
 
-// send carries out one exchange and passes the answer on. It returns nil if the
-// caller has the whole answer.
-func (s *serving) send(ctx context.Context, t *routing.Target, a *Attempt) *failure {
+// send performs one exchange and forwards the response. It returns nil if the caller has
+// the complete response.
+func (s *activeCall) send(ctx context.Context, t *routing.Target, a *Attempt) *failure {
 	now := clock.Now()
 	c, err := s.Pool.get(ctx, &t.Replica, s.View().ConnectionLimit(s.call.Service), now)
 	if err != nil {
 		return unreachable(ctx, err)
 	}
 	a.Reused = c.reused
-	// The view may have changed while the connection came up.
+	// All of this may have changed during connection setup.
 	if !s.View().IsReady(&t.Replica) {
 		s.Pool.discard(c)
-		return &failure{outcome: coordination.NotRun{Reason: coordination.ReasonConnect, RetryAfter: routing.RetryAfter}, err: errDrained}
+		return &failure{outcome: coordination.NotRun{Reason: coordination.ReasonConnect, RetryAfter: routing.RetryAfter}, err: errNotReady}
 	}
 	if now := clock.Now(); s.Placer.IsIneligible(&t.Replica, now) {
 		s.Pool.put(c, now)
-		return &failure{outcome: s.Placer.NoReplicaReason(s.View(), &s.call.Request, now), err: errBarred}
+		return &failure{outcome: s.Placer.NoReplicaReason(s.View(), &s.call.Request, now), err: errIneligible}
 	}
-	if s.heldBack(clock.Now()) {
+	if s.isQuarantined(clock.Now()) {
 		s.Pool.put(c, clock.Now())
-		return &failure{outcome: s.attempts.Outcome, err: errHeldBack}
+		return &failure{outcome: s.attempts.Outcome, err: errQuarantined}
 	}
 	x := &exchange{
 		pool: s.Pool, codec: s.Codec, call: s.call, conn: c, deadline: s.call.Deadline,
-		heard: func(says Statement) { s.hear(&t.Replica, a, says) },
+		onSelfReport: func(report SelfReport) { s.applySelfReport(&t.Replica, a, report) },
 	}
 	if s.attempts.CountSend() {
 		s.Budgets.CountRequest(s.call.Service, now)
 	}
-	f := x.begin(ctx, RequestHead{
+	f := x.writeRequest(ctx, RequestHead{
 		Replica: &t.Replica, Source: t.Source.Address,
 		Left: clock.Until(s.call.Deadline) - routing.ReturnMargin, LastEvent: s.lastEvent(),
 	})
 	if f == nil {
 		f = s.receive(ctx, x, t, a)
 	}
-	if f != nil && f.result == routing.ResultBroken && f.blame && !x.arrived {
-		s.Pool.doubts.Record(t.Replica.Domain, clock.Now())
+	if f != nil && f.result == routing.ResultBroken && f.countsAgainst && !x.received {
+		s.Pool.linkDoubts.Record(t.Replica.Domain, clock.Now())
 	}
-	if f != nil && !x.ended {
-		x.abandon()
+	if f != nil && !x.connReleased {
+		x.closeConn()
 	}
 	return f
 }
 
-// lastEvent returns the id of the last event that the caller has.
-func (s *serving) lastEvent() string {
+// lastEvent returns the id of the last event that the caller received.
+func (s *activeCall) lastEvent() string {
 	if s.events != nil {
-		return s.events.last
+		return s.events.lastID
 	}
 	return s.call.LastEvent
 }
 
-// receive waits for the answer and passes it on.
-func (s *serving) receive(ctx context.Context, x *exchange, t *routing.Target, a *Attempt) *failure {
+// receive waits for the response and forwards it.
+func (s *activeCall) receive(ctx context.Context, x *exchange, t *routing.Target, a *Attempt) *failure {
 	if f := s.awaitFirstByte(ctx, x, &t.Replica); f != nil {
 		return f
 	}
-	f := x.readHead(ctx)
-	if x.isAnswered() {
+	f := x.readHeader(ctx)
+	if x.hasResponse() {
 		s.Placer.Health.RecordAlive(&t.Replica, x.conn.opened, x.sent)
 	}
 	if f != nil {
 		return f
 	}
-	s.noteLoad(t, a, x.head.Says.Load)
+	s.recordLoad(t, a, x.head.SelfReport.Load)
 	status := x.response.StatusCode
 	if len(s.call.Prompt) > 0 && isSuccess(status) {
 		s.Placer.RecordRead(&s.call.Request, t, clock.Now())
 	}
 	if s.call.Route.Kind == routing.Stream && isSuccess(status) {
-		return s.relayStream(ctx, x, t)
+		return s.forwardStream(ctx, x, t)
 	}
-	return s.relayWhole(ctx, x, t)
+	return s.forwardComplete(ctx, x, t)
 }
 
-// hear takes in what a replica says of itself in an answer: before anything of the answer is
-// passed on, and whatever becomes of the request.
-func (s *serving) hear(r *routing.Replica, a *Attempt, says Statement) {
+// applySelfReport applies a replica's self-report. It is called before any of the response is
+// forwarded, and whatever becomes of the request.
+func (s *activeCall) applySelfReport(r *routing.Replica, a *Attempt, report SelfReport) {
 	now := clock.Now()
-	a.Rest, a.Leaving = max(a.Rest, says.Rest), a.Leaving || says.Leaving
-	s.Observer.Said(r, s.call, says)
-	if left, isNew := s.Placer.Backoffs.Record(r, says.Rest, s.call.ID, now); isNew {
+	a.Rest, a.Leaving = max(a.Rest, report.Backoff), a.Leaving || report.Leaving
+	s.Observer.SelfReported(r, s.call, report)
+	if left, isNew := s.Placer.Backoffs.Record(r, report.Backoff, s.call.ID, now); isNew {
 		s.Observer.Rests(r, s.call, left)
 	}
-	if says.Leaving && s.Placer.Departures.RecordAnnounced(r, now) {
+	if report.Leaving && s.Placer.Departures.RecordAnnounced(r, now) {
 		s.Observer.Leaves(r, s.call)
 	}
 }
 
-// noteLoad takes in what a replica says it holds; the answered request is not counted.
-func (s *serving) noteLoad(t *routing.Target, a *Attempt, l ReportedLoad) {
+// recordLoad records the load that a replica reported, without the request it responded to.
+func (s *activeCall) recordLoad(t *routing.Target, a *Attempt, l ReportedLoad) {
 	a.Reported = l
 	if l.Known && s.Placer.ReportLoad(&s.call.Request, t, max(0, l.Requests-1), clock.Now()) {
 		s.Observer.Crowded(&t.Replica, s.call, l)
 	}
 }
 
-// isSuccess reports whether a status is below those of redirections and errors.
+// isSuccess reports whether a status is neither a redirection nor an error.
 func isSuccess(status int) bool { return status < http.StatusMultipleChoices }
 
-// awaitFirstByte waits for the first byte of the answer. Where the request can go to
-// another replica it waits only for a while.
-func (s *serving) awaitFirstByte(ctx context.Context, x *exchange, r *routing.Replica) *failure {
-	wait, leave := s.attempts.FirstByteTimeout()
-	arrived, err := x.await(clock.Now().Add(wait))
+// awaitFirstByte waits for the first byte of the response. If the request can be retried at
+// another replica, it gives up after the first-byte timeout. Otherwise the timeout counts against
+// the replica, and it waits until the deadline.
+func (s *activeCall) awaitFirstByte(ctx context.Context, x *exchange, r *routing.Replica) *failure {
+	wait, canRetry := s.attempts.FirstByteTimeout()
+	arrived, err := x.awaitBytes(clock.Now().Add(wait))
 	if err != nil {
-		return x.broken(ctx, err)
+		return x.brokenResponse(ctx, err)
 	}
 	if arrived {
 		return nil
 	}
 	if !clock.Now().Before(x.deadline) {
-		return x.expired()
+		return x.deadlineExpired()
 	}
-	if leave && s.reserveRetry(ctx) {
-		return x.silent()
+	if canRetry && s.reserveRetry(ctx) {
+		return x.silentReplica()
 	}
-	s.blame(r, routing.ResultSilent, errSilent)
-	if !leave {
+	s.recordFailure(r, routing.ResultSilent, errSilent)
+	if !canRetry {
 		s.Placer.Health.ReportSilence(r, clock.Now())
 	}
-	if arrived, err = x.await(x.deadline); err != nil {
-		return x.broken(ctx, err)
+	if arrived, err = x.awaitBytes(x.deadline); err != nil {
+		return x.brokenResponse(ctx, err)
 	}
 	if arrived {
 		return nil
 	}
-	return x.expired()
+	return x.deadlineExpired()
 }
 
-// reserveRetry reports whether the call may go to another replica if this one is left.
-func (s *serving) reserveRetry(ctx context.Context) bool {
+// reserveRetry reports whether the call may be retried if this attempt is given up. It reserves
+// the retry in the budget, or else by borrowing.
+func (s *activeCall) reserveRetry(ctx context.Context) bool {
 	return s.attempts.ReserveRetry(s.Budgets, s.call.Service, clock.Now()) || s.borrowRetry(ctx)
 }
 
-// borrowRetry asks other daemons for what this one lacks of a retry, and reserves it.
-func (s *serving) borrowRetry(ctx context.Context) bool {
+// borrowRetry asks other daemons for the retry budget that this one lacks, and reserves the retry
+// if they transfer enough.
+func (s *activeCall) borrowRetry(ctx context.Context) bool {
 	loan := routing.Retries(0)
 	for range routing.MaxTransferPeers {
 		missing := s.attempts.TransferNeeded(s.Budgets, s.call.Service, loan, clock.Now())
@@ -330,8 +335,8 @@
 	return false
 }
 
-// finish gives the caller its final answer if it has none.
-func (s *serving) finish(ctx context.Context) {
+// finish completes the summary, and writes the final response if the caller has none.
+func (s *activeCall) finish(ctx context.Context) {
 	s.summary.Total = clock.Since(s.call.Arrived)
 	s.summary.Outcome = s.attempts.Outcome
 	s.summary.Gone = ctx.Err() != nil
@@ -339,21 +344,21 @@
 		s.summary.Events = s.events.count
 	}
 	switch {
-	case s.served:
+	case s.completed:
 		s.summary.Outcome = coordination.Answered{Status: s.summary.Status}
 	case s.summary.Gone || s.attempts.ResponseStarted:
 		s.sink.Abort()
 	case s.fallback != nil:
 		s.summary.Status = s.fallback.status
 		s.summary.Outcome = coordination.Answered{Status: s.fallback.status}
-		_ = s.sink.Answer(s.fallback.status, s.fallback.header, s.fallback.body) // the caller has left
+		_ = s.sink.Answer(s.fallback.status, s.fallback.header, s.fallback.body) // an error means that the caller has disconnected
 	default:
 		s.sink.Refuse(withRetryAfter(s.attempts.Outcome))
 	}
 	s.Observer.Finished(s.call, &s.summary)
 }
 
-// withRetryAfter adds the time to come back to a refusal that lacks it.
+// withRetryAfter sets the default RetryAfter of a NotRun outcome that has none.
 func withRetryAfter(o coordination.Outcome) coordination.Outcome {
 	if n, ok := o.(coordination.NotRun); ok && n.RetryAfter == 0 {
 		n.RetryAfter = routing.RetryAfter
--- a/transport/relay/relay_test.go
+++ b/transport/relay/relay_test.go
@@ -15,26 +15,26 @@
 )
 
 var (
-	once       = routing.Route{Kind: routing.AtMostOnce, MaxAttempts: 3}
-	repeatable = routing.Route{Kind: routing.Idempotent, MaxAttempts: 3}
+	atMostOnce = routing.Route{Kind: routing.AtMostOnce, MaxAttempts: 3}
+	idempotent = routing.Route{Kind: routing.Idempotent, MaxAttempts: 3}
 	stream     = routing.Route{Kind: routing.Stream, MaxAttempts: 2, EventTarget: 100 * time.Millisecond}
 	resumable  = routing.Route{Kind: routing.Stream, Resumable: true, MaxAttempts: 2, EventTarget: 100 * time.Millisecond}
 )
 
-func good(a *arrival) bool { return answer(a, 200, sealed, "fine "+a.id()) }
+func respondOK(a *receivedRequest) bool { return respond(a, 200, sealed, "fine "+a.id()) }
 
 func beMayHaveRun() OmegaMatcher { return BeAssignableToTypeOf(coordination.MayHaveRun{}) }
 func beNotRun() OmegaMatcher     { return BeAssignableToTypeOf(coordination.NotRun{}) }
 
-var _ = Describe("Relay of plain requests", func() {
-	DescribeTable("takes in what a replica says it holds, the answered request left out", func(load string, crowded bool) {
+var _ = Describe("Relay of requests that are not streamed", func() {
+	DescribeTable("records the load that a replica reports, without the request it responds to", func(load string, crowded bool) {
 		var replicas []*replica
 		for i := range 4 {
-			replicas = append(replicas, startReplica(fmt.Sprint(i), func(a *arrival) bool {
-				return answer(a, 200, sealed+"Replica-Load: "+load+",0,12\r\n", "x")
+			replicas = append(replicas, startReplica(fmt.Sprint(i), func(a *receivedRequest) bool {
+				return respond(a, 200, sealed+"Replica-Load: "+load+",0,12\r\n", "x")
 			}))
 		}
-		w := newWorld(routing.Route{}, replicas...)
+		w := newFixture(routing.Route{}, replicas...)
 		w.relay.Placer.Overloads = routing.NewOverloads()
 		c := w.call("a", "POST", "")
 		c.Prompt = []routing.PromptPart{{ID: "p", Tokens: 9}}
@@ -44,22 +44,22 @@
 		_, s := w.serve(c)
 		Expect(s.Attempts).To(ConsistOf(HaveField("Reported.Known", true)))
 		if crowded {
-			Expect(w.seen.crowded).To(ConsistOf(s.Attempts[0].Replica))
+			Expect(w.observer.overloaded).To(ConsistOf(s.Attempts[0].Replica))
 			return
 		}
-		Expect(w.seen.crowded).To(BeEmpty())
+		Expect(w.observer.overloaded).To(BeEmpty())
 	},
-		Entry("as much as the bound allows", "5", false),
-		Entry("more", "6", true),
+		Entry("at the load bound", "5", false),
+		Entry("above the load bound", "6", true),
 	)
 
-	It("passes method, target, headers and body on unchanged, and names the replica", func() {
-		r := startReplica("r", good)
-		w := newWorld(once, r)
+	It("forwards method, target, headers and body unchanged, and names the replica", func() {
+		r := startReplica("r", respondOK)
+		w := newFixture(atMostOnce, r)
 		to, _ := w.serve(w.call("a", "POST", "the body"))
 		Expect(to.status).To(Equal(200))
 		Expect(string(to.body)).To(Equal("fine a"))
-		a := r.arrival(0)
+		a := r.received(0)
 		Expect(a.request.Method).To(Equal("POST"))
 		Expect(a.request.RequestURI).To(Equal("/x?y=1"))
 		Expect(a.request.Host).To(Equal("h"))
@@ -68,10 +68,10 @@
 		Expect(a.request.Header.Get("Deadline-Ms")).To(MatchRegexp(`^29\d\d$`))
 	})
 
-	It("opens no more than its share of a replica's connections", func() {
+	It("opens no more than this daemon's share of a replica's connections", func() {
 		hold := make(chan struct{})
-		r := startReplica("r", func(a *arrival) bool { <-hold; return good(a) })
-		w := newWorld(once, r)
+		r := startReplica("r", func(a *receivedRequest) bool { <-hold; return respondOK(a) })
+		w := newFixture(atMostOnce, r)
 		t, err := routing.NewTable(&routing.Config{Routes: []routing.Route{*w.route}, Services: []routing.Service{{Name: "s", MaxConnections: 20}}})
 		Expect(err).NotTo(HaveOccurred())
 		limited := *w.view
@@ -89,62 +89,62 @@
 			Eventually(refusals, time.Second).Should(Receive(BeNil()))
 		}
 		Expect(r.connections()).To(Equal(3))
-		Expect(w.seen.passedOver).To(BeEmpty(), "the replica is not to blame")
+		Expect(w.observer.ejected).To(BeEmpty(), "the limit does not count against the replica")
 	})
 
-	It("uses a connection again after a whole answer", func() {
-		r := startReplica("r", good)
-		w := newWorld(once, r)
+	It("reuses a connection after a complete response", func() {
+		r := startReplica("r", respondOK)
+		w := newFixture(atMostOnce, r)
 		for range 5 {
 			w.serve(w.call("a", "GET", ""))
 		}
 		Expect(r.connections()).To(Equal(1))
 	})
 
-	DescribeTable("does not use a connection again on which something is left or amiss", func(script func(a *arrival) bool) {
-		r := startReplica("r", func(a *arrival) bool {
-			if a.nth == 0 {
+	DescribeTable("does not reuse a connection after a protocol error or with unread bytes", func(script func(a *receivedRequest) bool) {
+		r := startReplica("r", func(a *receivedRequest) bool {
+			if a.index == 0 {
 				return script(a)
 			}
-			return good(a)
+			return respondOK(a)
 		})
-		w := newWorld(once, r)
+		w := newFixture(atMostOnce, r)
 		w.serve(w.call("a", "GET", ""))
 		time.Sleep(20 * time.Millisecond)
 		to, _ := w.serve(w.call("b", "GET", ""))
 		Expect(string(to.body)).To(Equal("fine b"))
 		Expect(r.connections()).To(Equal(2))
 	},
-		Entry("a second answer at once", func(a *arrival) bool { good(a); return good(a) }),
-		Entry("a second answer while the connection rests", func(a *arrival) bool {
-			good(a)
+		Entry("second response at once", func(a *receivedRequest) bool { respondOK(a); return respondOK(a) }),
+		Entry("second response while the connection is idle", func(a *receivedRequest) bool {
+			respondOK(a)
 			time.Sleep(5 * time.Millisecond)
-			return good(a)
+			return respondOK(a)
 		}),
-		Entry("bytes after the end", func(a *arrival) bool { return good(a) && raw(a, "garbage") }),
-		Entry("the replica closes it", func(a *arrival) bool { good(a); return false }),
-		Entry("the replica says that it will close", func(a *arrival) bool {
-			return answer(a, 200, sealed+"Connection: close\r\n", "x")
+		Entry("bytes after the end of the response", func(a *receivedRequest) bool { return respondOK(a) && write(a, "garbage") }),
+		Entry("closed by the replica", func(a *receivedRequest) bool { respondOK(a); return false }),
+		Entry("Connection: close", func(a *receivedRequest) bool {
+			return respond(a, 200, sealed+"Connection: close\r\n", "x")
 		}),
-		Entry("a broken answer", func(a *arrival) bool { return raw(a, "nonsense\r\n\r\n") }),
-		Entry("a stray answer before the right one", func(a *arrival) bool {
-			raw(a, "HTTP/1.1 200 X\r\nAttempt-Id: old\r\n"+sealed+"Content-Length: 3\r\n\r\nold")
-			return good(a)
+		Entry("malformed response", func(a *receivedRequest) bool { return write(a, "nonsense\r\n\r\n") }),
+		Entry("response to another request before the right one", func(a *receivedRequest) bool {
+			write(a, "HTTP/1.1 200 X\r\nAttempt-Id: old\r\n"+sealed+"Content-Length: 3\r\n\r\nold")
+			return respondOK(a)
 		}),
 	)
 
-	It("opens new connections to a failure domain whose link broke under a request", func() {
-		breaks := 0 // how many requests still meet a broken link
-		script := func(a *arrival) bool {
-			scripts.Lock()
-			defer scripts.Unlock()
+	It("opens new connections to a failure domain after a link to it broke during a request", func() {
+		breaks := 0 // number of requests whose connection is still to be reset
+		script := func(a *receivedRequest) bool {
+			scriptMu.Lock()
+			defer scriptMu.Unlock()
 			if breaks--; breaks >= 0 {
 				return reset(a.conn)
 			}
-			return good(a)
+			return respondOK(a)
 		}
-		broken, other := startReplica("broken", script), startReplica("other", good)
-		w := newWorld(once, broken, other)
+		broken, other := startReplica("broken", script), startReplica("other", respondOK)
+		w := newFixture(atMostOnce, broken, other)
 		n := 0
 		serveUntil := func(done func() bool) {
 			for ; !done(); n++ {
@@ -153,115 +153,115 @@
 			}
 		}
 		serveUntil(func() bool { return broken.connections() == 1 && other.connections() == 1 })
-		scripts.Lock()
+		scriptMu.Lock()
 		breaks = 1
-		scripts.Unlock()
+		scriptMu.Unlock()
 		before := broken.count()
 		serveUntil(func() bool { return broken.count() > before })
 		reached := other.count()
 		serveUntil(func() bool { return other.count() > reached })
 		Expect(other.connections()).To(Equal(2))
 		serveUntil(func() bool { return other.count() > reached+5 })
-		Expect(other.connections()).To(Equal(2), "the new one is trusted")
+		Expect(other.connections()).To(Equal(2), "the new connection is reused")
 	})
 
-	It("skips an answer to an earlier request", func() {
-		r := startReplica("r", func(a *arrival) bool {
-			raw(a, "HTTP/1.1 200 X\r\nAttempt-Id: old\r\n"+sealed+"Content-Length: 3\r\n\r\nold")
-			return good(a)
+	It("skips a response to an earlier request", func() {
+		r := startReplica("r", func(a *receivedRequest) bool {
+			write(a, "HTTP/1.1 200 X\r\nAttempt-Id: old\r\n"+sealed+"Content-Length: 3\r\n\r\nold")
+			return respondOK(a)
 		})
-		w := newWorld(once, r)
+		w := newFixture(atMostOnce, r)
 		to, _ := w.serve(w.call("a", "GET", ""))
 		Expect(string(to.body)).To(Equal("fine a"))
 	})
 
-	DescribeTable("never gives a caller what is not the whole answer", func(script func(a *arrival) bool) {
+	DescribeTable("never forwards an incomplete or invalid response as complete", func(script func(a *receivedRequest) bool) {
 		r, other := startReplica("r", script), startReplica("r2", script)
-		w := newWorld(once, r, other)
+		w := newFixture(atMostOnce, r, other)
 		to, _ := w.serve(w.call("a", "POST", "x"))
 		Expect(to.whole).To(BeFalse())
 		Expect(to.refusal).To(beMayHaveRun())
-		Expect(r.count()+other.count()).To(Equal(1), "what must run once is not sent again")
+		Expect(r.count()+other.count()).To(Equal(1), "an at-most-once request is not retried")
 	},
-		Entry("success without a seal", func(a *arrival) bool { return answer(a, 200, "", "x") }),
-		Entry("another request's answer", func(a *arrival) bool {
-			return raw(a, "HTTP/1.1 200 X\r\nAttempt-Id: b\r\n"+sealed+"\r\nx") && reset(a.conn)
+		Entry("success status without a seal", func(a *receivedRequest) bool { return respond(a, 200, "", "x") }),
+		Entry("response to another request", func(a *receivedRequest) bool {
+			return write(a, "HTTP/1.1 200 X\r\nAttempt-Id: b\r\n"+sealed+"\r\nx") && reset(a.conn)
 		}),
-		Entry("no id", func(a *arrival) bool {
-			raw(a, "HTTP/1.1 200 X\r\n"+sealed+"Content-Length: 1\r\n\r\nx")
+		Entry("no request id", func(a *receivedRequest) bool {
+			write(a, "HTTP/1.1 200 X\r\n"+sealed+"Content-Length: 1\r\n\r\nx")
 			return false
 		}),
-		Entry("less than the length", func(a *arrival) bool {
-			raw(a, "HTTP/1.1 200 X\r\nAttempt-Id: a\r\n"+sealed+"Content-Length: 10\r\n\r\nx")
+		Entry("body shorter than Content-Length", func(a *receivedRequest) bool {
+			write(a, "HTTP/1.1 200 X\r\nAttempt-Id: a\r\n"+sealed+"Content-Length: 10\r\n\r\nx")
 			return false
 		}),
-		Entry("chunks without their end", func(a *arrival) bool {
-			raw(a, "HTTP/1.1 200 X\r\nAttempt-Id: a\r\n"+sealed+"Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n")
+		Entry("chunked body without its last chunk", func(a *receivedRequest) bool {
+			write(a, "HTTP/1.1 200 X\r\nAttempt-Id: a\r\n"+sealed+"Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n")
 			return false
 		}),
-		Entry("no length and a reset", func(a *arrival) bool {
-			raw(a, "HTTP/1.1 200 X\r\nAttempt-Id: a\r\n"+sealed+"\r\nx")
+		Entry("body without a length ended by a reset", func(a *receivedRequest) bool {
+			write(a, "HTTP/1.1 200 X\r\nAttempt-Id: a\r\n"+sealed+"\r\nx")
 			time.Sleep(20 * time.Millisecond)
 			return reset(a.conn)
 		}),
-		Entry("an encoding", func(a *arrival) bool { return answer(a, 200, sealed+"Content-Encoding: gzip\r\n", "x") }),
-		Entry("not the protocol", func(a *arrival) bool { raw(a, "what?\r\n"); return false }),
-		Entry("a reset", func(a *arrival) bool { return reset(a.conn) }),
+		Entry("content encoding", func(a *receivedRequest) bool { return respond(a, 200, sealed+"Content-Encoding: gzip\r\n", "x") }),
+		Entry("not HTTP", func(a *receivedRequest) bool { write(a, "what?\r\n"); return false }),
+		Entry("connection reset", func(a *receivedRequest) bool { return reset(a.conn) }),
 	)
 
-	It("takes an answer without a length whose connection ends well", func() {
-		r := startReplica("r", func(a *arrival) bool {
-			raw(a, "HTTP/1.1 200 X\r\nAttempt-Id: a\r\n"+sealed+"\r\nwhole")
+	It("accepts a response without a length that ends with the connection closed regularly", func() {
+		r := startReplica("r", func(a *receivedRequest) bool {
+			write(a, "HTTP/1.1 200 X\r\nAttempt-Id: a\r\n"+sealed+"\r\nwhole")
 			return false
 		})
-		w := newWorld(once, r)
+		w := newFixture(atMostOnce, r)
 		to, _ := w.serve(w.call("a", "GET", ""))
 		Expect(string(to.body)).To(Equal("whole"))
 	})
 
-	It("takes an answer that comes before a long body is read, and drops the connection", func() {
-		r := startReplica("r", func(a *arrival) bool {
-			answer(a, 413, sealed, "too long")
+	It("accepts a response sent before a long request body is read, and closes the connection", func() {
+		r := startReplica("r", func(a *receivedRequest) bool {
+			respond(a, 413, sealed, "too long")
 			time.Sleep(50 * time.Millisecond)
 			return false
 		})
 		r.skipBody = true
-		w := newWorld(once, r)
+		w := newFixture(atMostOnce, r)
 		to, _ := w.serve(w.call("a", "POST", strings.Repeat("x", 8<<20)))
 		Expect(to.status).To(Equal(413))
 		w.serve(w.call("b", "GET", ""))
 		Expect(r.connections()).To(Equal(2))
-		Expect(r.arrival(1).id()).To(Equal("b"))
+		Expect(r.received(1).id()).To(Equal("b"))
 	})
 
-	DescribeTable("sends what was not run elsewhere", func(script func(a *arrival) bool) {
-		answers := []func(a *arrival) bool{script, good}
+	DescribeTable("retries at another replica what was not run", func(script func(a *receivedRequest) bool) {
+		answers := []func(a *receivedRequest) bool{script, respondOK}
 		total := 0
-		shared := func(a *arrival) bool { return answers[min(turn(&total), 2)-1](a) }
-		w := newWorld(once, startReplica("r1", shared), startReplica("r2", shared))
+		shared := func(a *receivedRequest) bool { return answers[min(countCall(&total), 2)-1](a) }
+		w := newFixture(atMostOnce, startReplica("r1", shared), startReplica("r2", shared))
 		to, s := w.serve(w.call("a", "POST", "x"))
 		Expect(to.status).To(Equal(200))
 		Expect(s.Attempts).To(HaveLen(2))
 		Expect(s.Attempts[0].Replica).NotTo(Equal(s.Attempts[1].Replica))
 	},
-		Entry("a refusal", func(a *arrival) bool { return answer(a, 503, "Not-Executed: 1\r\n", "") }),
-		Entry("another replica at the address", func(a *arrival) bool { return answer(a, 421, "Replica-Id: other\r\n", "") }),
+		Entry("rejection", func(a *receivedRequest) bool { return respond(a, 503, "Not-Executed: 1\r\n", "") }),
+		Entry("another replica at the address", func(a *receivedRequest) bool { return respond(a, 421, "Replica-Id: other\r\n", "") }),
 	)
 
-	DescribeTable("says that a request may have run where a refusal is no promise", func(status int) {
-		r := startReplica("r", func(a *arrival) bool { return answer(a, status, sealed, "no") })
-		w := newWorld(once, r)
+	DescribeTable("does not retry an error response that does not state that the request was not run", func(status int) {
+		r := startReplica("r", func(a *receivedRequest) bool { return respond(a, status, sealed, "no") })
+		w := newFixture(atMostOnce, r)
 		to, _ := w.serve(w.call("a", "POST", "x"))
-		Expect(to.status).To(Equal(status), "the replica's own answer goes out unchanged")
+		Expect(to.status).To(Equal(status), "the replica's response is forwarded unchanged")
 		Expect(r.count()).To(Equal(1))
 	},
-		Entry("500", 500), Entry("503 without the promise", 503), Entry("429 without the promise", 429),
+		Entry("500", 500), Entry("503 without Not-Executed", 503), Entry("429 without Not-Executed", 429),
 	)
 
-	It("refuses at once, with a time to come back, where nothing takes a connection", func() {
-		r := startReplica("r", good)
+	It("refuses at once, with Retry-After, if no replica accepts a connection", func() {
+		r := startReplica("r", respondOK)
 		_ = r.listener.Close()
-		w := newWorld(once, r)
+		w := newFixture(atMostOnce, r)
 		begun := time.Now()
 		to, _ := w.serve(w.call("a", "POST", "x"))
 		Expect(to.refusal).To(beNotRun())
@@ -269,58 +269,58 @@
 		Expect(time.Since(begun)).To(BeNumerically("<", time.Second))
 	})
 
-	It("sends a repeatable request elsewhere after any failure, within the attempts", func() {
+	It("retries an idempotent request at another replica after any failure", func() {
 		calls := 0
-		script := func(a *arrival) bool {
-			if turn(&calls) < 3 {
+		script := func(a *receivedRequest) bool {
+			if countCall(&calls) < 3 {
 				return reset(a.conn)
 			}
-			return good(a)
+			return respondOK(a)
 		}
-		w := newWorld(repeatable, startReplica("r1", script), startReplica("r2", script), startReplica("r3", script), startReplica("r4", script))
+		w := newFixture(idempotent, startReplica("r1", script), startReplica("r2", script), startReplica("r3", script), startReplica("r4", script))
 		to, s := w.serve(w.call("a", "GET", ""))
 		Expect(to.status).To(Equal(200))
 		Expect(s.Attempts).To(HaveLen(3))
 	})
 
-	It("sends a repeatable request to no more replicas than the route allows", func() {
-		script := func(a *arrival) bool { return reset(a.conn) }
-		w := newWorld(repeatable, startReplica("r1", script), startReplica("r2", script), startReplica("r3", script), startReplica("r4", script))
+	It("sends an idempotent request to no more replicas than the route allows", func() {
+		script := func(a *receivedRequest) bool { return reset(a.conn) }
+		w := newFixture(idempotent, startReplica("r1", script), startReplica("r2", script), startReplica("r3", script), startReplica("r4", script))
 		to, s := w.serve(w.call("a", "GET", ""))
 		Expect(to.refusal).To(beMayHaveRun())
 		Expect(s.Attempts).To(HaveLen(3))
 	})
 
-	It("leaves a silent replica where the request is repeatable", func() {
+	It("gives up a silent replica if the request is idempotent", func() {
 		calls := 0
-		script := func(a *arrival) bool {
-			if turn(&calls) == 1 {
+		script := func(a *receivedRequest) bool {
+			if countCall(&calls) == 1 {
 				time.Sleep(2 * time.Second)
 				return false
 			}
-			return good(a)
+			return respondOK(a)
 		}
-		w := newWorld(repeatable, startReplica("r1", script), startReplica("r2", script))
+		w := newFixture(idempotent, startReplica("r1", script), startReplica("r2", script))
 		begun := time.Now()
 		to, _ := w.serve(w.call("a", "GET", ""))
 		Expect(to.status).To(Equal(200))
 		Expect(time.Since(begun)).To(BeNumerically("<", time.Second))
-		Expect(w.seen.passedOver).To(HaveLen(1))
+		Expect(w.observer.ejected).To(HaveLen(1))
 	})
 
-	It("gives the replica's own error where no replica does better, and blames none", func() {
-		script := func(a *arrival) bool { return answer(a, 500, sealed, "no") }
-		w := newWorld(repeatable, startReplica("r1", script), startReplica("r2", script), startReplica("r3", script))
+	It("forwards a replica's error response if all replicas fail, and ejects none", func() {
+		script := func(a *receivedRequest) bool { return respond(a, 500, sealed, "no") }
+		w := newFixture(idempotent, startReplica("r1", script), startReplica("r2", script), startReplica("r3", script))
 		for range 20 {
 			to, _ := w.serve(w.call("a", "GET", ""))
 			Expect(to.status).To(Equal(500))
 		}
-		Expect(w.seen.passedOver).To(BeEmpty())
+		Expect(w.observer.ejected).To(BeEmpty())
 	})
 
-	It("answers at the deadline and not later", func() {
-		r := startReplica("r", func(*arrival) bool { time.Sleep(2 * time.Second); return false })
-		w := newWorld(once, r)
+	It("responds at the deadline and not later", func() {
+		r := startReplica("r", func(*receivedRequest) bool { time.Sleep(2 * time.Second); return false })
+		w := newFixture(atMostOnce, r)
 		c := w.call("a", "POST", "x")
 		c.Deadline = c.Arrived.Add(300 * time.Millisecond)
 		to, _ := w.serve(c)
@@ -328,9 +328,9 @@
 		Expect(time.Since(c.Arrived)).To(BeNumerically("~", 300*time.Millisecond, 150*time.Millisecond))
 	})
 
-	It("does not send what has no time left", func() {
-		r := startReplica("r", good)
-		w := newWorld(once, r)
+	It("does not send a request whose deadline has passed", func() {
+		r := startReplica("r", respondOK)
+		w := newFixture(atMostOnce, r)
 		c := w.call("a", "POST", "x")
 		c.Deadline = c.Arrived
 		to, _ := w.serve(c)
@@ -338,9 +338,9 @@
 		Expect(r.count()).To(BeZero())
 	})
 
-	It("does not send to a replica that left while the connection came up", func() {
-		r := startReplica("r", good)
-		w := newWorld(once, r)
+	It("does not send to a replica that left the view during connection setup", func() {
+		r := startReplica("r", respondOK)
+		w := newFixture(atMostOnce, r)
 		empty := *w.view
 		empty.Pools = map[routing.ServiceName]*routing.Pool{}
 		views := []*routing.View{w.view, &empty}
@@ -354,43 +354,43 @@
 		Expect(r.count()).To(BeZero())
 	})
 
-	It("closes the replica's connection at once when the caller leaves", func() {
+	It("closes the connection to the replica at once when the caller disconnects", func() {
 		r := startReplica("r", nil)
 		reading := make(chan struct{})
-		scripts.Lock()
-		r.script = func(a *arrival) bool {
+		scriptMu.Lock()
+		r.script = func(a *receivedRequest) bool {
 			close(reading)
 			_, _ = a.reader.ReadByte()
 			r.closed <- struct{}{}
 			return false
 		}
-		scripts.Unlock()
-		w := newWorld(once, r)
+		scriptMu.Unlock()
+		w := newFixture(atMostOnce, r)
 		ctx, leave := context.WithCancel(context.Background())
 		done := make(chan *relay.Summary)
-		go func() { done <- w.relay.Serve(ctx, w.call("a", "POST", "x"), &caller{}) }()
+		go func() { done <- w.relay.Serve(ctx, w.call("a", "POST", "x"), &recordingSink{}) }()
 		<-reading
 		leave()
 		Eventually(r.closed, time.Second).Should(Receive())
 		Expect((<-done).Gone).To(BeTrue())
 	})
 
-	It("sends nothing again for a caller who left", func() {
+	It("does not retry for a caller that disconnected", func() {
 		a, b := startReplica("a", nil), startReplica("b", nil)
 		reading := make(chan struct{}, 2)
-		scripts.Lock()
+		scriptMu.Lock()
 		for _, r := range []*replica{a, b} {
-			r.script = func(x *arrival) bool {
+			r.script = func(x *receivedRequest) bool {
 				reading <- struct{}{}
 				_, _ = x.reader.ReadByte()
 				return false
 			}
 		}
-		scripts.Unlock()
-		w := newWorld(repeatable, a, b)
+		scriptMu.Unlock()
+		w := newFixture(idempotent, a, b)
 		ctx, leave := context.WithCancel(context.Background())
 		done := make(chan *relay.Summary)
-		go func() { done <- w.relay.Serve(ctx, w.call("a", "POST", "x"), &caller{}) }()
+		go func() { done <- w.relay.Serve(ctx, w.call("a", "POST", "x"), &recordingSink{}) }()
 		<-reading
 		leave()
 		Expect((<-done).Attempts).To(HaveLen(1))
@@ -401,17 +401,17 @@
 var _ = Describe("Relay of streams", func() {
 	whole := event(1) + event(2) + event(3)
 
-	It("passes events on as they come", func() {
+	It("forwards events as they arrive", func() {
 		gate := make(chan struct{})
-		r := startReplica("r", func(a *arrival) bool {
+		r := startReplica("r", func(a *receivedRequest) bool {
 			streamHead(a)
 			chunk(a, event(1))
 			<-gate
 			chunk(a, event(2)+event(3))
 			return streamEnd(a)
 		})
-		w := newWorld(stream, r)
-		to := &caller{wrote: make(chan struct{}, 8)}
+		w := newFixture(stream, r)
+		to := &recordingSink{wrote: make(chan struct{}, 8)}
 		done := make(chan struct{})
 		go func() { w.relay.Serve(context.Background(), w.call("a", "POST", "x"), to); close(done) }()
 		Eventually(to.wrote, time.Second).Should(Receive())
@@ -422,39 +422,39 @@
 	})
 
 	It("refuses a stream that breaks before its first event", func() {
-		r := startReplica("r", func(a *arrival) bool { streamHead(a); return reset(a.conn) })
-		w := newWorld(stream, r)
+		r := startReplica("r", func(a *receivedRequest) bool { streamHead(a); return reset(a.conn) })
+		w := newFixture(stream, r)
 		to, _ := w.serve(w.call("a", "POST", "x"))
 		Expect(to.refusal).To(beMayHaveRun())
 		Expect(to.status).To(BeZero())
 	})
 
-	DescribeTable("breaks a stream that can't be finished, without a part of an event", func(script func(a *arrival) bool) {
+	DescribeTable("aborts a stream that can't be completed, without forwarding a partial event", func(script func(a *receivedRequest) bool) {
 		r := startReplica("r", script)
-		w := newWorld(stream, r, startReplica("r2", script))
+		w := newFixture(stream, r, startReplica("r2", script))
 		to, _ := w.serve(w.call("a", "POST", "x"))
 		Expect(to.broken).To(BeTrue())
 		Expect(string(to.body)).To(Equal(event(1)))
 		Expect(r.count()).To(BeNumerically("<=", 1))
 	},
-		Entry("inside an event", func(a *arrival) bool {
+		Entry("inside an event", func(a *receivedRequest) bool {
 			streamHead(a)
 			chunk(a, event(1)+"id: 2\nda")
 			return false
 		}),
-		Entry("whole chunks that end inside an event", func(a *arrival) bool {
+		Entry("complete chunked body that ends inside an event", func(a *receivedRequest) bool {
 			streamHead(a)
 			chunk(a, event(1)+"id: 2\nda")
 			return streamEnd(a)
 		}),
-		Entry("an id that does not rise", func(a *arrival) bool {
+		Entry("event id that does not increase", func(a *receivedRequest) bool {
 			streamHead(a)
 			chunk(a, event(1))
 			time.Sleep(20 * time.Millisecond)
 			chunk(a, event(1))
 			return streamEnd(a)
 		}),
-		Entry("a reset", func(a *arrival) bool {
+		Entry("connection reset", func(a *receivedRequest) bool {
 			streamHead(a)
 			chunk(a, event(1))
 			time.Sleep(20 * time.Millisecond)
@@ -462,10 +462,10 @@
 		}),
 	)
 
-	DescribeTable("takes a resumable stream up at another replica, once, after the last event", func(first func(a *arrival) bool) {
+	DescribeTable("resumes a resumable stream once, at another replica, after the last event", func(first func(a *receivedRequest) bool) {
 		n := 0
-		script := func(a *arrival) bool {
-			if turn(&n) == 1 {
+		script := func(a *receivedRequest) bool {
+			if countCall(&n) == 1 {
 				return first(a)
 			}
 			streamHead(a)
@@ -473,7 +473,7 @@
 			return streamEnd(a)
 		}
 		r1, r2 := startReplica("r1", script), startReplica("r2", script)
-		w := newWorld(resumable, r1, r2)
+		w := newFixture(resumable, r1, r2)
 		to, s := w.serve(w.call("a", "POST", "x"))
 		Expect(string(to.body)).To(Equal(whole))
 		Expect(to.broken).To(BeFalse())
@@ -482,14 +482,14 @@
 		if s.Attempts[1].Replica == "r2" {
 			second = r2
 		}
-		Expect(second.arrival(0).request.Header.Get("Last-Event-Id")).To(Equal("1"))
+		Expect(second.received(0).request.Header.Get("Last-Event-Id")).To(Equal("1"))
 	},
-		Entry("inside an event", func(a *arrival) bool {
+		Entry("inside an event", func(a *receivedRequest) bool {
 			streamHead(a)
 			chunk(a, event(1)+"id: 2\nda")
 			return reset(a.conn)
 		}),
-		Entry("silence", func(a *arrival) bool {
+		Entry("silent replica", func(a *receivedRequest) bool {
 			streamHead(a)
 			chunk(a, event(1))
 			time.Sleep(1500 * time.Millisecond)
@@ -497,15 +497,15 @@
 		}),
 	)
 
-	It("waits for a slow replica where the budget has no retry", func() {
-		script := func(a *arrival) bool {
+	It("waits for a slow replica if the budget allows no retry", func() {
+		script := func(a *receivedRequest) bool {
 			streamHead(a)
 			chunk(a, event(1))
 			time.Sleep(800 * time.Millisecond)
 			chunk(a, event(2)+event(3))
 			return streamEnd(a)
 		}
-		w := newWorld(resumable, startReplica("r1", script), startReplica("r2", script))
+		w := newFixture(resumable, startReplica("r1", script), startReplica("r2", script))
 		w.relay.Budgets = routing.NewRetryBudgets(routing.RetryRule{Window: 10 * time.Second}, 1)
 		to, s := w.serve(w.call("a", "POST", "x"))
 		Expect(string(to.body)).To(Equal(whole))
@@ -513,11 +513,11 @@
 		Expect(s.Attempts).To(HaveLen(1))
 	})
 
-	It("sends again with what other daemons lend, and asks for nothing that the route does not allow", func() {
+	It("retries with budget transferred by other daemons, and requests none if the route allows no retry", func() {
 		lent := []routing.Retries{0.5, 0, 0.5}
 		serve := func(route routing.Route) (attempts, asked int) {
-			failing := func(a *arrival) bool { return answer(a, 500, sealed, "no") }
-			w := newWorld(route, startReplica("r1", failing), startReplica("r2", failing))
+			failing := func(a *receivedRequest) bool { return respond(a, 500, sealed, "no") }
+			w := newFixture(route, startReplica("r1", failing), startReplica("r2", failing))
 			w.relay.Budgets = routing.NewRetryBudgets(routing.RetryRule{Window: 10 * time.Second}, 1)
 			w.relay.Borrow = func(_ context.Context, _ routing.ServiceName, missing routing.Retries) routing.Retries {
 				Expect(missing).To(BeNumerically(">", 0))
@@ -527,52 +527,52 @@
 			_, s := w.serve(w.call("a", "GET", ""))
 			return len(s.Attempts), asked
 		}
-		twice := repeatable
+		twice := idempotent
 		twice.MaxAttempts = 2
 		attempts, asked := serve(twice)
 		Expect(attempts).To(Equal(2))
 		Expect(asked).To(Equal(3))
-		attempts, asked = serve(once)
+		attempts, asked = serve(atMostOnce)
 		Expect(attempts).To(Equal(1))
-		Expect(asked).To(BeZero(), "it may have run")
+		Expect(asked).To(BeZero(), "the request may have run")
 	})
 
-	It("reports a replica that was silent for long, and not one that it left sooner", func() {
-		slow := func(a *arrival) bool {
+	It("reports a replica that was silent until the timeout, but not one that it gave up sooner", func() {
+		slow := func(a *receivedRequest) bool {
 			time.Sleep(1200 * time.Millisecond)
 			streamHead(a)
 			chunk(a, event(1)+event(2)+event(3))
 			return streamEnd(a)
 		}
 		reports := func(route routing.Route, replicas ...*replica) []routing.SilenceReport {
-			w := newWorld(route, replicas...)
+			w := newFixture(route, replicas...)
 			to, _ := w.serve(w.call("a", "POST", "x"))
 			Expect(string(to.body)).To(Equal(whole))
 			return w.relay.Placer.Health.TakeSilences(10, time.Now())
 		}
-		once := resumable
-		once.Resumable, once.MaxAttempts = false, 1
-		Expect(reports(once, startReplica("r1", slow))).To(HaveLen(1), "it waited for the answer")
+		notResumable := resumable
+		notResumable.Resumable, notResumable.MaxAttempts = false, 1
+		Expect(reports(notResumable, startReplica("r1", slow))).To(HaveLen(1), "it waited for the response")
 		n := 0
-		first := func(a *arrival) bool {
-			if turn(&n) == 1 {
+		first := func(a *receivedRequest) bool {
+			if countCall(&n) == 1 {
 				return slow(a)
 			}
 			streamHead(a)
 			chunk(a, event(1)+event(2)+event(3))
 			return streamEnd(a)
 		}
-		Expect(reports(resumable, startReplica("r1", first), startReplica("r2", first))).To(BeEmpty(), "it left after a quarter of a second")
+		Expect(reports(resumable, startReplica("r1", first), startReplica("r2", first))).To(BeEmpty(), "it gave up after a quarter of a second")
 	})
 
-	It("stops the first run before the second begins", func() {
+	It("stops the first attempt before the second starts", func() {
 		n := 0
 		gone := make(chan bool, 1)
-		script := func(a *arrival) bool {
-			if turn(&n) == 1 {
+		script := func(a *receivedRequest) bool {
+			if countCall(&n) == 1 {
 				streamHead(a)
 				chunk(a, event(1))
-				_, err := a.reader.ReadByte() // until the daemon closes
+				_, err := a.reader.ReadByte() // returns when the relay closes the connection
 				gone <- err != nil
 				return false
 			}
@@ -581,35 +581,35 @@
 			chunk(a, event(2)+event(3))
 			return streamEnd(a)
 		}
-		w := newWorld(resumable, startReplica("r1", script), startReplica("r2", script))
+		w := newFixture(resumable, startReplica("r1", script), startReplica("r2", script))
 		to, _ := w.serve(w.call("a", "POST", "x"))
 		Expect(string(to.body)).To(Equal(whole))
 	})
 
-	It("goes on from the caller's last event", func() {
-		r := startReplica("r", func(a *arrival) bool {
+	It("starts after the caller's last event", func() {
+		r := startReplica("r", func(a *receivedRequest) bool {
 			streamHead(a)
 			chunk(a, event(8))
 			return streamEnd(a)
 		})
-		w := newWorld(resumable, r)
+		w := newFixture(resumable, r)
 		c := w.call("a", "POST", "x")
 		c.LastEvent = "7"
 		to, _ := w.serve(c)
-		Expect(r.arrival(0).request.Header.Get("Last-Event-Id")).To(Equal("7"))
+		Expect(r.received(0).request.Header.Get("Last-Event-Id")).To(Equal("7"))
 		Expect(string(to.body)).To(Equal(event(8)))
 	})
 
-	It("passes a failure with its status on", func() {
-		r := startReplica("r", func(a *arrival) bool { return answer(a, 500, sealed, "no") })
-		w := newWorld(stream, r)
+	It("forwards an error response with its status", func() {
+		r := startReplica("r", func(a *receivedRequest) bool { return respond(a, 500, sealed, "no") })
+		w := newFixture(stream, r)
 		to, _ := w.serve(w.call("a", "POST", "x"))
 		Expect(to.status).To(Equal(500))
 		Expect(to.header.Get("Replica-Seal")).To(Equal("good"))
 	})
 
-	It("ends at the deadline without looking whole", func() {
-		r := startReplica("r", func(a *arrival) bool {
+	It("aborts at the deadline", func() {
+		r := startReplica("r", func(a *receivedRequest) bool {
 			streamHead(a)
 			for i := range 100 {
 				chunk(a, event(i+1))
@@ -617,7 +617,7 @@
 			}
 			return streamEnd(a)
 		})
-		w := newWorld(stream, r)
+		w := newFixture(stream, r)
 		c := w.call("a", "POST", "x")
 		c.Deadline = c.Arrived.Add(400 * time.Millisecond)
 		to, _ := w.serve(c)
@@ -625,9 +625,9 @@
 		Expect(time.Since(c.Arrived)).To(BeNumerically("<", 700*time.Millisecond))
 	})
 
-	It("counts its own requests only while they are at the replica", func() {
-		r := startReplica("r", func(a *arrival) bool { streamHead(a); chunk(a, event(1)); return streamEnd(a) })
-		w := newWorld(stream, r)
+	It("counts a request in the replica's load only while it is in flight", func() {
+		r := startReplica("r", func(a *receivedRequest) bool { streamHead(a); chunk(a, event(1)); return streamEnd(a) })
+		w := newFixture(stream, r)
 		w.serve(w.call("a", "POST", "x"))
 		Expect(w.relay.Placer.Loads.LocalCounts()).To(BeEmpty())
 	})
--- a/transport/tls_test.go
+++ b/transport/tls_test.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// writeIdentity writes a self-signed certificate of a serial number.
+// writeIdentity writes a new key and a self-signed certificate with the given serial
+// number, and sets the files' modification times.
 func writeIdentity(t *testing.T, f TLSFiles, serial int64, modified time.Time) {
 	t.Helper()
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -39,7 +40,7 @@
 	}
 }
 
-func serialOf(t *testing.T, c *certificates) int64 {
+func serialOf(t *testing.T, c *certificateReloader) int64 {
 	t.Helper()
 	cert, _ := c.current()
 	leaf, err := x509.ParseCertificate(cert.Certificate[0])
@@ -49,25 +50,25 @@
 	return leaf.SerialNumber.Int64()
 }
 
-func TestRenewedCertificateIsTaken(t *testing.T) {
+func TestRenewedCertificateIsReloaded(t *testing.T) {
 	dir := t.TempDir()
 	f := TLSFiles{Certificate: filepath.Join(dir, "c.pem"), Key: filepath.Join(dir, "c.key")}
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	writeIdentity(t, f, 1, now)
-	c, err := loadCertificates(f, func() time.Time { return now })
+	c, err := newCertificateReloader(f, func() time.Time { return now })
 	if err != nil {
 		t.Fatal(err)
 	}
 	writeIdentity(t, f, 2, now.Add(time.Second))
-	now = now.Add(certificateCheck)
+	now = now.Add(certificateCheckInterval)
 	if got := serialOf(t, c); got != 2 {
-		t.Fatalf("certificate %d is in force, want the renewed one", got)
+		t.Fatalf("certificate %d is in use, want the renewed one", got)
 	}
 	if err := os.WriteFile(f.Certificate, []byte("broken"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	now = now.Add(certificateCheck)
+	now = now.Add(certificateCheckInterval)
 	if got := serialOf(t, c); got != 2 {
-		t.Fatalf("certificate %d is in force, want the last good one", got)
+		t.Fatalf("certificate %d is in use, want the last valid one", got)
 	}
 }
