--- a/coordination/routing/leaving.go
+++ b/coordination/routing/departures.go
@@ -17,7 +17,7 @@
 //     they would not learn it from the store.
 //  4. An announcement is removed when no entry has named the incarnation for departureRetention.
 //
-// Unlike a backoff (resting.go), which concerns one daemon's share of the load, a departure is a
+// Unlike a backoff (backoffs.go), which concerns one daemon's share of the load, a departure is a
 // fact about the replica, so that a report from one daemon is enough for all.
 
 package routing
--- a/coordination/routing/doc.go
+++ b/coordination/routing/doc.go
@@ -16,13 +16,13 @@
 //	giveup.go       how long a silent replica is waited for
 //	dial.go         how long a connection may take
 //	connections.go  how many connections a daemon opens to a replica
-//	doubt.go        which idle connections are not used, after links broke
+//	broken_links.go which idle connections are not used, after links broke
 //	evacuate.go     which replicas get nothing because operators empty their failure domain
 //	cold.go         how many requests a cold replica gets
-//	resting.go      which replicas asked for rest; leaving.go, which said that they leave;
-//	                barred.go, what of that holds whatever else is left
+//	backoffs.go     which replicas asked for rest; departures.go, which said that they leave;
+//	                ineligible.go, what of that holds whatever else is left
 //	crash.go        which requests are held back because replicas end under them
-//	ended.go        which replicas have ended; lives.go, what disproves that
+//	terminated.go   which replicas have ended; liveness.go, what disproves that
 //	view.go         the replicas of a service as traffic reads them; replicas.go keeps them in
 //	                order as they change, index.go finds one by its key
 //
--- a/coordination/routing/eject.go
+++ b/coordination/routing/eject.go
@@ -1,6 +1,6 @@
 // This file decides which replicas get no requests because requests to them failed. cutoff.go
 // handles failure domains that are cut off as a whole, silence.go replicas that other daemons
-// found silent, barred.go replicas that are ineligible even if no other is left.
+// found silent, ineligible.go replicas that are ineligible even if no other is left.
 //
 // Inputs: the results of this daemon's attempts within [evidenceWindow], and those published by
 // its peers. Health checks of the replicas are not used: a check takes a slot, and a replica can
@@ -14,7 +14,7 @@
 //  3. An ejection lasts initialEjection at first and doubles each time up to maxEjection. It is
 //     reset after ejectionResetAfter without an ejection. When it ends the replica gets requests
 //     again; there is no other probe.
-//  4. Replicas that are ineligible (barred.go), terminated or cut off are skipped first. If
+//  4. Replicas that are ineligible (ineligible.go), terminated or cut off are skipped first. If
 //     ejections would leave fewer than half of the others, ejections are ignored: then the
 //     failures point to the service or to this daemon's links, and ejecting would only overload
 //     the others. The cut is applied first because a large domain without heartbeats would
--- a/coordination/routing/barred.go
+++ b/coordination/routing/ineligible.go
@@ -1,9 +1,9 @@
 // This file combines the rules by which a replica is ineligible, that is, gets no request even if
-// no other replica is left: it requested a backoff from this daemon (resting.go), or it announced
-// that it is leaving (leaving.go). Both come from the replica itself, because a rule that can
-// lead to a refused request must not be based on an inference. That a replica has terminated
-// (ended.go) or fails (eject.go) is inferred by daemons, and is ignored if no other replica is
-// left.
+// no other replica is left: it requested a backoff from this daemon (backoffs.go), or it
+// announced that it is leaving (departures.go). Both come from the replica itself, because a rule
+// that can lead to a refused request must not be based on an inference. That a replica has
+// terminated (terminated.go) or fails (eject.go) is inferred by daemons, and is ignored if no
+// other replica is left.
 //
 // The rules are applied on each choice, and again right before the first byte of a request is
 // written, because opening a connection may take a while.
--- a/coordination/routing/lives.go
+++ b/coordination/routing/liveness.go
@@ -1,6 +1,6 @@
 // This file decides which reported terminations of replicas are false. A termination is detected
-// as a connection that breaks followed by a new one that is refused (ended.go). Links that refuse
-// connections look the same to all daemons that they cut off, whose reports others accept.
+// as a connection that breaks followed by a new one that is refused (terminated.go). Links that
+// refuse connections look the same to all daemons that they cut off, whose reports others accept.
 //
 // Inputs: which requests replicas responded to, when these were sent, and when their connections
 // were opened; idle connections that are open; the terminations known here; the reports of other
--- a/coordination/routing/ended.go
+++ b/coordination/routing/terminated.go
@@ -13,7 +13,7 @@
 //     cold replicas, terminated replicas are tried at the rate of cold ones (cold.go). Links that
 //     refuse connections look like terminations, so that most replicas of a service may be taken
 //     for terminated although they live; a response on a connection that was opened before proves
-//     it (lives.go).
+//     it (liveness.go).
 //  3. After terminatedHold the termination no longer counts: by then the store would have
 //     announced another incarnation. While no known daemon reads the store, or none did a moment
 //     ago, it may not have; then terminatedHoldStale applies.
--- a/coordination/routing/usable.go
+++ b/coordination/routing/usable.go
@@ -1,6 +1,6 @@
 // This file marks which candidates may be chosen. The rules in order of precedence: ineligible
-// replicas (barred.go) are always skipped, terminated ones (ended.go) while others are left,
-// failing ones (eject.go) while at least half of the others are left.
+// replicas (ineligible.go) are always skipped, terminated ones (terminated.go) while others are
+// left, failing ones (eject.go) while at least half of the others are left.
 
 package routing
 
@@ -45,7 +45,7 @@
 	return out
 }
 
-// mayTryTerminated applies rule 2 of ended.go.
+// mayTryTerminated applies rule 2 of terminated.go.
 func (c *candidates) mayTryTerminated(terminated map[int]time.Time, s *Service) bool {
 	isBounded := s != nil && s.ColdPerSecond > 0
 	return len(terminated) > 0 && (c.usableCount == 0 || isBounded && c.usableCount < len(terminated))
--- a/daemon/routes/control.go
+++ b/daemon/routes/control.go
@@ -86,7 +86,7 @@
 
 	daemons int // in the view; see sizeChanged
 	// viewIsOld says that replicas leave which the view calls ready. They get nothing all the same
-	// (coordination/routing/barred.go); the next tick builds a view, for all that are new by then.
+	// (coordination/routing/ineligible.go); the next tick builds a view, for all that are new by then.
 	viewIsOld      bool
 	storeLost      bool
 	storeUnreadAt  time.Time // when no daemon that is known could read the store
--- a/transport/relay/exchange.go
+++ b/transport/relay/exchange.go
@@ -187,7 +187,7 @@
 	case x.head.NotRun:
 		_, err := io.CopyN(io.Discard, x.response.Body, maxRefusalBytes)
 		x.end(errors.Is(err, io.EOF), clock.Now())
-		// One that asks for rest is obeyed (coordination/routing/resting.go); it has not failed.
+		// One that asks for rest is obeyed (coordination/routing/backoffs.go); it has not failed.
 		replaced := status == http.StatusMisdirectedRequest
 		return &failure{
 			outcome: coordination.NotRun{Reason: coordination.ReasonUpstreamBusy},
