--- a/coordination/routing/liveness_test.go
+++ b/coordination/routing/liveness_test.go
@@ -84,7 +84,7 @@
 
 // TestRealTerminationsAreNeverDisproved simulates in virtual time a replica that restarts again
 // and again, any number of connections that are opened and used at any time while an incarnation
-// lives, and reports that arrive late. No real termination may be disproved.
+// lives, and reports that arrive late, in any order. No real termination may be disproved.
 func TestRealTerminationsAreNeverDisproved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		daemons := []*routing.Health{routing.NewHealth(), routing.NewHealth(), routing.NewHealth()}
