--- a/coordination/routing/doc.go
+++ b/coordination/routing/doc.go
@@ -17,13 +17,13 @@
 //	giveup.go       how long an unresponsive replica is waited for
 //	dial.go         how long establishing a connection may take
 //	connections.go  how many connections a daemon opens to a replica
-//	doubt.go        which idle connections are not reused after links broke
+//	broken_links.go which idle connections are not reused after links broke
 //	evacuate.go     which replicas get no requests because operators evacuate their failure domain
 //	cold.go         how many requests a cold replica gets
-//	resting.go      which replicas requested a backoff; leaving.go, which announced their departure;
-//	                barred.go, which of these rules hold even if no other replica is left
+//	backoffs.go     which replicas requested a backoff; departures.go, which announced their departure;
+//	                ineligible.go, which of these rules hold even if no other replica is left
 //	crash.go        which requests are quarantined because replicas crash while running them
-//	ended.go        which replicas have terminated; lives.go, what disproves that
+//	terminated.go   which replicas have terminated; liveness.go, what disproves that
 //	view.go         the replicas of a service as the request path reads them; replicas.go keeps them
 //	                sorted as they change, index.go finds one by its key
 //	config.go       the configuration; table.go validates and indexes it
--- a/daemon/routes/control.go
+++ b/daemon/routes/control.go
@@ -87,7 +87,7 @@
 
 	daemons int // in the view; see sizeChanged
 	// viewStale says that replicas which are ready in the view have announced their departure. They
-	// get no requests in any case (coordination/routing/barred.go). The next tick builds one view
+	// get no requests in any case (coordination/routing/ineligible.go). The next tick builds one view
 	// for all such replicas.
 	viewStale          bool
 	storeLost          bool
--- a/daemon/routes/reports.go
+++ b/daemon/routes/reports.go
@@ -1,7 +1,7 @@
 // This file is the part of the control loop that forwards reports to other daemons: which
 // replicas are silent (coordination/routing/silence.go) or overloaded (crowd.go), which
-// requests replicas crashed under (crash.go), which reported terminations are disproved (lives.go),
-// and which replicas announced their departure (leaving.go). Reports are rare and sent in
+// requests replicas crashed under (crash.go), which reported terminations are disproved (liveness.go),
+// and which replicas announced their departure (departures.go). Reports are rare and sent in
 // datagrams of their own.
 
 package routes
--- a/transport/relay/exchange.go
+++ b/transport/relay/exchange.go
@@ -188,7 +188,7 @@
 	case x.head.NotRun:
 		_, err := io.CopyN(io.Discard, x.response.Body, maxRejectionBytes)
 		x.releaseConn(errors.Is(err, io.EOF), clock.Now())
-		// A requested backoff (coordination/routing/resting.go) does not count as a failure.
+		// A requested backoff (coordination/routing/backoffs.go) does not count as a failure.
 		replaced := status == http.StatusMisdirectedRequest
 		return &failure{
 			outcome: coordination.NotRun{Reason: coordination.ReasonUpstreamBusy},
