--- a/coordination/routing/backoffs.go
+++ b/coordination/routing/backoffs.go
@@ -59,7 +59,7 @@
 
 // backoff is the backoff of one replica.
 type backoff struct {
-	born  StartTime // start time of the incarnation that requested it
+	born        StartTime // start time of the incarnation that requested it
 	until       time.Time
 	requestedBy RequestID // the request whose response last requested the backoff
 }
@@ -69,7 +69,9 @@
 
 // appliesTo reports whether the backoff applies to an incarnation of the replica, by rule 3. An
 // entry without an incarnation time is taken for the same incarnation.
-func (t backoff) appliesTo(r *Replica) bool { return t.born == r.StartTime || t.born == 0 || r.StartTime == 0 }
+func (t backoff) appliesTo(r *Replica) bool {
+	return t.born == r.StartTime || t.born == 0 || r.StartTime == 0
+}
 
 // Record records that a replica, in its response to the request by, requested a backoff of
 // duration d. It returns how much longer the replica backs off, and whether it was not backing
--- a/coordination/routing/place.go
+++ b/coordination/routing/place.go
@@ -94,12 +94,12 @@
 
 // Placer chooses replicas. It is safe for concurrent use.
 type Placer struct {
-	Loads    *Loads
-	Health   *Health
-	Cache    *CacheTable  // nil: no cache locations are known
-	Overloads *Overloads  // nil: no replica is overloaded
-	Cold     *ColdLimiter // nil: cold replicas are not limited
-	Backoffs *Backoffs    // nil: no replica has requested a backoff
+	Loads     *Loads
+	Health    *Health
+	Cache     *CacheTable  // nil: no cache locations are known
+	Overloads *Overloads   // nil: no replica is overloaded
+	Cold      *ColdLimiter // nil: cold replicas are not limited
+	Backoffs  *Backoffs    // nil: no replica has requested a backoff
 	// Departures is nil where replicas don't announce their departure in responses.
 	Departures *Departures
 }
