--- a/coordination/routing/budget.go
+++ b/coordination/routing/budget.go
@@ -74,17 +74,15 @@
 }
 
 // SpendRetry reports whether one retry is allowed, and counts it if so.
-func (b *RetryBudgets) SpendRetry(s ServiceName, now time.Time) bool {
-	return b.SpendWithTransfer(s, 0, now)
-}
+func (b *RetryBudgets) SpendRetry(s ServiceName, t time.Time) bool { return b.SpendWithGrant(s, 0, t) }
 
-// SpendWithTransfer is like [RetryBudgets.SpendRetry], but takes from the budget only what a
-// transfer for this retry doesn't cover.
-func (b *RetryBudgets) SpendWithTransfer(s ServiceName, transfer Retries, now time.Time) bool {
+// SpendWithGrant is like [RetryBudgets.SpendRetry], but takes from the budget only what the
+// grant of other daemons for this retry does not cover.
+func (b *RetryBudgets) SpendWithGrant(s ServiceName, grant Retries, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(s, now)
-	own := max(0, 1-transfer)
+	own := max(0, 1-grant)
 	if own > b.remaining(w) {
 		return false
 	}
--- a/coordination/routing/export_test.go
+++ b/coordination/routing/export_test.go
@@ -19,10 +19,8 @@
 	return len(t.prompts)
 }
 
-// Homes returns how many homes the prompt of a request has; base is the usual number.
-func (c *Overloads) Homes(r *Request, base int, now time.Time) int {
-	return c.homes(r.Key(), base, now)
-}
+// Homes returns how many homes the prompt of a request has; n is the usual number.
+func (c *Overloads) Homes(r *Request, n int, now time.Time) int { return c.homes(r.Key(), n, now) }
 
 // Demands returns how many prompts with additional homes are recorded.
 func (c *Overloads) Demands() int {
--- a/coordination/routing/loan_test.go
+++ b/coordination/routing/loan_test.go
@@ -42,7 +42,7 @@
 		if f.rng.Float64() >= f.lost {
 			received += granted
 		}
-		if b.SpendWithTransfer("s", received, now) {
+		if b.SpendWithGrant("s", received, now) {
 			return true
 		}
 	}
--- a/coordination/routing/retry.go
+++ b/coordination/routing/retry.go
@@ -145,14 +145,14 @@
 // ReserveRetry reserves a retry before the current attempt is abandoned: a replica that may only
 // be slow must not be abandoned for a retry that the budget then denies.
 func (a *Attempts) ReserveRetry(b *RetryBudgets, s ServiceName, now time.Time) bool {
-	return a.ReserveWithTransfer(b, s, 0, now)
+	return a.ReserveWithGrant(b, s, 0, now)
 }
 
-// ReserveWithTransfer is like [Attempts.ReserveRetry], with a budget transfer for this retry
+// ReserveWithGrant is like [Attempts.ReserveRetry], with what other daemons granted for this retry
 // (loan.go).
-func (a *Attempts) ReserveWithTransfer(b *RetryBudgets, s ServiceName, transfer Retries, now time.Time) bool {
+func (a *Attempts) ReserveWithGrant(b *RetryBudgets, s ServiceName, grant Retries, now time.Time) bool {
 	if !a.reserved {
-		a.reserved = a.attemptsLeft() && b.SpendWithTransfer(s, transfer, now)
+		a.reserved = a.attemptsLeft() && b.SpendWithGrant(s, grant, now)
 	}
 	return a.reserved
 }
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -323,7 +323,7 @@
 			return false
 		}
 		loan += s.Borrow(ctx, s.call.Service, missing)
-		if s.attempts.ReserveWithTransfer(s.Budgets, s.call.Service, loan, clock.Now()) {
+		if s.attempts.ReserveWithGrant(s.Budgets, s.call.Service, loan, clock.Now()) {
 			return true
 		}
 	}
