--- a/coordination/routing/bound_test.go
+++ b/coordination/routing/bound_test.go
@@ -66,13 +66,13 @@
 // 3.4% of the requests of five seconds without faults reached a replica with more than twice the
 // mean plus 3 requests in flight.
 //
-// The requests are about some 7 topics and take .15 s. A overloaded replica was avoided for .8 s,
+// The requests are about some 7 topics and take .15 s. An overloaded replica was avoided for .8 s,
 // although its requests were done after .2 s. The requests that it would have got overloaded the
 // next replicas, one after another. The time to avoid an overloaded replica had been chosen for
 // fleets in which a daemon knows a third of the loads and requests take a second; in a small
 // fleet all loads are known after .2 s.
 //
-// In simulated time the worst share rises if overloaded replicas are detected sooner (to 8.9%),
+// In virtual time the worst share rises if overloaded replicas are detected sooner (to 8.9%),
 // and falls if they are avoided for .3 s.
 func TestLoadBoundInSmallFleet(t *testing.T) {
 	const daemons, replicas, domains = 8, 7, 2
@@ -329,10 +329,10 @@
 		return
 	}
 	d := w.daemons[from]
-	counts, news := d.Loads.LocalCounts(), d.Cache.TakePending(locations)
+	counts, announced := d.Loads.LocalCounts(), d.Cache.TakePending(locations)
 	for _, to := range w.targets(from) {
 		w.daemons[to].Loads.Observe(routing.PeerID(strconv.Itoa(from)), counts, w.now, age)
-		w.daemons[to].Cache.Observe(news, large, w.now)
+		w.daemons[to].Cache.Observe(announced, large, w.now)
 	}
 }
 
--- a/coordination/routing/crowd.go
+++ b/coordination/routing/crowd.go
@@ -27,7 +27,7 @@
 //
 // With half of a route's requests about one subject, 3 to 7% of the requests of five seconds
 // reached a replica with over twice the mean plus 3 requests at 87 daemons, and 6 to 13% at 295.
-// With these rules it was 0.1 to 0.7% and 0.8 to 1.6% (simulated time, three seeds). A replica
+// With these rules it was 0.1 to 0.7% and 0.8 to 1.6% (virtual time, three seeds). A replica
 // that is overloaded by chance costs one copy for each short prompt that is placed elsewhere
 // meanwhile. A service whose replicas report no load has no overloaded ones.
 
@@ -82,7 +82,7 @@
 // for concurrent use. A nil Overloads tracks nothing.
 type Overloads struct {
 	mu      sync.Mutex
-	avoided map[LoadKey]time.Time // overloaded replicas, and when they were found so
+	avoided map[LoadKey]time.Time // overloaded replicas, and when that was detected
 	demands map[PromptKey]homesDemand
 	loads   map[ServiceName]reportedLoads
 	outbox  outbox[OverloadReport]
--- a/coordination/routing/expired.go
+++ b/coordination/routing/expired.go
@@ -1,14 +1,15 @@
 // Replicas whose store entries expired without the replica having announced its departure.
 //
-// The inputs are the replica, when its entry expired, whether the store was unreachable or
-// refused daemons' requests shortly before, and how many replicas of the service are left.
+// The inputs are the replica, when its entry expired, whether there was a store outage shortly
+// before (it was unreachable or refused daemons' requests), and how many replicas of the service
+// are left.
 //
 //  1. An expired replica gets no more requests. For copySourceAge prompts are still copied from
 //     it, since it mostly keeps serving for a short time.
-//  2. But while the store is unavailable, replicas can't renew their entries, and the entries
-//     expire together although the replicas are alive. So replicas that expired within batchWindow
-//     of each other, while the store was in trouble, remain in use for gracePeriod if they
-//     outnumber those that are left.
+//  2. But during a store outage, replicas can't renew their entries, and the entries expire
+//     together although the replicas are alive. So replicas that expired within batchWindow of
+//     each other during such an outage remain in use for gracePeriod if they outnumber those that
+//     are left.
 //
 // Without all three conditions, replicas that have really left would be restored and get requests
 // that are never answered.
@@ -21,10 +22,10 @@
 )
 
 const (
-	// gracePeriod is how long a replica remains in use whose entry expired while the store was in
-	// trouble. According to the users, the entries of live replicas are back within about two
-	// seconds of the store's return, and a replica whose entry is still missing is gone. Daemons
-	// learn that an entry expired only from a store that is available again.
+	// gracePeriod is how long a replica remains in use whose entry expired during a store outage.
+	// According to the users, the entries of live replicas are back within about two seconds of
+	// the store's return, and a replica whose entry is still missing is gone. Daemons learn that
+	// an entry expired only from a store that is available again.
 	gracePeriod = 2 * time.Second
 	// batchWindow is the time within which entries are considered to have expired together.
 	batchWindow = time.Second
@@ -38,7 +39,7 @@
 type expiredEntry struct {
 	replica Replica
 	at      time.Time
-	suspect bool // the store was in trouble: the replica may be alive
+	suspect bool // there was a store outage: the replica may be alive
 }
 
 // NewExpiredEntries returns an empty record.
@@ -46,10 +47,10 @@
 	return &ExpiredEntries{entries: make(map[ReplicaID]expiredEntry)}
 }
 
-// Add records that the entry of a replica expired, and whether the store was in trouble shortly
-// before.
-func (x *ExpiredEntries) Add(r Replica, storeTrouble bool, now time.Time) {
-	x.entries[r.ID] = expiredEntry{replica: r, at: now, suspect: storeTrouble}
+// Add records that the entry of a replica expired, and whether there was a store outage
+// shortly before.
+func (x *ExpiredEntries) Add(r Replica, storeOutage bool, now time.Time) {
+	x.entries[r.ID] = expiredEntry{replica: r, at: now, suspect: storeOutage}
 }
 
 // Remove records that a replica has an entry again.
--- a/coordination/routing/expired_test.go
+++ b/coordination/routing/expired_test.go
@@ -8,24 +8,24 @@
 
 func TestExpiredEntries(t *testing.T) {
 	type expiry struct {
-		after   time.Duration
-		trouble bool
+		after  time.Duration
+		outage bool
 	}
-	at := func(after time.Duration, trouble bool, n int) []expiry {
+	at := func(after time.Duration, outage bool, n int) []expiry {
 		out := make([]expiry, n)
 		for i := range out {
-			out[i] = expiry{after: after, trouble: trouble}
+			out[i] = expiry{after: after, outage: outage}
 		}
 		return out
 	}
 	for _, c := range []struct {
-		name   string
-		gone   []expiry
-		left   int
-		asked  time.Duration // when the pool is built
-		usedOn int
+		name    string
+		expired []expiry
+		left    int
+		builtAt time.Duration // when the pool is built
+		kept    int
 	}{
-		{"most expire while the store is in trouble", at(0, true, 3), 1, time.Second, 3},
+		{"most expire during a store outage", at(0, true, 3), 1, time.Second, 3},
 		{"most are still missing after the grace period", at(0, true, 3), 1, gracePeriod, 0},
 		{"most leave while the store is available", at(0, false, 3), 1, time.Second, 0},
 		{"as many expire as are left", at(0, true, 2), 2, time.Second, 0},
@@ -35,13 +35,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			epoch := time.Unix(1000, 0)
 			l := NewExpiredEntries()
-			for i, v := range c.gone {
-				l.Add(NewReplica(Replica{ID: ReplicaID(fmt.Sprint(i)), Service: "s"}), v.trouble, epoch.Add(v.after))
+			for i, v := range c.expired {
+				l.Add(NewReplica(Replica{ID: ReplicaID(fmt.Sprint(i)), Service: "s"}), v.outage, epoch.Add(v.after))
 			}
 			p := &Pool{Ready: make([]Replica, c.left)}
-			got := l.Restore("s", p, epoch.Add(c.asked))
-			if len(got) != c.usedOn || len(p.Ready) != c.left+c.usedOn {
-				t.Errorf("%d kept in use, pool of %d; want %d and %d", len(got), len(p.Ready), c.usedOn, c.left+c.usedOn)
+			got := l.Restore("s", p, epoch.Add(c.builtAt))
+			if len(got) != c.kept || len(p.Ready) != c.left+c.kept {
+				t.Errorf("%d kept in use, pool of %d; want %d and %d", len(got), len(p.Ready), c.kept, c.left+c.kept)
 			}
 		})
 	}
--- a/coordination/routing/index.go
+++ b/coordination/routing/index.go
@@ -31,9 +31,9 @@
 }
 
 // put sets the position of a key.
-func (x *index) put(key LoadKey, place int) {
+func (x *index) put(key LoadKey, position int) {
 	i := x.slot(key)
-	x.keys[i], x.positions[i] = key, int32(1+place)
+	x.keys[i], x.positions[i] = key, int32(1+position)
 }
 
 // lookup returns the position of a key and whether the key is present.
@@ -41,6 +41,6 @@
 	if x == nil {
 		return 0, false
 	}
-	place := x.positions[x.slot(key)]
-	return int(place) - 1, place != 0
+	position := x.positions[x.slot(key)]
+	return int(position) - 1, position != 0
 }
--- a/coordination/routing/loan_test.go
+++ b/coordination/routing/loan_test.go
@@ -109,8 +109,8 @@
 		}
 		for _, end := range retries {
 			n, of := countInWindow(retries, end, rule.Window), countInWindow(requests, end, rule.Window)
-			if most := rule.Ratio*float64(of) + rule.Extra; float64(n) > most {
-				t.Fatalf("%d retries in a window of %d requests, want at most %.1f", n, of, most)
+			if limit := rule.Ratio*float64(of) + rule.Extra; float64(n) > limit {
+				t.Fatalf("%d retries in a window of %d requests, want at most %.1f", n, of, limit)
 			}
 		}
 	})
@@ -135,7 +135,7 @@
 	if missing := b.TransferNeeded("s", 0, epoch); missing != 0 {
 		t.Errorf("requests a transfer of %v", missing)
 	}
-	if lent := b.GrantTransfer("s", 1, epoch); lent >= 1 {
-		t.Errorf("transfers %v although its budget is spent", lent)
+	if granted := b.GrantTransfer("s", 1, epoch); granted >= 1 {
+		t.Errorf("transfers %v although its budget is spent", granted)
 	}
 }
--- a/coordination/routing/place.go
+++ b/coordination/routing/place.go
@@ -7,7 +7,8 @@
 // For a request with a prompt, at a service that caches prompts:
 //
 //  1. Replicas are ordered by rendezvous hashing of the shared parts of the prompt. All daemons
-//     compute the same order. The first replica is the prompt's home.
+//     compute the same order. The first replica is the prompt's home, which requests with this
+//     prompt prefer so that they find it in the cache. A prompt may have several homes (rule 3).
 //  2. A replica is too loaded if it has more requests in flight than loadBound times the
 //     service's mean plus loadSlack, or if it is overloaded by its own report (crowd.go).
 //  3. A prompt of up to shortPromptTokens shared tokens has several homes. In a small fleet these
@@ -51,9 +52,9 @@
 	loadSlack = 2
 	// shortPromptTokens is a number of shared tokens. Longer prompts have one home, since copying
 	// them costs more than balancing the load gains. In a small fleet each daemon knows all loads
-	// and cache locations, and one home in each domain pays off because requests need not cross a
-	// network partition. In a large fleet a daemon knows few locations; with two homes for all
-	// domains, each can be copied from the other.
+	// and cache locations, and one home in each domain serves more requests, since they need not
+	// cross a network partition. In a large fleet a daemon knows few locations; with two homes
+	// for all domains, each can be copied from the other.
 	shortPromptTokens = 3000
 	// shortHomes is how many homes a short prompt has in a large fleet.
 	shortHomes = 2
--- a/coordination/routing/replicas_test.go
+++ b/coordination/routing/replicas_test.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// BenchmarkRestoreExpired adds to a pool the replicas whose entries expired together while the
-// store was in trouble, as each view does for some seconds.
+// BenchmarkRestoreExpired adds to a pool the replicas whose entries expired together during a
+// store outage, as each view does for some seconds.
 func BenchmarkRestoreExpired(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/coordination/routing/retry_test.go
+++ b/coordination/routing/retry_test.go
@@ -13,13 +13,13 @@
 
 // retryCase is one combination of the inputs of the retry decision.
 type retryCase struct {
-	route    routing.Route
-	earlier  coordination.Outcome // of the earlier attempts
-	outcome  coordination.Outcome // of the attempt that has just failed
-	begun    bool                 // the caller has received the first bytes of a response
-	sent     int                  // replicas that the request was written to
-	budget   bool                 // the retry budget has capacity
-	timeLeft bool
+	route           routing.Route
+	earlier         coordination.Outcome // of the earlier attempts
+	outcome         coordination.Outcome // of the attempt that has just failed
+	responseStarted bool                 // the caller has received the first bytes of a response
+	sent            int                  // replicas that the request was written to
+	budget          bool                 // the retry budget has capacity
+	timeLeft        bool
 }
 
 // decide evaluates the retry rules for a case, in the order in which the relay does.
@@ -33,7 +33,7 @@
 	if c.budget {
 		rule.Extra = 100
 	}
-	a := routing.Attempts{Route: &c.route, ResponseStarted: c.begun, Sent: c.sent, Outcome: c.earlier}
+	a := routing.Attempts{Route: &c.route, ResponseStarted: c.responseStarted, Sent: c.sent, Outcome: c.earlier}
 	if !a.RecordFailure(c.outcome) || !a.InTime(deadline, now) {
 		return false, a.Outcome
 	}
@@ -81,7 +81,7 @@
 
 func (c retryCase) String() string {
 	return fmt.Sprintf("%s attempts=%d/%d earlier=%s now=%s begun=%t budget=%t time=%t",
-		c.route.Name, c.sent, c.route.MaxAttempts, outcomeText(c.earlier), outcomeText(c.outcome), c.begun, c.budget, c.timeLeft)
+		c.route.Name, c.sent, c.route.MaxAttempts, outcomeText(c.earlier), outcomeText(c.outcome), c.responseStarted, c.budget, c.timeLeft)
 }
 
 // TestRetryDecision compares the decision for every combination, one per line, with the golden
--- a/coordination/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -556,17 +556,17 @@
 		}
 		const step = 100 * time.Millisecond
 		const steps = 300
-		firsts, repeats := make([]int, steps), make([]int, steps)
+		requests, retries := make([]int, steps), make([]int, steps)
 		for i := range steps {
 			at := epoch.Add(time.Duration(i) * step)
 			for _, d := range daemons {
 				for range rapid.IntRange(0, 4).Draw(t, "requests") {
 					d.CountRequest("s", at)
-					firsts[i]++
+					requests[i]++
 				}
 				for range rapid.IntRange(0, 6).Draw(t, "wanted") {
 					if d.SpendRetry("s", at) {
-						repeats[i]++
+						retries[i]++
 					}
 				}
 			}
@@ -579,9 +579,9 @@
 			return s
 		}
 		for end := window; end <= steps; end++ {
-			most := max(sum(firsts, end-window, end), sum(firsts, end-window-window/2, end-window/2))
+			most := max(sum(requests, end-window, end), sum(requests, end-window-window/2, end-window/2))
 			allowed := rule.Ratio*float64(most) + rule.Extra
-			if spent := sum(repeats, end-window, end); float64(spent) > allowed {
+			if spent := sum(retries, end-window, end); float64(spent) > allowed {
 				t.Fatalf("%d retries in the window that ends at step %d, want at most %.0f", spent, end, allowed)
 			}
 		}
@@ -631,9 +631,9 @@
 		tables[0].Record(1, 1000, 2, true, epoch)
 		for range 6 {
 			for _, h := range tables {
-				told := h.TakePending(10)
+				announced := h.TakePending(10)
 				for range 6 {
-					tables[rng.IntN(daemons)].Observe(told, true, epoch)
+					tables[rng.IntN(daemons)].Observe(announced, true, epoch)
 				}
 			}
 		}
--- a/coordination/routing/view.go
+++ b/coordination/routing/view.go
@@ -70,7 +70,7 @@
 	// positions is the positions in Ready by load key, and coldUntil when the last of those
 	// replicas becomes warm; Sort computes both.
 	positions *index
-	indexed   int // the number of replicas of Ready that are in places
+	indexed   int // the number of replicas of Ready that are in positions
 	coldUntil time.Time
 }
 
