--- a/coordination/routing/budget.go
+++ b/coordination/routing/budget.go
@@ -4,7 +4,7 @@
 // number of daemons. Within a window, a daemon may spend budgetShare times the ratio of its own
 // requests, plus an equal share of the fleet's extra retries. The shares add up to less than the
 // fleet-wide limit whatever the daemons know of each other. Where a share is only a retry or two,
-// daemons transfer retries to each other (loan.go).
+// daemons transfer retries to each other (transfer.go).
 
 package routing
 
--- a/coordination/routing/doc.go
+++ b/coordination/routing/doc.go
@@ -4,7 +4,7 @@
 //	admit.go        whether a request is admitted, and on which route
 //	place.go        which replica gets a request
 //	candidates.go   the state of one such choice; usable.go decides which replicas may be chosen
-//	crowd.go        which replicas are overloaded, and how many homes a hot prompt has
+//	overload.go     which replicas are overloaded, and how many homes a hot prompt has
 //	load.go         how many requests each replica has in flight, as counted by the daemons;
 //	                load_reported.go, as reported by the replicas
 //	cache.go        where prompts are cached
@@ -13,8 +13,8 @@
 //	silence.go      which replicas other daemons find silent
 //	expired.go      what happens to replicas whose store entries expired
 //	retry.go        whether a request is retried after a failed attempt
-//	budget.go       how many retries the fleet may spend; loan.go, how daemons transfer them
-//	giveup.go       how long an unresponsive replica is waited for
+//	budget.go       how many retries the fleet may spend; transfer.go, how daemons transfer them
+//	timeouts.go     how long an unresponsive replica is waited for
 //	dial.go         how long establishing a connection may take
 //	connections.go  how many connections a daemon opens to a replica
 //	doubt.go        which idle connections are not reused after links broke
--- a/coordination/routing/eject.go
+++ b/coordination/routing/eject.go
@@ -6,7 +6,7 @@
 // that its peers publish. Replicas' own health checks are not used: a check costs a
 // slot, and a replica can fail requests while its check is good. The rule:
 //
-//  1. A replica that takes no connection, or is silent for longer than giveup.go
+//  1. A replica that takes no connection, or is silent for longer than timeouts.go
 //     allows, is ejected at once by the daemon that saw it.
 //  2. Any other failure ejects it if the fleet counted at least leastFailures and
 //     they are at least failureShare of all results. One daemon sees some 1.6 requests a
--- a/coordination/routing/place.go
+++ b/coordination/routing/place.go
@@ -10,14 +10,14 @@
 //     compute the same order. The first replica is the prompt's home, which requests with this
 //     prompt prefer so that they find it in the cache. A prompt may have several homes (rule 3).
 //  2. A replica is too loaded if it has more requests in flight than loadBound times the
-//     service's mean plus loadSlack, or if it is overloaded by its own report (crowd.go).
+//     service's mean plus loadSlack, or if it is overloaded by its own report (overload.go).
 //  3. A prompt of up to shortPromptTokens shared tokens has several homes. In a small fleet these
 //     are the first replica of the order in each failure domain, and the one in the daemon's own
 //     domain gets the request if it is not too loaded. In a large fleet they are the first two of
 //     the order: the one with fewer requests in flight gets the request if it is not too loaded;
 //     in a tie it is the one in the daemon's own domain, or else the first. A prompt of any
 //     length that needs more homes than the usual number has the first replicas of the order as
-//     homes (crowd.go). Two of these are drawn by the request's id, and the one with fewer
+//     homes (overload.go). Two of these are drawn by the request's id, and the one with fewer
 //     requests in flight gets the request if it is not too loaded.
 //  4. Otherwise the first replica that holds the prompt and is not too loaded gets the request.
 //  5. Otherwise the first of the leading maxOrderTries replicas of the order that is not too
@@ -154,7 +154,7 @@
 	base := c.baseHomes(short, v.LargeFleet)
 	homes := p.Overloads.homes(key, base, now)
 	if !short && homes == base {
-		clear(c.overloaded) // rule 2 of crowd.go
+		clear(c.overloaded) // rule 2 of overload.go
 	}
 	chosen := noReplica
 	switch {
--- a/coordination/routing/retry.go
+++ b/coordination/routing/retry.go
@@ -149,7 +149,7 @@
 }
 
 // ReserveWithGrant is like [Attempts.ReserveRetry], with what other daemons granted for this retry
-// (loan.go).
+// (transfer.go).
 func (a *Attempts) ReserveWithGrant(b *RetryBudgets, s ServiceName, grant Retries, now time.Time) bool {
 	if !a.reserved {
 		a.reserved = a.attemptsLeft() && b.SpendWithGrant(s, grant, now)
--- a/coordination/routing/silence.go
+++ b/coordination/routing/silence.go
@@ -6,7 +6,7 @@
 // of other daemons, which every daemon passes on once. The rule:
 //
 //  1. A daemon reports a replica that took no connection, or that was silent for
-//     unresponsiveTimeout (giveup.go). A request that goes elsewhere sooner reports nothing:
+//     unresponsiveTimeout (timeouts.go). A request that goes elsewhere sooner reports nothing:
 //     a replica that is only busy keeps some waiting that long, and if all daemons then
 //     left it the others of a small service would be the next.
 //  2. A report names the replica, the daemon that met the silence, and its age. Of two
--- a/daemon/routes/loans.go
+++ b/daemon/routes/loans.go
@@ -1,5 +1,5 @@
 // This file is the part of the control loop that borrows retries of other daemons, and lends
-// them. How much, and when, is decided in coordination/routing/loan.go.
+// them. How much, and when, is decided in coordination/routing/transfer.go.
 
 package routes
 
--- a/daemon/routes/reports.go
+++ b/daemon/routes/reports.go
@@ -1,5 +1,5 @@
 // This file is the part of the control loop that passes reports on to other daemons: which
-// replicas are silent (coordination/routing/silence.go), which are crowded (crowd.go), under
+// replicas are silent (coordination/routing/silence.go), which are crowded (overload.go), under
 // which requests replicas end (crash.go), of which ends that is not true (lives.go), and which
 // replicas leave by their own word (leaving.go). They are rare, and go out as datagrams of their own.
 
--- a/internal/soak/plants_test.go
+++ b/internal/soak/plants_test.go
@@ -53,7 +53,7 @@
 		text: "if !e.evacuated[r.Domain] {", instead: "if r.ID != \"\" || !e.evacuated[r.Domain] {"},
 	{name: "takes cold replicas for warm ones", promise: "FAILBACK", file: "coordination/routing/cold.go",
 		text: "return now.Before(r.ColdUntil)", instead: "return now.Before(r.ColdUntil) && r.ID == \"\""},
-	{name: "does not see crowded replicas", promise: "LIMIT", file: "coordination/routing/crowd.go",
+	{name: "does not see crowded replicas", promise: "LIMIT", file: "coordination/routing/overload.go",
 		text: "|| float64(inFlight) <= limit {", instead: "|| float64(inFlight) >= 0 {", steady: true},
 	{name: "does not share what replicas end under", promise: "BUDGET", file: "daemon/routes/peers.go",
 		text: "case gossip.IsCrashes(payload):", instead: "case gossip.IsCrashes(payload) && len(payload) == 0:"},
