--- a/coordination/routing/config.go
+++ b/coordination/routing/config.go
@@ -42,7 +42,7 @@
 	AtMostOnce Kind = iota
 	// Idempotent is a request that may run more than once.
 	Idempotent
-	// Stream is a request that is answered by a stream of events. It runs at most once unless its
+	// Stream is a request whose response is a stream of events. It runs at most once unless its
 	// route is resumable.
 	Stream
 )
--- a/coordination/routing/replicas_test.go
+++ b/coordination/routing/replicas_test.go
@@ -25,7 +25,7 @@
 			for range rapid.IntRange(0, 6).Draw(t, "changes") {
 				r := routing.NewReplica(routing.Replica{
 					ID: routing.ReplicaID(fmt.Sprint("r", rapid.IntRange(0, 12).Draw(t, "id"))), Service: "s",
-					StartTime: routing.StartTime(rapid.IntRange(0, 3).Draw(t, "born")), Draining: rapid.Bool().Draw(t, "draining"),
+					StartTime: routing.StartTime(rapid.IntRange(0, 3).Draw(t, "start time")), Draining: rapid.Bool().Draw(t, "draining"),
 				})
 				if rapid.IntRange(0, 2).Draw(t, "removed") == 0 {
 					list.Remove(r.ID)
--- a/coordination/routing/retry_test.go
+++ b/coordination/routing/retry_test.go
@@ -40,8 +40,8 @@
 	return a.MaySend(routing.NewRetryBudgets(rule, 1), "s", now), a.Outcome
 }
 
-// answerBroken is the outcome of an earlier attempt that may have run.
-var answerBroken = coordination.MayHaveRun{Reason: coordination.ReasonBrokenAnswer}
+// brokenResponse is the outcome of an earlier attempt that may have run.
+var brokenResponse = coordination.MayHaveRun{Reason: coordination.ReasonBrokenAnswer}
 
 func outcomeText(o coordination.Outcome) string {
 	switch o := o.(type) {
@@ -61,7 +61,7 @@
 	none := coordination.NotRun{Reason: coordination.ReasonNoUpstream, RetryAfter: routing.RetryAfter}
 	for _, route := range []routing.Route{{Name: "once"}, {Name: "repeatable", Kind: routing.Idempotent}, {Name: "stream", Kind: routing.Stream}, {Name: "resumable", Kind: routing.Stream, Resumable: true}} {
 		for _, route.MaxAttempts = range []int{1, 2} {
-			for _, earlier := range []coordination.Outcome{none, answerBroken} {
+			for _, earlier := range []coordination.Outcome{none, brokenResponse} {
 				for _, outcome := range []coordination.Outcome{coordination.NotRun{Reason: coordination.ReasonConnect}, coordination.MayHaveRun{Reason: coordination.ReasonNoAnswer}} {
 					for _, begun := range both {
 						for sent := range 3 {
@@ -119,9 +119,9 @@
 		if got, ok := a.Outcome.(coordination.NotRun); !ok || got.Reason != c.want || got.RetryAfter <= 0 {
 			t.Errorf("%s: outcome %s, want %s", c.name, outcomeText(a.Outcome), c.want)
 		}
-		a.Outcome = answerBroken
+		a.Outcome = brokenResponse
 		a.RecordNoReplica(placer.WhyNone(v, &routing.Request{Service: "s"}, epoch))
-		if a.Outcome != coordination.Outcome(answerBroken) {
+		if a.Outcome != coordination.Outcome(brokenResponse) {
 			t.Errorf("%s: outcome of a request that may have run changed to %s", c.name, outcomeText(a.Outcome))
 		}
 	}
