--- a/coordination/routing/budget.go
+++ b/coordination/routing/budget.go
@@ -4,7 +4,7 @@
 // number of daemons. Within a window, a daemon may spend budgetShare times the ratio of its own
 // requests, plus an equal share of the fleet's extra retries. The shares add up to less than the
 // fleet-wide limit whatever the daemons know of each other. Where a share is only a retry or two,
-// daemons transfer retries to each other (loan.go).
+// daemons transfer retries to each other (transfer.go).
 
 package routing
 
@@ -74,17 +74,15 @@
 }
 
 // SpendRetry reports whether one retry is allowed, and counts it if so.
-func (b *RetryBudgets) SpendRetry(s ServiceName, now time.Time) bool {
-	return b.SpendWithTransfer(s, 0, now)
-}
+func (b *RetryBudgets) SpendRetry(s ServiceName, t time.Time) bool { return b.SpendWithGrant(s, 0, t) }
 
-// SpendWithTransfer is like [RetryBudgets.SpendRetry], but takes from the budget only what a
-// transfer for this retry doesn't cover.
-func (b *RetryBudgets) SpendWithTransfer(s ServiceName, transfer Retries, now time.Time) bool {
+// SpendWithGrant is like [RetryBudgets.SpendRetry], but takes from the budget only what the
+// grant of other daemons for this retry does not cover.
+func (b *RetryBudgets) SpendWithGrant(s ServiceName, grant Retries, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(s, now)
-	own := max(0, 1-transfer)
+	own := max(0, 1-grant)
 	if own > b.remaining(w) {
 		return false
 	}
--- a/coordination/routing/eject.go
+++ b/coordination/routing/eject.go
@@ -6,7 +6,7 @@
 // its peers. Health checks of the replicas are not used: a check takes a slot, and a replica can
 // fail requests while its check succeeds. The rule:
 //
-//  1. A replica that refuses a connection, or is silent for longer than giveup.go allows, is
+//  1. A replica that refuses a connection, or is silent for longer than timeouts.go allows, is
 //     ejected at once by the daemon that saw it.
 //  2. Any other failure ejects it if the fleet counted at least minFailures failures and they are
 //     at least minFailureRatio of all results. One daemon sees about 1.6 requests a second at one
--- a/coordination/routing/retry_test.go
+++ b/coordination/routing/retry_test.go
@@ -13,13 +13,13 @@
 
 // retryCase is one combination of the inputs of the retry decision.
 type retryCase struct {
-	route    routing.Route
-	earlier  coordination.Outcome // of the earlier attempts
-	outcome  coordination.Outcome // of the attempt that has just failed
-	begun    bool                 // the caller has received the first bytes of a response
-	sent     int                  // replicas that the request was written to
-	budget   bool                 // the retry budget has capacity
-	timeLeft bool
+	route           routing.Route
+	earlier         coordination.Outcome // of the earlier attempts
+	outcome         coordination.Outcome // of the attempt that has just failed
+	responseStarted bool                 // the caller has received the first bytes of a response
+	sent            int                  // replicas that the request was written to
+	budget          bool                 // the retry budget has capacity
+	timeLeft        bool
 }
 
 // decide evaluates the retry rules for a case, in the order in which the relay does.
@@ -33,15 +33,15 @@
 	if c.budget {
 		rule.Extra = 100
 	}
-	a := routing.Attempts{Route: &c.route, ResponseStarted: c.begun, Sent: c.sent, Outcome: c.earlier}
+	a := routing.Attempts{Route: &c.route, ResponseStarted: c.responseStarted, Sent: c.sent, Outcome: c.earlier}
 	if !a.RecordFailure(c.outcome) || !a.InTime(deadline, now) {
 		return false, a.Outcome
 	}
 	return a.MaySend(routing.NewRetryBudgets(rule, 1), "s", now), a.Outcome
 }
 
-// answerBroken is the outcome of an earlier attempt that may have run.
-var answerBroken = coordination.MayHaveRun{Reason: coordination.ReasonBrokenAnswer}
+// brokenResponse is the outcome of an earlier attempt that may have run.
+var brokenResponse = coordination.MayHaveRun{Reason: coordination.ReasonBrokenAnswer}
 
 func outcomeText(o coordination.Outcome) string {
 	switch o := o.(type) {
@@ -61,7 +61,7 @@
 	none := coordination.NotRun{Reason: coordination.ReasonNoUpstream, RetryAfter: routing.RetryAfter}
 	for _, route := range []routing.Route{{Name: "once"}, {Name: "repeatable", Kind: routing.Idempotent}, {Name: "stream", Kind: routing.Stream}, {Name: "resumable", Kind: routing.Stream, Resumable: true}} {
 		for _, route.MaxAttempts = range []int{1, 2} {
-			for _, earlier := range []coordination.Outcome{none, answerBroken} {
+			for _, earlier := range []coordination.Outcome{none, brokenResponse} {
 				for _, outcome := range []coordination.Outcome{coordination.NotRun{Reason: coordination.ReasonConnect}, coordination.MayHaveRun{Reason: coordination.ReasonNoAnswer}} {
 					for _, begun := range both {
 						for sent := range 3 {
@@ -81,7 +81,7 @@
 
 func (c retryCase) String() string {
 	return fmt.Sprintf("%s attempts=%d/%d earlier=%s now=%s begun=%t budget=%t time=%t",
-		c.route.Name, c.sent, c.route.MaxAttempts, outcomeText(c.earlier), outcomeText(c.outcome), c.begun, c.budget, c.timeLeft)
+		c.route.Name, c.sent, c.route.MaxAttempts, outcomeText(c.earlier), outcomeText(c.outcome), c.responseStarted, c.budget, c.timeLeft)
 }
 
 // TestRetryDecision compares the decision for every combination, one per line, with the golden
@@ -119,9 +119,9 @@
 		if got, ok := a.Outcome.(coordination.NotRun); !ok || got.Reason != c.want || got.RetryAfter <= 0 {
 			t.Errorf("%s: outcome %s, want %s", c.name, outcomeText(a.Outcome), c.want)
 		}
-		a.Outcome = answerBroken
+		a.Outcome = brokenResponse
 		a.RecordNoReplica(placer.NoReplicaReason(v, &routing.Request{Service: "s"}, epoch))
-		if a.Outcome != coordination.Outcome(answerBroken) {
+		if a.Outcome != coordination.Outcome(brokenResponse) {
 			t.Errorf("%s: outcome of a request that may have run changed to %s", c.name, outcomeText(a.Outcome))
 		}
 	}
--- a/coordination/routing/silence.go
+++ b/coordination/routing/silence.go
@@ -6,7 +6,7 @@
 // daemons, each of which every daemon forwards once. The rule:
 //
 //  1. A daemon reports a replica that accepted no connection, or that was silent for blameTimeout
-//     (giveup.go). A request that is retried elsewhere sooner reports nothing: a replica that is
+//     (timeouts.go). A request that is retried elsewhere sooner reports nothing: a replica that is
 //     merely busy keeps some requests waiting that long, and if all daemons then avoided it, the
 //     other replicas of a small service would be overloaded next.
 //  2. A report names the replica, the daemon that met the silence, and its age. Of two reports
--- a/daemon/routes/loans.go
+++ b/daemon/routes/loans.go
@@ -1,5 +1,5 @@
 // This file is the part of the control loop that transfers retry budget between daemons: it requests
-// retries from others and grants theirs. coordination/routing/loan.go decides when and how much.
+// retries from others and grants theirs. coordination/routing/transfer.go decides when and how much.
 
 package routes
 
