--- a/daemon/routes/log.go
+++ b/daemon/routes/log.go
@@ -193,9 +193,9 @@
 	l.logger.Warn().Str("domain", string(d)).Bool("evacuated", begun).Uint64("revision", uint64(at)).Msg(prefixControl + text)
 }
 
-// HeldBack says that requests of a content are not sent any more because replicas end under
+// Quarantined says that requests of a content are not sent any more because replicas end under
 // them.
-func (l *Log) HeldBack(content routing.ContentKey) {
+func (l *Log) Quarantined(content routing.ContentKey) {
 	l.timeline.Record(coordination.EventAttemptFailed, content.String(), "", "requests are held back: replicas end under them")
 	l.metrics.ContentsHeld.Inc(1)
 	l.logger.Warn().Str("content", content.String()).Msg(prefixRequest + "held back from now on; replicas end under it")
--- a/daemon/routes/log_replicas.go
+++ b/daemon/routes/log_replicas.go
@@ -59,8 +59,8 @@
 	l.logger.Warn().Str("replica", string(r.ID)).Str("request", string(c.ID)).AnErr("cause", cause).Msg(prefixReplica + "ejected for a while")
 }
 
-// EndedUnder says that a replica ended while it had a request.
-func (l *Log) EndedUnder(r *routing.Replica, c *relay.Call) {
+// CrashedDuring says that a replica ended while it had a request.
+func (l *Log) CrashedDuring(r *routing.Replica, c *relay.Call) {
 	l.metrics.EndedUnder.Inc(1)
 	l.logger.Warn().Str("replica", string(r.ID)).Str("request", string(c.ID)).Str("content", c.Content.String()).
 		Str("workspace", string(c.Workspace)).Str("route", c.Route.Name).Msg(prefixReplica + "ended while it had a request")
@@ -72,9 +72,9 @@
 	l.logger.Info().Str("replica", string(id)).Msg(prefixReplica + "has not ended; it answers other daemons on connections from before")
 }
 
-// Crowded says that a replica holds too much and is avoided for a moment, and that the prompt
+// Overloaded says that a replica holds too much and is avoided for a moment, and that the prompt
 // of a request may get more homes.
-func (l *Log) Crowded(r *routing.Replica, c *relay.Call, load relay.ReportedLoad) {
+func (l *Log) Overloaded(r *routing.Replica, c *relay.Call, load relay.ReportedLoad) {
 	l.metrics.Crowded.Inc(1)
 	l.logger.Info().Str("replica", string(r.ID)).Str("request", string(c.ID)).Str("prompt", strconv.FormatUint(c.Key(), 36)).
 		Int("reported_load", reportedLoad(load)).Msg(prefixReplica + "crowded; avoided for a moment")
@@ -100,9 +100,9 @@
 	}
 }
 
-// Rests says that a replica asked for rest and gets nothing from this daemon for a while. One
+// BackoffRequested says that a replica asked for rest and gets nothing from this daemon for a while. One
 // that asks again meanwhile has no further line.
-func (l *Log) Rests(r *routing.Replica, c *relay.Call, left time.Duration) {
+func (l *Log) BackoffRequested(r *routing.Replica, c *relay.Call, left time.Duration) {
 	l.timeline.Record(coordination.EventUpstreamState, string(r.ID), state.RequestID(c.ID), "asked for %s of rest", left.Round(time.Millisecond))
 	l.metrics.Resting.Inc(1)
 	l.logger.Info().Str("replica", string(r.ID)).Str("request", string(c.ID)).Int64("rest_ms", left.Milliseconds()).Msg(prefixReplica + "asked for rest; it gets nothing from this daemon for so long")
@@ -114,8 +114,8 @@
 	l.logger.Warn().Str("replica", string(id)).Msg(prefixReplica + "rest was lifted by an operator")
 }
 
-// Leaves says that a replica said in an answer that it leaves.
-func (l *Log) Leaves(r *routing.Replica, c *relay.Call) {
+// DepartureAnnounced says that a replica said in an answer that it leaves.
+func (l *Log) DepartureAnnounced(r *routing.Replica, c *relay.Call) {
 	l.timeline.Record(coordination.EventUpstreamState, string(r.ID), state.RequestID(c.ID), "says that it leaves")
 	l.logger.Info().Str("replica", string(r.ID)).Str("request", string(c.ID)).Int64("born", int64(r.Born)).Msg(prefixReplica + "says in an answer that it leaves; it gets nothing more")
 }
--- a/daemon/routes/reports.go
+++ b/daemon/routes/reports.go
@@ -95,7 +95,7 @@
 	reports = c.health.Believable(reports, now)
 	c.health.ReportEnds(reports, now)
 	for _, content := range c.crashes.Observe(reports, now) {
-		c.log.HeldBack(content)
+		c.log.Quarantined(content)
 	}
 }
 
--- a/transport/relay/call.go
+++ b/transport/relay/call.go
@@ -116,19 +116,19 @@
 	Finished(c *Call, s *Summary)
 	// Ejected is called when a replica is ejected: it gets no requests for a while.
 	Ejected(r *routing.Replica, c *Call, cause error)
-	// EndedUnder is called when a replica crashed while it had the request.
-	EndedUnder(r *routing.Replica, c *Call)
-	// HeldBack is called when a content is quarantined: its requests are not sent any more.
-	HeldBack(content routing.ContentKey)
+	// CrashedDuring is called when a replica crashed while it had the request.
+	CrashedDuring(r *routing.Replica, c *Call)
+	// Quarantined is called when a content is quarantined: its requests are not sent any more.
+	Quarantined(content routing.ContentKey)
 	// SelfReported is called with what a replica reported about itself in a response.
 	SelfReported(r *routing.Replica, c *Call, report SelfReport)
-	// Rests is called when a replica that was not backing off requested a backoff: it gets no
-	// requests from this daemon for the time that is left.
-	Rests(r *routing.Replica, c *Call, left time.Duration)
-	// Leaves is called when a replica first announced its departure.
-	Leaves(r *routing.Replica, c *Call)
+	// BackoffRequested is called when a replica that was not backing off requested a backoff: it
+	// gets no requests from this daemon for the time that is left.
+	BackoffRequested(r *routing.Replica, c *Call, left time.Duration)
+	// DepartureAnnounced is called when a replica first announced its departure.
+	DepartureAnnounced(r *routing.Replica, c *Call)
 	// Replaced is called when another replica first responded at a replica's address.
 	Replaced(r *routing.Replica, c *Call)
-	// Crowded is called when a replica is overloaded by its own report.
-	Crowded(r *routing.Replica, c *Call, l ReportedLoad)
+	// Overloaded is called when a replica is overloaded by its own report.
+	Overloaded(r *routing.Replica, c *Call, l ReportedLoad)
 }
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -154,10 +154,10 @@
 	if !s.Pool.hasTerminated(ctx, r, s.View().ConnectionLimit(s.call.Service), now) {
 		return
 	}
-	s.Observer.EndedUnder(r, s.call)
+	s.Observer.CrashedDuring(r, s.call)
 	s.Placer.Health.ReportEnd(r, now)
 	if s.Crashes.ReportEnd(s.call.Content, s.call.Workspace, r, now) {
-		s.Observer.HeldBack(s.call.Content)
+		s.Observer.Quarantined(s.call.Content)
 	}
 }
 
@@ -263,10 +263,10 @@
 	a.Rest, a.Leaving = max(a.Rest, report.Backoff), a.Leaving || report.Leaving
 	s.Observer.SelfReported(r, s.call, report)
 	if left, isNew := s.Placer.Rests.Ask(r, report.Backoff, s.call.ID, now); isNew {
-		s.Observer.Rests(r, s.call, left)
+		s.Observer.BackoffRequested(r, s.call, left)
 	}
 	if report.Leaving && s.Placer.Leavings.Say(r, now) {
-		s.Observer.Leaves(r, s.call)
+		s.Observer.DepartureAnnounced(r, s.call)
 	}
 }
 
@@ -274,7 +274,7 @@
 func (s *activeCall) recordLoad(t *routing.Target, a *Attempt, l ReportedLoad) {
 	a.Reported = l
 	if l.Known && s.Placer.ReportLoad(&s.call.Request, t, max(0, l.Requests-1), clock.Now()) {
-		s.Observer.Crowded(&t.Replica, s.call, l)
+		s.Observer.Overloaded(&t.Replica, s.call, l)
 	}
 }
 
--- a/transport/relay/replica_test.go
+++ b/transport/relay/replica_test.go
@@ -222,9 +222,9 @@
 
 func (n *recordingObserver) SelfReported(*routing.Replica, *relay.Call, relay.SelfReport) {}
 
-func (n *recordingObserver) Rests(*routing.Replica, *relay.Call, time.Duration) {}
-func (n *recordingObserver) Leaves(*routing.Replica, *relay.Call)               {}
-func (n *recordingObserver) Replaced(*routing.Replica, *relay.Call)             {}
+func (n *recordingObserver) BackoffRequested(*routing.Replica, *relay.Call, time.Duration) {}
+func (n *recordingObserver) DepartureAnnounced(*routing.Replica, *relay.Call)              {}
+func (n *recordingObserver) Replaced(*routing.Replica, *relay.Call)                        {}
 
 func (n *recordingObserver) Ejected(r *routing.Replica, _ *relay.Call, _ error) {
 	n.mu.Lock()
@@ -232,19 +232,19 @@
 	n.ejected = append(n.ejected, r.ID)
 }
 
-func (n *recordingObserver) Crowded(r *routing.Replica, _ *relay.Call, _ relay.ReportedLoad) {
+func (n *recordingObserver) Overloaded(r *routing.Replica, _ *relay.Call, _ relay.ReportedLoad) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.overloaded = append(n.overloaded, r.ID)
 }
 
-func (n *recordingObserver) EndedUnder(_ *routing.Replica, c *relay.Call) {
+func (n *recordingObserver) CrashedDuring(_ *routing.Replica, c *relay.Call) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.crashedDuring = append(n.crashedDuring, c.ID)
 }
 
-func (n *recordingObserver) HeldBack(c routing.ContentKey) {
+func (n *recordingObserver) Quarantined(c routing.ContentKey) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.quarantined = append(n.quarantined, c)
