--- a/daemon/routes/daemon.go
+++ b/daemon/routes/daemon.go
@@ -153,7 +153,7 @@
 		syncs:      syncs{fetch: d.peers.fetch, newer: make(map[membership.Address]newerPeer)},
 		events:     make(chan event, eventQueue),
 		configured: make(chan struct{}),
-		openSince:  d.pool.OpenSince,
+		openSince:  d.pool.OldestOpenConn,
 	}
 }
 
--- a/daemon/routes/log.go
+++ b/daemon/routes/log.go
@@ -244,7 +244,7 @@
 		e = l.logger.Warn()
 	}
 	e.Str("request", string(c.ID)).Str("content", c.Content.String()).Str("route", c.Route.Name).Str("outcome", coordination.OutcomeName(s.Outcome)).
-		Str("reason", reasonOf(s.Outcome)).Int("status", s.Status).Bool("gone", s.Gone).Int("events", s.Events).
+		Str("reason", reasonOf(s.Outcome)).Int("status", s.Status).Bool("gone", s.CallerGone).Int("events", s.Events).
 		Int64("first_ms", s.FirstByte.Milliseconds()).Int64("total_ms", s.Total.Milliseconds()).
 		Uint64("revision", uint64(s.Position.Revision)).Uint64("era", uint64(s.Position.Era))
 	if len(c.Prompt) > 0 {
@@ -252,10 +252,10 @@
 	}
 	for i := range s.Attempts {
 		a := &s.Attempts[i]
-		e.Str("replica", string(a.Replica)).Int("rank", a.Rank).Bool("cold", a.Cold).Str("copied", string(a.Copied)).Int("load", a.Load).
-			Float64("mean", float64(int(a.Mean*10))/10).
-			Float64("coverage", float64(int(a.Coverage*100))/100).Int("reported_load", reportedLoad(a.Reported)).
-			Int64("rest_ms", a.Rest.Milliseconds()).Bool("leaving", a.Leaving).Bool("reused", a.Reused).Int64("ms", a.Duration.Milliseconds()).AnErr("error", a.Err)
+		e.Str("replica", string(a.Replica)).Int("rank", a.Rank).Bool("cold", a.Cold).Str("copied", string(a.PromptSource)).Int("load", a.Load).
+			Float64("mean", float64(int(a.MeanLoad*10))/10).
+			Float64("coverage", float64(int(a.LoadCoverage*100))/100).Int("reported_load", reportedLoad(a.Reported)).
+			Int64("rest_ms", a.Backoff.Milliseconds()).Bool("leaving", a.Leaving).Bool("reused", a.Reused).Int64("ms", a.Duration.Milliseconds()).AnErr("error", a.Err)
 	}
 	e.Msg(prefixRequest + "ended")
 }
--- a/daemon/routes/metrics.go
+++ b/daemon/routes/metrics.go
@@ -143,7 +143,7 @@
 	if reasonOf(s.Outcome) == string(coordination.ReasonResting) {
 		m.AllResting.Inc(1)
 	}
-	if s.Gone {
+	if s.CallerGone {
 		m.CallerGone.Inc(1)
 	}
 	if s.FirstByte > 0 {
@@ -158,7 +158,7 @@
 		if t.Rank > 0 {
 			m.Spilled.Inc(1)
 		}
-		if t.Copied != "" {
+		if t.PromptSource != "" {
 			m.Copied.Inc(1)
 		}
 		if !t.Reused {
@@ -166,7 +166,7 @@
 		}
 		if t.Reported.Known {
 			m.LoadMissed.Update(int64(max(0, t.Reported.Requests-1-t.Load)))
-			m.Coverage.Update(int64(percent * t.Coverage))
+			m.Coverage.Update(int64(percent * t.LoadCoverage))
 		}
 	}
 }
--- a/transport/relay/answer.go
+++ b/transport/relay/answer.go
@@ -80,7 +80,7 @@
 	s.attempts.Begun = true
 	s.summary.Status = status
 	s.summary.FirstByte = clock.Since(s.call.Arrived)
-	if err := s.sink.Answer(status, h, body); err != nil && ctx.Err() == nil {
+	if err := s.sink.Respond(status, h, body); err != nil && ctx.Err() == nil {
 		return &failure{outcome: mayHaveRun, result: routing.ResultGood, err: eris.Wrap(err, "write response")}
 	}
 	return nil
@@ -90,7 +90,7 @@
 // so that a stream that breaks before it can still be refused with an error status.
 func (s *activeCall) forwardStream(ctx context.Context, x *exchange, t *routing.Target) *failure {
 	if s.events == nil {
-		s.events = newEventReader(s.call.LastEvent)
+		s.events = newEventReader(s.call.LastEventID)
 	}
 	s.events.reset()
 	buf := make([]byte, streamReadBytes)
--- a/transport/relay/call.go
+++ b/transport/relay/call.go
@@ -14,30 +14,30 @@
 // Call is one request of a caller, read completely.
 type Call struct {
 	routing.Request
-	Method    string
-	Target    string // path and query, as the caller sent them
-	Host      string
-	Header    http.Header // header fields to forward to the replica
-	Body      []byte
-	Workspace routing.WorkspaceName
-	LastEvent string // id of the last event that the caller received; empty: from the start
+	Method      string
+	Target      string // path and query, as the caller sent them
+	Host        string
+	Header      http.Header // header fields to forward to the replica
+	Body        []byte
+	Workspace   routing.WorkspaceName
+	LastEventID string // id of the last event that the caller received; empty: from the start
 }
 
 // RequestHead holds what one attempt adds to the call's header fields.
 type RequestHead struct {
-	Replica   *routing.Replica
-	Source    string        // address of the replica to copy the prompt from; empty: none
-	Left      time.Duration // until the deadline
-	LastEvent string        // id of the event after which the stream starts; empty: from the beginning
+	Replica      *routing.Replica
+	PromptSource string        // address of the replica to copy the prompt from; empty: none
+	Remaining    time.Duration // until the deadline
+	LastEventID  string        // id of the event after which the stream starts; empty: from the beginning
 }
 
 // ResponseHead is the parsed header of a replica's response.
 type ResponseHead struct {
-	Request    routing.RequestID // id of the request that it responds to; empty: not given
-	Sealed     bool              // the response carries the replica's seal
-	NotRun     bool              // the replica states that it did not run the request
-	Encoded    bool              // the body has a content encoding
-	SelfReport SelfReport
+	RequestID   routing.RequestID // id of the request that it responds to; empty: not given
+	Sealed      bool              // the response carries the replica's seal
+	NotExecuted bool              // the replica states that it did not run the request
+	Encoded     bool              // the body has a content encoding
+	SelfReport  SelfReport
 }
 
 // SelfReport is what a replica reports about itself in the header of a response, whatever the
@@ -69,45 +69,45 @@
 
 // Sink writes the response to the caller. Its methods are called by one goroutine.
 type Sink interface {
-	// Answer writes a complete response.
-	Answer(status int, h http.Header, body []byte) error
+	// Respond writes a complete response.
+	Respond(status int, h http.Header, body []byte) error
 	// Begin gives the header of a streamed response. It is called once, before Write.
 	Begin(status int, h http.Header) error
 	// Write writes a part of a streamed response and flushes it.
 	Write(p []byte) error
-	// Refuse writes the error response to a request for which there is no replica's response.
-	Refuse(o coordination.Outcome)
+	// Reject writes the error response to a request for which there is no replica's response.
+	Reject(o coordination.Outcome)
 	// Abort ends the response in a way that the caller can't take for its regular end.
 	Abort()
 }
 
 // Attempt describes one attempt at a replica.
 type Attempt struct {
-	Replica  routing.ReplicaID
-	Rank     int               // position of the replica in the prompt's order of preference
-	Cold     bool              // the replica was cold when it was chosen
-	Copied   routing.ReplicaID // replica that the prompt is copied from; empty: none
-	Load     int               // of the replica when it was chosen, as estimated by this daemon, in requests
-	Mean     float64           // mean load of the service's replicas, in requests
-	Coverage float64           // fraction of the fleet's daemons whose load is included in Load and Mean
-	Reported ReportedLoad      // load that the replica reported; Load is the estimate of it
-	Rest     time.Duration     // backoff that the replica requested; 0: none
-	Leaving  bool              // the replica announced its departure
-	Reused   bool              // the connection was used before
-	Err      error             // nil: the caller has the complete response
-	Duration time.Duration
+	Replica      routing.ReplicaID
+	Rank         int               // position of the replica in the prompt's order of preference
+	Cold         bool              // the replica was cold when it was chosen
+	PromptSource routing.ReplicaID // replica that the prompt is copied from; empty: none
+	Load         int               // of the replica when it was chosen, as estimated by this daemon, in requests
+	MeanLoad     float64           // mean load of the service's replicas, in requests
+	LoadCoverage float64           // fraction of the fleet's daemons whose load is included in Load and Mean
+	Reported     ReportedLoad      // load that the replica reported; Load is the estimate of it
+	Backoff      time.Duration     // backoff that the replica requested; 0: none
+	Leaving      bool              // the replica announced its departure
+	Reused       bool              // the connection was used before
+	Err          error             // nil: the caller has the complete response
+	Duration     time.Duration
 }
 
 // Summary describes how a call ended.
 type Summary struct {
-	Outcome   coordination.Outcome
-	Status    int // 0: none
-	Attempts  []Attempt
-	FirstByte time.Duration // 0: none
-	Total     time.Duration
-	Events    int
-	Gone      bool          // the caller disconnected
-	Position  feed.Position // of the documents that the last attempt's routing was based on
+	Outcome    coordination.Outcome
+	Status     int // 0: none
+	Attempts   []Attempt
+	FirstByte  time.Duration // 0: none
+	Total      time.Duration
+	Events     int
+	CallerGone bool          // the caller disconnected
+	Position   feed.Position // of the documents that the last attempt's routing was based on
 }
 
 // Observer is notified of events, for logs and metrics. Its methods must not block.
--- a/transport/relay/exchange.go
+++ b/transport/relay/exchange.go
@@ -162,7 +162,7 @@
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
-		if x.head.Request == x.call.ID {
+		if x.head.RequestID == x.call.ID {
 			return x.checkResponse()
 		}
 		x.conn.idleTimeout = -1
@@ -178,14 +178,14 @@
 
 // hasResponse reports whether the addressed replica has responded to the request, with any status.
 func (x *exchange) hasResponse() bool {
-	return x.response != nil && x.head.Request == x.call.ID && x.response.StatusCode != http.StatusMisdirectedRequest
+	return x.response != nil && x.head.RequestID == x.call.ID && x.response.StatusCode != http.StatusMisdirectedRequest
 }
 
 // checkResponse returns nil if the response can be forwarded, and the failure otherwise.
 func (x *exchange) checkResponse() *failure {
 	status := x.response.StatusCode
 	switch {
-	case x.head.NotRun:
+	case x.head.NotExecuted:
 		_, err := io.CopyN(io.Discard, x.response.Body, maxRejectionBytes)
 		x.releaseConn(errors.Is(err, io.EOF), clock.Now())
 		// A requested backoff (coordination/routing/resting.go) does not count as a failure.
--- a/transport/relay/lives_test.go
+++ b/transport/relay/lives_test.go
@@ -56,11 +56,11 @@
 	t.Cleanup(func() { r.crash() })
 	w := newFixture(atMostOnce, r)
 	before := time.Now()
-	if _, ok := w.relay.Pool.OpenSince(r.Incarnation()); ok {
+	if _, ok := w.relay.Pool.OldestOpenConn(r.Incarnation()); ok {
 		t.Error("there is an open connection before the first request")
 	}
 	w.serve(w.call("a", "POST", "x"))
-	opened, ok := w.relay.Pool.OpenSince(r.Incarnation())
+	opened, ok := w.relay.Pool.OldestOpenConn(r.Incarnation())
 	if !ok || opened.Before(before) || opened.After(time.Now()) {
 		t.Errorf("opened at %v, found %t, want a time since the start of the test", opened, ok)
 	}
@@ -68,5 +68,5 @@
 		t.Error("the connection was not reused")
 	}
 	r.crash()
-	Eventually(func() bool { _, ok := w.relay.Pool.OpenSince(r.Incarnation()); return ok }).Should(BeFalse())
+	Eventually(func() bool { _, ok := w.relay.Pool.OldestOpenConn(r.Incarnation()); return ok }).Should(BeFalse())
 }
--- a/transport/relay/pool.go
+++ b/transport/relay/pool.go
@@ -225,9 +225,9 @@
 	}
 }
 
-// OpenSince returns when the oldest idle connection to a replica that is still open was opened. It
-// returns false if there is none.
-func (p *Pool) OpenSince(id routing.Incarnation) (time.Time, bool) {
+// OldestOpenConn returns the time at which the oldest idle connection to a replica that is still
+// open was opened. It returns false if there is none.
+func (p *Pool) OldestOpenConn(id routing.Incarnation) (time.Time, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var oldest time.Time
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -106,8 +106,8 @@
 // the attempt to the summary.
 func (s *activeCall) sendAndRecord(ctx context.Context, t *routing.Target, begun time.Time) *failure {
 	a := Attempt{
-		Replica: t.Replica.ID, Rank: t.Rank, Cold: t.Replica.IsCold(begun), Copied: t.Source.ID,
-		Load: t.Load, Mean: t.Mean, Coverage: t.Coverage,
+		Replica: t.Replica.ID, Rank: t.Rank, Cold: t.Replica.IsCold(begun), PromptSource: t.Source.ID,
+		Load: t.Load, MeanLoad: t.Mean, LoadCoverage: t.Coverage,
 	}
 	key := t.Replica.LoadKey()
 	s.Placer.Loads.Begin(key)
@@ -210,8 +210,8 @@
 		s.Budgets.CountRequest(s.call.Service, now)
 	}
 	f := x.writeRequest(ctx, RequestHead{
-		Replica: &t.Replica, Source: t.Source.Address,
-		Left: clock.Until(s.call.Deadline) - routing.ReturnMargin, LastEvent: s.lastEvent(),
+		Replica: &t.Replica, PromptSource: t.Source.Address,
+		Remaining: clock.Until(s.call.Deadline) - routing.ReturnMargin, LastEventID: s.lastEvent(),
 	})
 	if f == nil {
 		f = s.receive(ctx, x, t, a)
@@ -230,7 +230,7 @@
 	if s.events != nil {
 		return s.events.lastID
 	}
-	return s.call.LastEvent
+	return s.call.LastEventID
 }
 
 // receive waits for the response and forwards it.
@@ -260,7 +260,7 @@
 // forwarded, and whatever becomes of the request.
 func (s *activeCall) applySelfReport(r *routing.Replica, a *Attempt, report SelfReport) {
 	now := clock.Now()
-	a.Rest, a.Leaving = max(a.Rest, report.Backoff), a.Leaving || report.Leaving
+	a.Backoff, a.Leaving = max(a.Backoff, report.Backoff), a.Leaving || report.Leaving
 	s.Observer.SelfReported(r, s.call, report)
 	if left, isNew := s.Placer.Rests.Ask(r, report.Backoff, s.call.ID, now); isNew {
 		s.Observer.BackoffRequested(r, s.call, left)
@@ -339,21 +339,21 @@
 func (s *activeCall) finish(ctx context.Context) {
 	s.summary.Total = clock.Since(s.call.Arrived)
 	s.summary.Outcome = s.attempts.Outcome
-	s.summary.Gone = ctx.Err() != nil
+	s.summary.CallerGone = ctx.Err() != nil
 	if s.events != nil {
 		s.summary.Events = s.events.count
 	}
 	switch {
 	case s.completed:
 		s.summary.Outcome = coordination.Answered{Status: s.summary.Status}
-	case s.summary.Gone || s.attempts.Begun:
+	case s.summary.CallerGone || s.attempts.Begun:
 		s.sink.Abort()
 	case s.fallback != nil:
 		s.summary.Status = s.fallback.status
 		s.summary.Outcome = coordination.Answered{Status: s.fallback.status}
-		_ = s.sink.Answer(s.fallback.status, s.fallback.header, s.fallback.body) // an error means that the caller has disconnected
+		_ = s.sink.Respond(s.fallback.status, s.fallback.header, s.fallback.body) // an error means that the caller has disconnected
 	default:
-		s.sink.Refuse(withRetryAfter(s.attempts.Outcome))
+		s.sink.Reject(withRetryAfter(s.attempts.Outcome))
 	}
 	s.Observer.Finished(s.call, &s.summary)
 }
--- a/transport/relay/relay_test.go
+++ b/transport/relay/relay_test.go
@@ -372,7 +372,7 @@
 		<-reading
 		leave()
 		Eventually(r.closed, time.Second).Should(Receive())
-		Expect((<-done).Gone).To(BeTrue())
+		Expect((<-done).CallerGone).To(BeTrue())
 	})
 
 	It("does not retry for a caller that disconnected", func() {
@@ -594,7 +594,7 @@
 		})
 		w := newFixture(resumable, r)
 		c := w.call("a", "POST", "x")
-		c.LastEvent = "7"
+		c.LastEventID = "7"
 		to, _ := w.serve(c)
 		Expect(r.received(0).request.Header.Get("Last-Event-Id")).To(Equal("7"))
 		Expect(string(to.body)).To(Equal(event(8)))
--- a/transport/relay/replica_test.go
+++ b/transport/relay/replica_test.go
@@ -185,7 +185,7 @@
 	wrote   chan struct{}
 }
 
-func (c *recordingSink) Answer(status int, h http.Header, body []byte) error {
+func (c *recordingSink) Respond(status int, h http.Header, body []byte) error {
 	c.status, c.header, c.body, c.whole = status, h, body, true
 	return nil
 }
@@ -206,7 +206,7 @@
 	return nil
 }
 
-func (c *recordingSink) Refuse(o coordination.Outcome) { c.refusal = o }
+func (c *recordingSink) Reject(o coordination.Outcome) { c.refusal = o }
 func (c *recordingSink) Abort()                        { c.broken = true }
 
 // recordingObserver is an Observer that records some of the notifications.
