--- a/transport/clock/clock.go
+++ b/transport/clock/clock.go
@@ -13,7 +13,7 @@
 //
 //	now := clock.Now()                         // for ages and deadlines
 //	left := clock.Until(deadline)
-//	conn.SetReadDeadline(clock.Timer(deadline)) // for deadlines that the runtime enforces
+//	conn.SetReadDeadline(clock.RuntimeTime(deadline)) // for deadlines that the runtime enforces
 //
 // For the wall clock (incarnations, timeline stamps) use the time package.
 package clock
@@ -32,17 +32,17 @@
 
 // Reading is a simultaneous reading of the system's clocks.
 type Reading struct {
-	At     time.Time     // of the runtime's clock
-	Steady time.Duration // of the monotonic clock, since a fixed but arbitrary time
-	Wall   time.Duration // of the wall clock, since a fixed but arbitrary time
+	Time      time.Time     // of the runtime's clock
+	Monotonic time.Duration // of the monotonic clock, since a fixed but arbitrary time
+	Wall      time.Duration // of the wall clock, since a fixed but arbitrary time
 }
 
 // Source reads the system's clocks.
 type Source interface {
 	Read() Reading
-	// Lead returns by how much the clock that counts suspensions (CLOCK_BOOTTIME) is ahead of
+	// SuspendLead returns by how much the clock that counts suspensions (CLOCK_BOOTTIME) is ahead of
 	// the monotonic clock, or false if that is not known.
-	Lead() (time.Duration, bool)
+	SuspendLead() (time.Duration, bool)
 }
 
 // Clock is a monotonic clock that includes suspensions of the VM. It is safe for concurrent use.
@@ -53,26 +53,26 @@
 	wallOffset atomic.Int64 // wall clock minus monotonic clock at the last check, in nanoseconds
 
 	mu          sync.Mutex
-	suspendLead time.Duration // Source.Lead at the last check
+	suspendLead time.Duration // Source.SuspendLead at the last check
 }
 
 // New returns a clock that reads the given source.
 func New(s Source) *Clock {
 	c := &Clock{source: s}
 	r := s.Read()
-	c.wallOffset.Store(int64(r.Wall - r.Steady))
-	c.suspendLead, _ = s.Lead()
+	c.wallOffset.Store(int64(r.Wall - r.Monotonic))
+	c.suspendLead, _ = s.SuspendLead()
 	return c
 }
 
 // Now returns the current time, suspensions included.
 func (c *Clock) Now() time.Time {
 	r := c.source.Read()
-	wallOffset := r.Wall - r.Steady
+	wallOffset := r.Wall - r.Monotonic
 	if (wallOffset - time.Duration(c.wallOffset.Load())).Abs() >= minOffsetChange {
 		c.checkSuspension(wallOffset)
 	}
-	return r.At.Add(c.Suspended())
+	return r.Time.Add(c.Suspended())
 }
 
 // checkSuspension is called when the wall clock has moved against the monotonic clock. It adds to
@@ -82,7 +82,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	offsetChange := wallOffset - time.Duration(c.wallOffset.Swap(int64(wallOffset)))
-	lead, ok := c.source.Lead()
+	lead, ok := c.source.SuspendLead()
 	if !ok {
 		return
 	}
@@ -94,8 +94,8 @@
 // Suspended returns the total suspended time detected so far.
 func (c *Clock) Suspended() time.Duration { return time.Duration(c.suspended.Load()) }
 
-// Timer converts a time of this clock to the runtime's clock, for timers and I/O deadlines.
-func (c *Clock) Timer(t time.Time) time.Time { return t.Add(-c.Suspended()) }
+// RuntimeTime converts a time of this clock to the runtime's clock, for timers and I/O deadlines.
+func (c *Clock) RuntimeTime(t time.Time) time.Time { return t.Add(-c.Suspended()) }
 
 // system is the clock behind the package-level functions.
 var system = New(systemSource{start: time.Now()})
@@ -108,11 +108,11 @@
 // Read implements [Source]. It makes no system call: Clock.Now calls it each time.
 func (s systemSource) Read() Reading {
 	t := time.Now()
-	return Reading{At: t, Steady: t.Sub(s.start), Wall: time.Duration(t.UnixNano())}
+	return Reading{Time: t, Monotonic: t.Sub(s.start), Wall: time.Duration(t.UnixNano())}
 }
 
-// Lead implements [Source].
-func (systemSource) Lead() (time.Duration, bool) {
+// SuspendLead implements [Source].
+func (systemSource) SuspendLead() (time.Duration, bool) {
 	var steady, counting unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &counting) != nil {
 		return 0, false
@@ -129,5 +129,5 @@
 // Until returns the duration until t, which is a time of [Now].
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Timer converts a time of [Now] to the runtime's clock, for timers and I/O deadlines.
-func Timer(t time.Time) time.Time { return system.Timer(t) }
+// RuntimeTime converts a time of [Now] to the runtime's clock, for timers and I/O deadlines.
+func RuntimeTime(t time.Time) time.Time { return system.RuntimeTime(t) }
--- a/transport/clock/clock_test.go
+++ b/transport/clock/clock_test.go
@@ -7,17 +7,17 @@
 
 // fakeSource is a Source whose clocks are set by the test.
 type fakeSource struct {
-	steady, wall, boot time.Duration
-	unknown            bool // CLOCK_BOOTTIME is not available
+	monotonic, wall, boot time.Duration
+	unknown               bool // CLOCK_BOOTTIME is not available
 }
 
 func (f *fakeSource) Read() Reading {
-	return Reading{At: time.Unix(1_000_000, 0).Add(f.steady), Steady: f.steady, Wall: f.wall}
+	return Reading{Time: time.Unix(1_000_000, 0).Add(f.monotonic), Monotonic: f.monotonic, Wall: f.wall}
 }
 
-func (f *fakeSource) Lead() (time.Duration, bool) { return f.boot - f.steady, !f.unknown }
+func (f *fakeSource) SuspendLead() (time.Duration, bool) { return f.boot - f.monotonic, !f.unknown }
 
-func (f *fakeSource) run(d time.Duration)     { f.steady += d; f.wall += d; f.boot += d }
+func (f *fakeSource) run(d time.Duration)     { f.monotonic += d; f.wall += d; f.boot += d }
 func (f *fakeSource) suspend(d time.Duration) { f.wall += d; f.boot += d }
 func (f *fakeSource) step(d time.Duration)    { f.wall += d }
 
@@ -66,7 +66,7 @@
 	deadline := clock.Now().Add(8 * time.Second)
 	f.suspend(5 * time.Second)
 	clock.Now()
-	if left := clock.Timer(deadline).Sub(f.Read().At); left != 3*time.Second {
+	if left := clock.RuntimeTime(deadline).Sub(f.Read().Time); left != 3*time.Second {
 		t.Errorf("the runtime would wait %v, want 3s", left)
 	}
 }
@@ -78,8 +78,8 @@
 	if d := Since(a); d < 2*time.Millisecond || d > time.Minute {
 		t.Errorf("%v elapsed, want at least 2ms and at most a minute", d)
 	}
-	if lead, ok := (systemSource{}).Lead(); !ok || lead < 0 {
-		t.Errorf("lead %v, known %t", lead, ok)
+	if lead, ok := (systemSource{}).SuspendLead(); !ok || lead < 0 {
+		t.Errorf("CLOCK_BOOTTIME is %v ahead, known %t, want a known duration that is not negative", lead, ok)
 	}
 	if left := Until(a.Add(time.Hour)); left > time.Hour || left < 59*time.Minute {
 		t.Errorf("%v until a time one hour ahead, want between 59 and 60 minutes", left)
--- a/transport/relay/exchange.go
+++ b/transport/relay/exchange.go
@@ -88,7 +88,7 @@
 func (x *exchange) writeRequest(ctx context.Context, h RequestHead) *failure {
 	x.sent = clock.Now()
 	x.stopCancelWatch = context.AfterFunc(ctx, func() { _ = x.conn.Close() })
-	_ = x.conn.SetWriteDeadline(clock.Timer(x.deadline)) // on failure, the write fails too
+	_ = x.conn.SetWriteDeadline(clock.RuntimeTime(x.deadline)) // on failure, the write fails too
 	buf := buffers.Get().(*[]byte)
 	head := x.codec.AppendRequest((*buf)[:0], x.call, h)
 	if len(x.call.Body) < concurrentWriteBytes {
@@ -134,11 +134,11 @@
 	if until.After(x.deadline) {
 		until = x.deadline
 	}
-	_ = x.conn.SetReadDeadline(clock.Timer(until)) // on failure, the read fails too
+	_ = x.conn.SetReadDeadline(clock.RuntimeTime(until)) // on failure, the read fails too
 	_, err := x.conn.reader.Peek(1)
 	if err == nil {
 		x.received = true
-		_ = x.conn.SetReadDeadline(clock.Timer(x.deadline))
+		_ = x.conn.SetReadDeadline(clock.RuntimeTime(x.deadline))
 		return true, nil
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
