--- a/daemon/openai/daemon_test.go
+++ b/daemon/openai/daemon_test.go
@@ -264,7 +264,7 @@
 		ca := newAuthority(dir)
 		ca.sign(dir, "fleet")
 		files := transport.TLSFiles{
-			Certificate: filepath.Join(dir, "fleet.pem"), Key: filepath.Join(dir, "fleet.key"), Authority: filepath.Join(dir, "ca.pem"),
+			Certificate: filepath.Join(dir, "fleet.pem"), Key: filepath.Join(dir, "fleet.key"), CA: filepath.Join(dir, "ca.pem"),
 		}
 		f := newFleet(2, 0, func(s *openai.Settings) { s.TLS.Peers = files })
 		f.platform.SetAway(true)
--- a/daemon/openai/settings.go
+++ b/daemon/openai/settings.go
@@ -125,7 +125,7 @@
 	if t := s.TLS.Callers; !t.IsZero() && (t.Certificate == "" || t.Key == "") {
 		c.Add("tls for callers lacks certificate or key", "name both files, or leave the whole part out", "tls", "callers")
 	}
-	if t := s.TLS.Peers; !t.IsZero() && (t.Certificate == "" || t.Key == "" || t.Authority == "") {
+	if t := s.TLS.Peers; !t.IsZero() && (t.Certificate == "" || t.Key == "" || t.CA == "") {
 		c.Add("tls for peers lacks certificate, key or authority", "name all three files, or leave the whole part out", "tls", "peers")
 	}
 }
--- a/transport/tls.go
+++ b/transport/tls.go
@@ -17,7 +17,7 @@
 type TLSFiles struct {
 	Certificate string `yaml:"certificate"`
 	Key         string `yaml:"key"`
-	Authority   string `yaml:"authority"` // CA certificates that the other side's must chain to; required for peers
+	CA          string `yaml:"authority"` // CA certificates that the other side's must chain to; required for peers
 }
 
 // IsZero reports whether TLS is not configured.
@@ -54,7 +54,7 @@
 }
 
 func (c *certificateReloader) readModTimes() (stamp [3]time.Time, err error) {
-	for i, name := range []string{c.files.Certificate, c.files.Key, c.files.Authority} {
+	for i, name := range []string{c.files.Certificate, c.files.Key, c.files.CA} {
 		if name == "" {
 			continue
 		}
@@ -73,14 +73,14 @@
 		return eris.Wrap(err, "load certificate and key; check that the key belongs to the certificate")
 	}
 	var pool *x509.CertPool
-	if c.files.Authority != "" {
-		pem, err := os.ReadFile(c.files.Authority)
+	if c.files.CA != "" {
+		pem, err := os.ReadFile(c.files.CA)
 		if err != nil {
 			return eris.Wrap(err, "read CA file; check its path and permissions")
 		}
 		pool = x509.NewCertPool()
 		if !pool.AppendCertsFromPEM(pem) {
-			return eris.Errorf("CA file %s contains no certificate; it must be in PEM format", c.files.Authority)
+			return eris.Errorf("CA file %s contains no certificate; it must be in PEM format", c.files.CA)
 		}
 	}
 	c.cert, c.pool = &cert, pool
