--- a/transport/clock/clock.go
+++ b/transport/clock/clock.go
@@ -11,7 +11,7 @@
 //
 // # Usage
 //
-//	now := clock.Now()                         // for ages and deadlines
+//	now := clock.Now() // for ages and deadlines
 //	left := clock.Until(deadline)
 //	conn.SetReadDeadline(clock.RuntimeTime(deadline)) // for deadlines that the runtime enforces
 //
--- a/transport/relay/crash_test.go
+++ b/transport/relay/crash_test.go
@@ -58,7 +58,7 @@
 		Expect(r.connections()).To(Equal(1), "the connection is kept for the next request")
 	})
 
-	It("is not retried, and reported as maybe run, after the third crash", func() {
+	It("is reported as possibly run, and not retried, after the third crash", func() {
 		first, second := startReplica("a", nil), startReplica("b", nil)
 		for _, r := range []*replica{first, second} {
 			r.script = func(*receivedRequest) bool { return r.crash() }
--- a/transport/relay/ended.go
+++ b/transport/relay/ended.go
@@ -1,6 +1,6 @@
 // This file determines whether a replica whose connection broke has crashed. A broken connection
-// alone does not prove that, since links and replicas break single connections too. A replica whose
-// process has terminated refuses a new connection at once.
+// alone does not prove that, since links and replicas break single connections too. A replica
+// whose process has terminated refuses a new connection at once.
 
 package relay
 
@@ -73,7 +73,7 @@
 
 // hasTerminated reports whether a replica refuses connections. Requests whose connections broke
 // at the same time share one dial, which goes on if the caller of the request that started it
-// disconnects. If the replica accepts the connection, it is kept in the pool.
+// disconnects. An accepted connection is put into the pool.
 func (p *Pool) hasTerminated(ctx context.Context, r *routing.Replica, limit int, now time.Time) bool {
 	c, isNew := p.crashChecks.current(r.Incarnation(), now)
 	if isNew {
--- a/transport/relay/lives_test.go
+++ b/transport/relay/lives_test.go
@@ -10,8 +10,8 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// TestResponseDisprovesReportedCrash checks that a crash reported by another daemon
-// is ignored once the replica has responded on a connection opened before the reported crash.
+// TestResponseDisprovesReportedCrash checks that a crash reported by another daemon is ignored once
+// the replica has responded on a connection opened before the reported crash.
 //
 // It guards against daemons that refuse all requests to a small service for seconds although all
 // its replicas are alive. That happened after a failure domain had been cut off by links that
@@ -48,7 +48,7 @@
 	}
 }
 
-// TestPoolReportsOldestOpenConnection checks that the pool returns when the oldest idle
+// TestPoolReportsOldestOpenConnection checks that the pool returns the time at which the oldest idle
 // connection was opened, and none after the replica has closed it.
 func TestPoolReportsOldestOpenConnection(t *testing.T) {
 	RegisterTestingT(t)
--- a/transport/relay/pool.go
+++ b/transport/relay/pool.go
@@ -20,8 +20,8 @@
 const (
 	readBufferBytes = 4 << 10 // holds a header and some events
 	// idleTimeoutFraction is the fraction of the replica's idle timeout for which a connection is
-	// kept, so that it is not reused at the moment the replica closes it. 0.9 serves
-	// callers equally well.
+	// kept, so that it is not reused at the moment the replica closes it.
+	// A fraction of 0.9 serves callers equally well.
 	idleTimeoutFraction = 0.7
 	// defaultIdleTimeout is the idle timeout for replicas that state none.
 	defaultIdleTimeout = 20 * time.Second
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -189,7 +189,7 @@
 		return unreachable(ctx, err)
 	}
 	a.Reused = c.reused
-	// All of this may have changed during connection setup.
+	// The view, the replica's eligibility and the quarantine may have changed during connection setup.
 	if !s.View().IsReady(&t.Replica) {
 		s.Pool.discard(c)
 		return &failure{outcome: coordination.NotRun{Reason: coordination.ReasonConnect, RetryAfter: routing.RetryAfter}, err: errNotReady}
--- a/transport/relay/statement_test.go
+++ b/transport/relay/statement_test.go
@@ -14,8 +14,8 @@
 // rejected is the header field with which replicas reject a request.
 const rejected = "Not-Executed: 1\r\n"
 
-// TestSelfReportsAreApplied checks that replicas which requested a backoff or
-// announced their departure, and addresses of replaced replicas, get no further requests.
+// TestSelfReportsAreApplied checks that replicas which requested a backoff or announced their
+// departure, and addresses of replaced replicas, get no further requests.
 func TestSelfReportsAreApplied(t *testing.T) {
 	t.Run("backoff", testBackoff)
 	t.Run("departure", testDeparture)
@@ -23,8 +23,9 @@
 }
 
 // testReplaced uses a replica that terminated and was replaced by another one at its address, while
-// its entry is still there. Only the first request may reach the address; later ones must go
-// elsewhere, also those of another daemon that received this daemon's reports.
+// its entry is still there. Only the first request may reach the address. It is rejected there, and
+// retried if the route allows more than one replica. Later requests must go elsewhere, also those of
+// another daemon that received this daemon's reports.
 func testReplaced(t *testing.T) {
 	for name, route := range map[string]routing.Route{"idempotent": idempotent, "at most once": atMostOnce} {
 		t.Run(name, func(t *testing.T) {
