--- a/daemon/routes/daemon.go
+++ b/daemon/routes/daemon.go
@@ -131,7 +131,7 @@
 			Loads: t.loads, Health: t.health, Cache: t.cache, Crowds: t.crowds, Cold: t.cold, Rests: t.rests, Leavings: t.leavings,
 		},
 		Budgets: t.budgets, Codec: d.outside.Codec, Observer: d.Log, Pool: d.pool, Crashes: t.crashes,
-		Borrow: d.control.borrow,
+		RequestTransfer: d.control.borrow,
 	})
 	d.callers.Server.Handler = d.outside.Front(d)
 	d.readiness.Server.Handler = d.readyHandler()
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -22,9 +22,9 @@
 	Codec    Codec
 	Observer Observer
 	Pool     *Pool
-	// Borrow asks another daemon to transfer the missing amount of retry budget for a service. It
-	// returns the amount received.
-	Borrow func(ctx context.Context, s routing.ServiceName, missing routing.Retries) routing.Retries
+	// RequestTransfer asks another daemon to transfer the missing amount of retry budget for a
+	// service. It returns the amount received.
+	RequestTransfer func(ctx context.Context, s routing.ServiceName, missing routing.Retries) routing.Retries
 }
 
 // Relay forwards calls to replicas. It is safe for concurrent use.
@@ -87,7 +87,7 @@
 		s.attempts.NoReplica(s.Placer.WhyNone(view, &s.call.Request, now))
 		return false
 	}
-	if !s.attempts.MaySend(s.Budgets, s.call.Service, now) && !s.borrowRetry(ctx) {
+	if !s.attempts.MaySend(s.Budgets, s.call.Service, now) && !s.reserveByTransfer(ctx) {
 		return false
 	}
 	s.tried.Replicas = append(s.tried.Replicas, target.Replica.ID)
@@ -312,23 +312,23 @@
 	return x.deadlineExpired()
 }
 
-// reserveRetry reports whether the call may be retried if this attempt is given up. It reserves
-// the retry in the budget, or else by borrowing.
+// reserveRetry reports whether the call may be retried if this attempt is given up. It reserves the
+// retry in the budget, with a budget transfer from other daemons if necessary.
 func (s *activeCall) reserveRetry(ctx context.Context) bool {
-	return s.attempts.ReserveRetry(s.Budgets, s.call.Service, clock.Now()) || s.borrowRetry(ctx)
+	return s.attempts.ReserveRetry(s.Budgets, s.call.Service, clock.Now()) || s.reserveByTransfer(ctx)
 }
 
-// borrowRetry asks other daemons for the retry budget that this one lacks, and reserves the retry
-// if they transfer enough.
-func (s *activeCall) borrowRetry(ctx context.Context) bool {
-	loan := routing.Retries(0)
+// reserveByTransfer asks other daemons for the retry budget that this one lacks, and reserves the
+// retry if they transfer enough.
+func (s *activeCall) reserveByTransfer(ctx context.Context) bool {
+	transferred := routing.Retries(0)
 	for range routing.MaxLenders {
-		missing := s.attempts.Missing(s.Budgets, s.call.Service, loan, clock.Now())
+		missing := s.attempts.Missing(s.Budgets, s.call.Service, transferred, clock.Now())
 		if missing == 0 {
 			return false
 		}
-		loan += s.Borrow(ctx, s.call.Service, missing)
-		if s.attempts.ReserveWith(s.Budgets, s.call.Service, loan, clock.Now()) {
+		transferred += s.RequestTransfer(ctx, s.call.Service, missing)
+		if s.attempts.ReserveWith(s.Budgets, s.call.Service, transferred, clock.Now()) {
 			return true
 		}
 	}
--- a/transport/relay/relay_test.go
+++ b/transport/relay/relay_test.go
@@ -519,7 +519,7 @@
 			failing := func(a *receivedRequest) bool { return respond(a, 500, sealed, "no") }
 			w := newFixture(route, startReplica("r1", failing), startReplica("r2", failing))
 			w.relay.Budgets = routing.NewRetryBudgets(routing.RetryRule{Window: 10 * time.Second}, 1)
-			w.relay.Borrow = func(_ context.Context, _ routing.ServiceName, missing routing.Retries) routing.Retries {
+			w.relay.RequestTransfer = func(_ context.Context, _ routing.ServiceName, missing routing.Retries) routing.Retries {
 				Expect(missing).To(BeNumerically(">", 0))
 				asked++
 				return lent[asked-1]
--- a/transport/relay/replica_test.go
+++ b/transport/relay/replica_test.go
@@ -279,9 +279,9 @@
 		Placer: &routing.Placer{
 			Loads: routing.NewLoads(), Health: routing.NewHealth(), Rests: routing.NewRests(), Leavings: routing.NewLeavings(),
 		},
-		Budgets: routing.NewRetryBudgets(routing.RetryRule{Ratio: 0.2, Extra: 1000, Window: 10 * time.Second}, 1),
-		Borrow:  func(context.Context, routing.ServiceName, routing.Retries) routing.Retries { return 0 },
-		Codec:   platform.Codec{}, Observer: w.observer, Pool: relay.NewPool(), Crashes: routing.NewCrashes(),
+		Budgets:         routing.NewRetryBudgets(routing.RetryRule{Ratio: 0.2, Extra: 1000, Window: 10 * time.Second}, 1),
+		RequestTransfer: func(context.Context, routing.ServiceName, routing.Retries) routing.Retries { return 0 },
+		Codec:           platform.Codec{}, Observer: w.observer, Pool: relay.NewPool(), Crashes: routing.NewCrashes(),
 	})
 	return w
 }
