--- a/internal/soak/plants_test.go
+++ b/internal/soak/plants_test.go
@@ -47,7 +47,7 @@
 		text: "_ = d.callers.Server.Shutdown(wait)", instead: "_, _ = wait.Deadline()\n\t_ = d.callers.Server.Close()"},
 	{name: "says not run of what may have run", promise: "REFUSED", file: "platform/front.go",
 		text: "status := http.StatusBadGateway", instead: "status := http.StatusServiceUnavailable"},
-	{name: "takes a broken stream as whole", promise: "ORDER", file: "transport/relay/answer.go",
+	{name: "takes a broken stream as whole", promise: "ORDER", file: "transport/relay/response.go",
 		text: "return x.brokenResponse(ctx, eris.Wrap(err, \"read stream\"))", instead: "break"},
 	{name: "sends work to evacuated domains", promise: "EVAC", file: "coordination/routing/evacuate.go",
 		text: "if !e.evacuated[r.Domain] {", instead: "if r.ID != \"\" || !e.evacuated[r.Domain] {"},
