--- a/daemon/routes/daemon.go
+++ b/daemon/routes/daemon.go
@@ -131,7 +131,7 @@
 			Loads: t.loads, Health: t.health, Cache: t.cache, Overloads: t.overloads, Cold: t.cold, Backoffs: t.backoffs, Departures: t.departures,
 		},
 		Budgets: t.budgets, Codec: d.platform.Codec, Observer: d.Log, Pool: d.pool, Crashes: t.crashes,
-		Borrow: d.control.borrow,
+		RequestTransfer: d.control.borrow,
 	})
 	d.callers.Server.Handler = d.platform.Front(d)
 	d.readiness.Server.Handler = d.readyHandler()
@@ -153,7 +153,7 @@
 		syncs:      syncState{fetch: d.peers.fetch, newer: make(map[membership.Address]newerPeer)},
 		events:     make(chan event, eventQueue),
 		configured: make(chan struct{}),
-		openSince:  d.pool.OpenSince,
+		openSince:  d.pool.OldestOpenConn,
 	}
 }
 
--- a/daemon/routes/log_replicas.go
+++ b/daemon/routes/log_replicas.go
@@ -59,8 +59,8 @@
 	l.logger.Warn().Str("replica", string(r.ID)).Str("request", string(c.ID)).AnErr("cause", cause).Msg(prefixReplica + "ejected for a while")
 }
 
-// EndedUnder logs that a replica crashed while serving a request.
-func (l *Log) EndedUnder(r *routing.Replica, c *relay.Call) {
+// CrashedDuring logs that a replica crashed while serving a request.
+func (l *Log) CrashedDuring(r *routing.Replica, c *relay.Call) {
 	l.metrics.Crashed.Inc(1)
 	l.logger.Warn().Str("replica", string(r.ID)).Str("request", string(c.ID)).Str("content", c.Content.String()).
 		Str("workspace", string(c.Workspace)).Str("route", c.Route.Name).Msg(prefixReplica + "ended while it had a request")
@@ -72,9 +72,9 @@
 	l.logger.Info().Str("replica", string(id)).Msg(prefixReplica + "has not terminated; it answers other daemons on connections opened before its reported termination")
 }
 
-// Crowded logs that a replica is overloaded and briefly avoided. The prompt of the request may be
+// Overloaded logs that a replica is overloaded and briefly avoided. The prompt of the request may be
 // cached at additional replicas.
-func (l *Log) Crowded(r *routing.Replica, c *relay.Call, load relay.ReportedLoad) {
+func (l *Log) Overloaded(r *routing.Replica, c *relay.Call, load relay.ReportedLoad) {
 	l.metrics.Overloaded.Inc(1)
 	l.logger.Info().Str("replica", string(r.ID)).Str("request", string(c.ID)).Str("prompt", strconv.FormatUint(c.Key(), 36)).
 		Int("reported_load", reportedLoad(load)).Msg(prefixReplica + "crowded; avoided for a moment")
@@ -100,9 +100,9 @@
 	}
 }
 
-// Rests logs that a replica requested a backoff (Retry-After), during which this daemon sends it
+// BackoffRequested logs that a replica requested a backoff (Retry-After), during which this daemon sends it
 // nothing. Further requests for a backoff during that time are not logged.
-func (l *Log) Rests(r *routing.Replica, c *relay.Call, left time.Duration) {
+func (l *Log) BackoffRequested(r *routing.Replica, c *relay.Call, left time.Duration) {
 	l.timeline.Record(coordination.EventUpstreamState, string(r.ID), state.RequestID(c.ID), "requested a backoff of %s", left.Round(time.Millisecond))
 	l.metrics.BackoffsBegun.Inc(1)
 	l.logger.Info().Str("replica", string(r.ID)).Str("request", string(c.ID)).Int64("rest_ms", left.Milliseconds()).Msg(prefixReplica + "requested a backoff; this daemon sends it no requests for that time")
@@ -114,8 +114,8 @@
 	l.logger.Warn().Str("replica", string(id)).Msg(prefixReplica + "rest was lifted by an operator")
 }
 
-// Leaves logs that a replica announced its departure in a response.
-func (l *Log) Leaves(r *routing.Replica, c *relay.Call) {
+// DepartureAnnounced logs that a replica announced its departure in a response.
+func (l *Log) DepartureAnnounced(r *routing.Replica, c *relay.Call) {
 	l.timeline.Record(coordination.EventUpstreamState, string(r.ID), state.RequestID(c.ID), "announced its departure")
 	l.logger.Info().Str("replica", string(r.ID)).Str("request", string(c.ID)).Int64("born", int64(r.StartTime)).Msg(prefixReplica + "announced its departure in a response; it gets no more requests")
 }
--- a/daemon/routes/reports.go
+++ b/daemon/routes/reports.go
@@ -97,7 +97,7 @@
 	reports = c.health.FilterDisproved(reports, now)
 	c.health.ReportTerminations(reports, now)
 	for _, content := range c.crashes.Observe(reports, now) {
-		c.log.HeldBack(content)
+		c.log.Quarantined(content)
 	}
 }
 
--- a/transport/relay/exchange.go
+++ b/transport/relay/exchange.go
@@ -88,7 +88,7 @@
 func (x *exchange) writeRequest(ctx context.Context, h RequestHead) *failure {
 	x.sent = clock.Now()
 	x.stopCancelWatch = context.AfterFunc(ctx, func() { _ = x.conn.Close() })
-	_ = x.conn.SetWriteDeadline(clock.Timer(x.deadline)) // on failure, the write fails too
+	_ = x.conn.SetWriteDeadline(clock.RuntimeTime(x.deadline)) // on failure, the write fails too
 	buf := buffers.Get().(*[]byte)
 	head := x.codec.AppendRequest((*buf)[:0], x.call, h)
 	if len(x.call.Body) < concurrentWriteBytes {
@@ -134,11 +134,11 @@
 	if until.After(x.deadline) {
 		until = x.deadline
 	}
-	_ = x.conn.SetReadDeadline(clock.Timer(until)) // on failure, the read fails too
+	_ = x.conn.SetReadDeadline(clock.RuntimeTime(until)) // on failure, the read fails too
 	_, err := x.conn.reader.Peek(1)
 	if err == nil {
 		x.received = true
-		_ = x.conn.SetReadDeadline(clock.Timer(x.deadline))
+		_ = x.conn.SetReadDeadline(clock.RuntimeTime(x.deadline))
 		return true, nil
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -162,7 +162,7 @@
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
-		if x.head.Request == x.call.ID {
+		if x.head.RequestID == x.call.ID {
 			return x.checkResponse()
 		}
 		x.conn.idleTimeout = -1
@@ -178,14 +178,14 @@
 
 // hasResponse reports whether the addressed replica has responded to the request, with any status.
 func (x *exchange) hasResponse() bool {
-	return x.response != nil && x.head.Request == x.call.ID && x.response.StatusCode != http.StatusMisdirectedRequest
+	return x.response != nil && x.head.RequestID == x.call.ID && x.response.StatusCode != http.StatusMisdirectedRequest
 }
 
 // checkResponse returns nil if the response can be forwarded, and the failure otherwise.
 func (x *exchange) checkResponse() *failure {
 	status := x.response.StatusCode
 	switch {
-	case x.head.NotRun:
+	case x.head.NotExecuted:
 		_, err := io.CopyN(io.Discard, x.response.Body, maxRejectionBytes)
 		x.releaseConn(errors.Is(err, io.EOF), clock.Now())
 		// A requested backoff (coordination/routing/backoffs.go) does not count as a failure.
--- a/transport/relay/lives_test.go
+++ b/transport/relay/liveness_test.go
@@ -10,8 +10,8 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// TestResponseDisprovesReportedCrash checks that a crash reported by another daemon
-// is ignored once the replica has responded on a connection opened before the reported crash.
+// TestResponseDisprovesReportedCrash checks that a crash reported by another daemon is ignored once
+// the replica has responded on a connection opened before the reported crash.
 //
 // It guards against daemons that refuse all requests to a small service for seconds although all
 // its replicas are alive. That happened after a failure domain had been cut off by links that
@@ -48,7 +48,7 @@
 	}
 }
 
-// TestPoolReportsOldestOpenConnection checks that the pool returns when the oldest idle
+// TestPoolReportsOldestOpenConnection checks that the pool returns the time at which the oldest idle
 // connection was opened, and none after the replica has closed it.
 func TestPoolReportsOldestOpenConnection(t *testing.T) {
 	RegisterTestingT(t)
@@ -56,11 +56,11 @@
 	t.Cleanup(func() { r.crash() })
 	w := newFixture(atMostOnce, r)
 	before := time.Now()
-	if _, ok := w.relay.Pool.OpenSince(r.Incarnation()); ok {
+	if _, ok := w.relay.Pool.OldestOpenConn(r.Incarnation()); ok {
 		t.Error("there is an open connection before the first request")
 	}
 	w.serve(w.call("a", "POST", "x"))
-	opened, ok := w.relay.Pool.OpenSince(r.Incarnation())
+	opened, ok := w.relay.Pool.OldestOpenConn(r.Incarnation())
 	if !ok || opened.Before(before) || opened.After(time.Now()) {
 		t.Errorf("opened at %v, found %t, want a time since the start of the test", opened, ok)
 	}
@@ -68,5 +68,5 @@
 		t.Error("the connection was not reused")
 	}
 	r.crash()
-	Eventually(func() bool { _, ok := w.relay.Pool.OpenSince(r.Incarnation()); return ok }).Should(BeFalse())
+	Eventually(func() bool { _, ok := w.relay.Pool.OldestOpenConn(r.Incarnation()); return ok }).Should(BeFalse())
 }
--- a/transport/relay/pool.go
+++ b/transport/relay/pool.go
@@ -20,8 +20,8 @@
 const (
 	readBufferBytes = 4 << 10 // holds a header and some events
 	// idleTimeoutFraction is the fraction of the replica's idle timeout for which a connection is
-	// kept, so that it is not reused at the moment the replica closes it. 0.9 serves
-	// callers equally well.
+	// kept, so that it is not reused at the moment the replica closes it.
+	// A fraction of 0.9 serves callers equally well.
 	idleTimeoutFraction = 0.7
 	// defaultIdleTimeout is the idle timeout for replicas that state none.
 	defaultIdleTimeout = 20 * time.Second
@@ -225,9 +225,9 @@
 	}
 }
 
-// OpenSince returns when the oldest idle connection to a replica that is still open was opened. It
-// returns false if there is none.
-func (p *Pool) OpenSince(id routing.Incarnation) (time.Time, bool) {
+// OldestOpenConn returns the time at which the oldest idle connection to a replica that is still
+// open was opened. It returns false if there is none.
+func (p *Pool) OldestOpenConn(id routing.Incarnation) (time.Time, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var oldest time.Time
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -22,9 +22,9 @@
 	Codec    Codec
 	Observer Observer
 	Pool     *Pool
-	// Borrow asks another daemon to transfer the missing amount of retry budget for a service. It
-	// returns the amount received.
-	Borrow func(ctx context.Context, s routing.ServiceName, missing routing.Retries) routing.Retries
+	// RequestTransfer asks another daemon to transfer the missing amount of retry budget for a
+	// service. It returns the amount received.
+	RequestTransfer func(ctx context.Context, s routing.ServiceName, missing routing.Retries) routing.Retries
 }
 
 // Relay forwards calls to replicas. It is safe for concurrent use.
@@ -87,7 +87,7 @@
 		s.attempts.RecordNoReplica(s.Placer.NoReplicaReason(view, &s.call.Request, now))
 		return false
 	}
-	if !s.attempts.MaySend(s.Budgets, s.call.Service, now) && !s.borrowRetry(ctx) {
+	if !s.attempts.MaySend(s.Budgets, s.call.Service, now) && !s.reserveByTransfer(ctx) {
 		return false
 	}
 	s.tried.Replicas = append(s.tried.Replicas, target.Replica.ID)
@@ -106,8 +106,8 @@
 // the attempt to the summary.
 func (s *activeCall) sendAndRecord(ctx context.Context, t *routing.Target, begun time.Time) *failure {
 	a := Attempt{
-		Replica: t.Replica.ID, Rank: t.Rank, Cold: t.Replica.IsCold(begun), Copied: t.Source.ID,
-		Load: t.Load, Mean: t.Mean, Coverage: t.Coverage,
+		Replica: t.Replica.ID, Rank: t.Rank, Cold: t.Replica.IsCold(begun), PromptSource: t.Source.ID,
+		Load: t.Load, MeanLoad: t.Mean, LoadCoverage: t.Coverage,
 	}
 	key := t.Replica.LoadKey()
 	s.Placer.Loads.Begin(key)
@@ -154,10 +154,10 @@
 	if !s.Pool.hasTerminated(ctx, r, s.View().ConnectionLimit(s.call.Service), now) {
 		return
 	}
-	s.Observer.EndedUnder(r, s.call)
+	s.Observer.CrashedDuring(r, s.call)
 	s.Placer.Health.ReportTermination(r, now)
 	if s.Crashes.ReportCrash(s.call.Content, s.call.Workspace, r, now) {
-		s.Observer.HeldBack(s.call.Content)
+		s.Observer.Quarantined(s.call.Content)
 	}
 }
 
@@ -189,7 +189,7 @@
 		return unreachable(ctx, err)
 	}
 	a.Reused = c.reused
-	// All of this may have changed during connection setup.
+	// The view, the replica's eligibility and the quarantine may have changed during connection setup.
 	if !s.View().IsReady(&t.Replica) {
 		s.Pool.discard(c)
 		return &failure{outcome: coordination.NotRun{Reason: coordination.ReasonConnect, RetryAfter: routing.RetryAfter}, err: errNotReady}
@@ -210,8 +210,8 @@
 		s.Budgets.CountRequest(s.call.Service, now)
 	}
 	f := x.writeRequest(ctx, RequestHead{
-		Replica: &t.Replica, Source: t.Source.Address,
-		Left: clock.Until(s.call.Deadline) - routing.ReturnMargin, LastEvent: s.lastEvent(),
+		Replica: &t.Replica, PromptSource: t.Source.Address,
+		Remaining: clock.Until(s.call.Deadline) - routing.ReturnMargin, LastEventID: s.lastEvent(),
 	})
 	if f == nil {
 		f = s.receive(ctx, x, t, a)
@@ -230,7 +230,7 @@
 	if s.events != nil {
 		return s.events.lastID
 	}
-	return s.call.LastEvent
+	return s.call.LastEventID
 }
 
 // receive waits for the response and forwards it.
@@ -260,13 +260,13 @@
 // forwarded, and whatever becomes of the request.
 func (s *activeCall) applySelfReport(r *routing.Replica, a *Attempt, report SelfReport) {
 	now := clock.Now()
-	a.Rest, a.Leaving = max(a.Rest, report.Backoff), a.Leaving || report.Leaving
+	a.Backoff, a.Leaving = max(a.Backoff, report.Backoff), a.Leaving || report.Leaving
 	s.Observer.SelfReported(r, s.call, report)
 	if left, isNew := s.Placer.Backoffs.Record(r, report.Backoff, s.call.ID, now); isNew {
-		s.Observer.Rests(r, s.call, left)
+		s.Observer.BackoffRequested(r, s.call, left)
 	}
 	if report.Leaving && s.Placer.Departures.RecordAnnounced(r, now) {
-		s.Observer.Leaves(r, s.call)
+		s.Observer.DepartureAnnounced(r, s.call)
 	}
 }
 
@@ -274,7 +274,7 @@
 func (s *activeCall) recordLoad(t *routing.Target, a *Attempt, l ReportedLoad) {
 	a.Reported = l
 	if l.Known && s.Placer.ReportLoad(&s.call.Request, t, max(0, l.Requests-1), clock.Now()) {
-		s.Observer.Crowded(&t.Replica, s.call, l)
+		s.Observer.Overloaded(&t.Replica, s.call, l)
 	}
 }
 
@@ -312,23 +312,23 @@
 	return x.deadlineExpired()
 }
 
-// reserveRetry reports whether the call may be retried if this attempt is given up. It reserves
-// the retry in the budget, or else by borrowing.
+// reserveRetry reports whether the call may be retried if this attempt is given up. It reserves the
+// retry in the budget, with a budget transfer from other daemons if necessary.
 func (s *activeCall) reserveRetry(ctx context.Context) bool {
-	return s.attempts.ReserveRetry(s.Budgets, s.call.Service, clock.Now()) || s.borrowRetry(ctx)
+	return s.attempts.ReserveRetry(s.Budgets, s.call.Service, clock.Now()) || s.reserveByTransfer(ctx)
 }
 
-// borrowRetry asks other daemons for the retry budget that this one lacks, and reserves the retry
-// if they transfer enough.
-func (s *activeCall) borrowRetry(ctx context.Context) bool {
-	loan := routing.Retries(0)
+// reserveByTransfer asks other daemons for the retry budget that this one lacks, and reserves the
+// retry if they transfer enough.
+func (s *activeCall) reserveByTransfer(ctx context.Context) bool {
+	transferred := routing.Retries(0)
 	for range routing.MaxTransferPeers {
-		missing := s.attempts.TransferNeeded(s.Budgets, s.call.Service, loan, clock.Now())
+		missing := s.attempts.TransferNeeded(s.Budgets, s.call.Service, transferred, clock.Now())
 		if missing == 0 {
 			return false
 		}
-		loan += s.Borrow(ctx, s.call.Service, missing)
-		if s.attempts.ReserveWithGrant(s.Budgets, s.call.Service, loan, clock.Now()) {
+		transferred += s.RequestTransfer(ctx, s.call.Service, missing)
+		if s.attempts.ReserveWithGrant(s.Budgets, s.call.Service, transferred, clock.Now()) {
 			return true
 		}
 	}
@@ -339,21 +339,21 @@
 func (s *activeCall) finish(ctx context.Context) {
 	s.summary.Total = clock.Since(s.call.Arrived)
 	s.summary.Outcome = s.attempts.Outcome
-	s.summary.Gone = ctx.Err() != nil
+	s.summary.CallerGone = ctx.Err() != nil
 	if s.events != nil {
 		s.summary.Events = s.events.count
 	}
 	switch {
 	case s.completed:
 		s.summary.Outcome = coordination.Answered{Status: s.summary.Status}
-	case s.summary.Gone || s.attempts.ResponseStarted:
+	case s.summary.CallerGone || s.attempts.ResponseStarted:
 		s.sink.Abort()
 	case s.fallback != nil:
 		s.summary.Status = s.fallback.status
 		s.summary.Outcome = coordination.Answered{Status: s.fallback.status}
-		_ = s.sink.Answer(s.fallback.status, s.fallback.header, s.fallback.body) // an error means that the caller has disconnected
+		_ = s.sink.Respond(s.fallback.status, s.fallback.header, s.fallback.body) // an error means that the caller has disconnected
 	default:
-		s.sink.Refuse(withRetryAfter(s.attempts.Outcome))
+		s.sink.Reject(withRetryAfter(s.attempts.Outcome))
 	}
 	s.Observer.Finished(s.call, &s.summary)
 }
--- a/transport/relay/relay_test.go
+++ b/transport/relay/relay_test.go
@@ -372,7 +372,7 @@
 		<-reading
 		leave()
 		Eventually(r.closed, time.Second).Should(Receive())
-		Expect((<-done).Gone).To(BeTrue())
+		Expect((<-done).CallerGone).To(BeTrue())
 	})
 
 	It("does not retry for a caller that disconnected", func() {
@@ -519,7 +519,7 @@
 			failing := func(a *receivedRequest) bool { return respond(a, 500, sealed, "no") }
 			w := newFixture(route, startReplica("r1", failing), startReplica("r2", failing))
 			w.relay.Budgets = routing.NewRetryBudgets(routing.RetryRule{Window: 10 * time.Second}, 1)
-			w.relay.Borrow = func(_ context.Context, _ routing.ServiceName, missing routing.Retries) routing.Retries {
+			w.relay.RequestTransfer = func(_ context.Context, _ routing.ServiceName, missing routing.Retries) routing.Retries {
 				Expect(missing).To(BeNumerically(">", 0))
 				asked++
 				return lent[asked-1]
@@ -594,7 +594,7 @@
 		})
 		w := newFixture(resumable, r)
 		c := w.call("a", "POST", "x")
-		c.LastEvent = "7"
+		c.LastEventID = "7"
 		to, _ := w.serve(c)
 		Expect(r.received(0).request.Header.Get("Last-Event-Id")).To(Equal("7"))
 		Expect(string(to.body)).To(Equal(event(8)))
--- a/transport/relay/replica_test.go
+++ b/transport/relay/replica_test.go
@@ -185,7 +185,7 @@
 	wrote   chan struct{}
 }
 
-func (c *recordingSink) Answer(status int, h http.Header, body []byte) error {
+func (c *recordingSink) Respond(status int, h http.Header, body []byte) error {
 	c.status, c.header, c.body, c.whole = status, h, body, true
 	return nil
 }
@@ -206,7 +206,7 @@
 	return nil
 }
 
-func (c *recordingSink) Refuse(o coordination.Outcome) { c.refusal = o }
+func (c *recordingSink) Reject(o coordination.Outcome) { c.refusal = o }
 func (c *recordingSink) Abort()                        { c.broken = true }
 
 // recordingObserver is an Observer that records some of the notifications.
@@ -222,9 +222,9 @@
 
 func (n *recordingObserver) SelfReported(*routing.Replica, *relay.Call, relay.SelfReport) {}
 
-func (n *recordingObserver) Rests(*routing.Replica, *relay.Call, time.Duration) {}
-func (n *recordingObserver) Leaves(*routing.Replica, *relay.Call)               {}
-func (n *recordingObserver) Replaced(*routing.Replica, *relay.Call)             {}
+func (n *recordingObserver) BackoffRequested(*routing.Replica, *relay.Call, time.Duration) {}
+func (n *recordingObserver) DepartureAnnounced(*routing.Replica, *relay.Call)              {}
+func (n *recordingObserver) Replaced(*routing.Replica, *relay.Call)                        {}
 
 func (n *recordingObserver) Ejected(r *routing.Replica, _ *relay.Call, _ error) {
 	n.mu.Lock()
@@ -232,19 +232,19 @@
 	n.ejected = append(n.ejected, r.ID)
 }
 
-func (n *recordingObserver) Crowded(r *routing.Replica, _ *relay.Call, _ relay.ReportedLoad) {
+func (n *recordingObserver) Overloaded(r *routing.Replica, _ *relay.Call, _ relay.ReportedLoad) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.overloaded = append(n.overloaded, r.ID)
 }
 
-func (n *recordingObserver) EndedUnder(_ *routing.Replica, c *relay.Call) {
+func (n *recordingObserver) CrashedDuring(_ *routing.Replica, c *relay.Call) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.crashedDuring = append(n.crashedDuring, c.ID)
 }
 
-func (n *recordingObserver) HeldBack(c routing.ContentKey) {
+func (n *recordingObserver) Quarantined(c routing.ContentKey) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.quarantined = append(n.quarantined, c)
@@ -279,9 +279,9 @@
 		Placer: &routing.Placer{
 			Loads: routing.NewLoads(), Health: routing.NewHealth(), Backoffs: routing.NewBackoffs(), Departures: routing.NewDepartures(),
 		},
-		Budgets: routing.NewRetryBudgets(routing.RetryRule{Ratio: 0.2, Extra: 1000, Window: 10 * time.Second}, 1),
-		Borrow:  func(context.Context, routing.ServiceName, routing.Retries) routing.Retries { return 0 },
-		Codec:   platform.Codec{}, Observer: w.observer, Pool: relay.NewPool(), Crashes: routing.NewCrashes(),
+		Budgets:         routing.NewRetryBudgets(routing.RetryRule{Ratio: 0.2, Extra: 1000, Window: 10 * time.Second}, 1),
+		RequestTransfer: func(context.Context, routing.ServiceName, routing.Retries) routing.Retries { return 0 },
+		Codec:           platform.Codec{}, Observer: w.observer, Pool: relay.NewPool(), Crashes: routing.NewCrashes(),
 	})
 	return w
 }
