--- a/daemon/listener.go
+++ b/daemon/listener.go
@@ -16,8 +16,8 @@
 var Version = "dev"
 
 // Limits bound what a client can demand of a server. There is no limit on the time
-// to write a whole response: streams can be long-lived, and every write has its own
-// deadline.
+// to write a complete response: streams can be long-lived, and every write has its
+// own deadline.
 type Limits struct {
 	ReadHeader  time.Duration // time to receive a request's header
 	Idle        time.Duration // between two requests on a connection
--- a/daemon/routes/control_test.go
+++ b/daemon/routes/control_test.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// TestPauseEndsTheWait simulates a process that was paused for some seconds. The reader's
+// TestPauseInterruptsWatch simulates a process that was paused for some seconds. The reader's
 // wait from before the pause must be interrupted, and the pause logged.
-func TestPauseEndsTheWait(t *testing.T) {
+func TestPauseInterruptsWatch(t *testing.T) {
 	var out bytes.Buffer
 	l := newLog(&out, "info", "d", newMetrics())
 	c := newTestControl(l, nil)
@@ -55,9 +55,9 @@
 	}
 }
 
-// TestCallerEndsTheListeningOfAStart checks that a daemon that has just started waits for
+// TestWaitingCallerEndsInitialListening checks that a daemon that has just started waits for
 // peers and does not read the store until a caller needs a configuration.
-func TestCallerEndsTheListeningOfAStart(t *testing.T) {
+func TestWaitingCallerEndsInitialListening(t *testing.T) {
 	var out bytes.Buffer
 	l := newLog(&out, "info", "d", newMetrics())
 	defer l.Close()
@@ -81,10 +81,10 @@
 	}
 }
 
-// TestStartAsksTheMembersThatItIsSent simulates a daemon without documents that receives
+// TestDaemonWithoutDocumentsContactsReceivedMembers simulates a daemon without documents that receives
 // members from a seed. It must contact a few of them immediately, but not with every
 // message.
-func TestStartAsksTheMembersThatItIsSent(t *testing.T) {
+func TestDaemonWithoutDocumentsContactsReceivedMembers(t *testing.T) {
 	var out bytes.Buffer
 	l := newLog(&out, "info", "d", newMetrics())
 	defer l.Close()
@@ -118,10 +118,10 @@
 	}
 }
 
-// TestFirstDocumentsComeFromANearPeer simulates a daemon without documents that hears from a
+// TestFirstDocumentsComeFromOwnDomain simulates a daemon without documents that hears from a
 // seed in another failure domain first. It must wait for firstSyncDelay and then ask the
 // peer in its own domain.
-func TestFirstDocumentsComeFromANearPeer(t *testing.T) {
+func TestFirstDocumentsComeFromOwnDomain(t *testing.T) {
 	var out bytes.Buffer
 	l := newLog(&out, "info", "d", newMetrics())
 	defer l.Close()
@@ -148,9 +148,9 @@
 	}
 }
 
-// TestReportsOfSilenceArePassedOnAndLogged checks that reports of an silent replica
+// TestSilenceReportsAreForwardedAndLogged checks that reports of an silent replica
 // from three daemons are logged with the replica's id and forwarded once.
-func TestReportsOfSilenceArePassedOnAndLogged(t *testing.T) {
+func TestSilenceReportsAreForwardedAndLogged(t *testing.T) {
 	var out bytes.Buffer
 	l := newLog(&out, "info", "d", newMetrics())
 	c := newTestControl(l, fakeDocuments{})
@@ -179,9 +179,9 @@
 	}
 }
 
-// TestReportsOfCrowdsArePassedOn checks that the control loop forwards a report of an
+// TestOverloadReportsAreForwarded checks that the control loop forwards a report of an
 // overloaded replica to peers once.
-func TestReportsOfCrowdsArePassedOn(t *testing.T) {
+func TestOverloadReportsAreForwarded(t *testing.T) {
 	l := newLog(&bytes.Buffer{}, "info", "d", newMetrics())
 	defer l.Close()
 	c := newTestControl(l, fakeDocuments{})
@@ -220,8 +220,8 @@
 	}
 }
 
-// TestDatagramsBecomeEvents decodes valid and invalid datagrams.
-func TestDatagramsBecomeEvents(t *testing.T) {
+// TestDecodeDatagram decodes valid and invalid datagrams.
+func TestDecodeDatagram(t *testing.T) {
 	h := gossip.Heartbeat{Sender: testMember(1), Revision: 7}
 	heartbeat, err := gossip.EncodeHeartbeat(&h)
 	if err != nil {
@@ -306,9 +306,9 @@
 	return routing.ReplicaID(key), strings.HasPrefix(key, "replica-")
 }
 
-// TestStartOfALargeFleetLeavesTheConfigurationInTheLog applies thousands of documents at
+// TestConfigurationIsLoggedWhenLargeFleetStarts applies thousands of documents at
 // once. The important lines must not be among those dropped by the log.
-func TestStartOfALargeFleetLeavesTheConfigurationInTheLog(t *testing.T) {
+func TestConfigurationIsLoggedWhenLargeFleetStarts(t *testing.T) {
 	var out bytes.Buffer
 	l := newLog(&out, "info", "d", newMetrics())
 	c := newTestControl(l, fakeDocuments{})
@@ -329,9 +329,9 @@
 	}
 }
 
-// TestSmallMovesOfALargeFleetBuildNoView checks that small changes of a large fleet's size
+// TestSmallSizeChangesOfLargeFleetBuildNoView checks that small changes of a large fleet's size
 // do not cause a new view.
-func TestSmallMovesOfALargeFleetBuildNoView(t *testing.T) {
+func TestSmallSizeChangesOfLargeFleetBuildNoView(t *testing.T) {
 	for _, c := range []struct {
 		from, to int
 		want     bool
@@ -342,9 +342,9 @@
 	}
 }
 
-// TestViewSaysWhetherTheFleetIsLarge checks that views and heartbeats use the same limit
+// TestViewLargeFleet checks that views and heartbeats use the same limit
 // for a large fleet.
-func TestViewSaysWhetherTheFleetIsLarge(t *testing.T) {
+func TestViewLargeFleet(t *testing.T) {
 	var out bytes.Buffer
 	l := newLog(&out, "info", "d", newMetrics())
 	defer l.Close()
@@ -432,9 +432,9 @@
 	}
 }
 
-// TestAColdReplicaHoldsNoPrompts checks that a known replica which becomes cold is reported as
+// TestColdReplicaLosesItsCache checks that a known replica which becomes cold is reported as
 // having lost its cache, and a replica that is cold from its first entry is not.
-func TestAColdReplicaHoldsNoPrompts(t *testing.T) {
+func TestColdReplicaLosesItsCache(t *testing.T) {
 	var out bytes.Buffer
 	l := newLog(&out, "info", "d", newMetrics())
 	defer l.Close()
--- a/daemon/routes/daemon_test.go
+++ b/daemon/routes/daemon_test.go
@@ -204,7 +204,7 @@
 	return list
 }
 
-// release releases requests with a content and returns the status of the command.
+// release releases a quarantined content and returns the status of the command.
 func (n *node) release(content string) int {
 	resp, err := http.Post("http://"+n.Address(routes.ServesOperators)+routes.PathRelease+"?content="+url.QueryEscape(content), "", nil)
 	Expect(err).NotTo(HaveOccurred())
--- a/daemon/routes/heartbeat.go
+++ b/daemon/routes/heartbeat.go
@@ -34,7 +34,7 @@
 	initialContacts = 6
 )
 
-// heartbeatState is the state for sending heartbeatState.
+// heartbeatState is the state for sending heartbeats.
 type heartbeatState struct {
 	send        func(to membership.Address, payload []byte)
 	rng         *rand.Rand
--- a/daemon/routes/loans_test.go
+++ b/daemon/routes/loans_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestDaemonsLendWhatTheyHaveLeft(t *testing.T) {
+func TestDaemonsTransferUnusedBudget(t *testing.T) {
 	p := newTransferPair(t)
 	if lent := p.request(0.3); lent < 0.3 {
 		t.Fatalf("lent %v, want 0.3", lent)
@@ -85,9 +85,9 @@
 	}
 }
 
-// TestALoanThatComesTwiceCountsOnce delivers each datagram twice. The lender then grants the transfer
+// TestDuplicateTransferCountsOnce delivers each datagram twice. The lender then grants the transfer
 // twice, but the borrower must use only one of the two.
-func TestALoanThatComesTwiceCountsOnce(t *testing.T) {
+func TestDuplicateTransferCountsOnce(t *testing.T) {
 	p := newTransferPair(t)
 	p.copies = 2
 	if lent := p.request(0.3); lent < 0.3 || lent > 0.302 {
@@ -95,9 +95,9 @@
 	}
 }
 
-// TestALoanThatIsNotAnsweredIsGivenUp simulates a lender of an earlier build, which ignores requests
+// TestUnansweredTransferExpires simulates a lender of an earlier build, which ignores requests
 // for transfers. The borrower must give up after LoanTimeout and drop the transfer.
-func TestALoanThatIsNotAnsweredIsGivenUp(t *testing.T) {
+func TestUnansweredTransferExpires(t *testing.T) {
 	p := newTransferPair(t)
 	c := p.controls[borrower]
 	c.events = make(chan event, eventQueue)
@@ -119,9 +119,9 @@
 	}
 }
 
-// TestADaemonAloneBorrowsNothing checks that a daemon which knows no other daemon in its failure domain
+// TestTransferWithoutPeerInDomain checks that a daemon which knows no other daemon in its failure domain
 // gets an immediate response of 0.
-func TestADaemonAloneBorrowsNothing(t *testing.T) {
+func TestTransferWithoutPeerInDomain(t *testing.T) {
 	p := newTransferPair(t)
 	p.controls[borrower].roster = membership.NewRoster(membership.Member{Address: borrower, Domain: "a"}, nil)
 	if lent := p.request(0.3); lent != 0 {
--- a/daemon/routes/operator.go
+++ b/daemon/routes/operator.go
@@ -1,7 +1,6 @@
 // This file implements the HTTP interface for operators and scrapers: queries for status, members,
-// replicas, quarantined contents, timeline and metrics, and the commands to release a quarantined content
-// and to end a replica's backoff.
-// The field names are part of the published interface.
+// replicas, quarantined contents, timeline and metrics, and the commands to release a quarantined
+// content and to end a replica's backoff. The field names are part of the published interface.
 
 package routes
 
@@ -27,8 +26,8 @@
 	PathMembers  = "/members"
 	PathReplicas = "/replicas"
 	PathMetrics  = "/metrics"
-	// PathHeld lists the quarantined contents. A POST to PathRelease with a
-	// content releases its requests at all daemons.
+	// PathHeld lists the quarantined contents. A POST to PathRelease with a content releases it at
+	// all daemons.
 	PathHeld    = "/held"
 	PathRelease = "/release"
 	// A POST to PathLift with a replica ends the backoff that the replica requested of this daemon.
@@ -240,7 +239,7 @@
 	return strconv.FormatUint(uint64(key), 10)
 }
 
-// release releases requests with a content, here and, by a report to the peers, at all daemons. It
+// release releases a quarantined content, here and, by a report to the peers, at all daemons. It
 // returns false if the content is not known.
 func (c *control) release(content routing.ContentKey, now time.Time) bool {
 	known := c.crashes.Acquit(content, now)
@@ -250,7 +249,7 @@
 	return known
 }
 
-// release handles an operator's command to release requests with a content.
+// release handles an operator's command to release a quarantined content.
 func (d *Daemon) release(w http.ResponseWriter, r *http.Request) {
 	content, err := routing.ParseContentKey(r.URL.Query().Get("content"))
 	if err != nil {
--- a/daemon/routes/replicas_test.go
+++ b/daemon/routes/replicas_test.go
@@ -28,10 +28,10 @@
 	return c
 }
 
-// TestDaemonThatStartsIsSentWhatIsHeldBack simulates a peer that is newly found, keeps running, and
+// TestStartingDaemonIsSentKnownCrashes simulates a peer that is newly found, keeps running, and
 // restarts while it is still considered live. It must be sent the known crashes when it is found and
 // after its restart.
-func TestDaemonThatStartsIsSentWhatIsHeldBack(t *testing.T) {
+func TestStartingDaemonIsSentKnownCrashes(t *testing.T) {
 	c := newQuietControl(t)
 	now := time.Unix(1_000_000, 0)
 	c.planReads(now)
@@ -81,9 +81,9 @@
 	}
 }
 
-// TestReplicasThatOthersSawEndGetNothing checks that a replica gets no requests after a peer reported
+// TestReplicaReportedAsTerminatedGetsNoRequests checks that a replica gets no requests after a peer reported
 // its crash.
-func TestReplicasThatOthersSawEndGetNothing(t *testing.T) {
+func TestReplicaReportedAsTerminatedGetsNoRequests(t *testing.T) {
 	c := newQuietControl(t)
 	r := routing.NewReplica(routing.Replica{ID: "replica-1", Service: "s"})
 	now := time.Unix(1_000_000, 0)
@@ -93,11 +93,11 @@
 	}
 }
 
-// TestReplicaThatStartsAgainUnderItsIdIsKnownForNothing checks that load and health of a replica's
+// TestRestartedReplicaInheritsNoState checks that load and health of a replica's
 // former incarnation, from this daemon and from peers, are not attributed to its new one, even if a
 // peer's outdated report arrives later. Reports of daemons that do not distinguish incarnations
 // must still be understood.
-func TestReplicaThatStartsAgainUnderItsIdIsKnownForNothing(t *testing.T) {
+func TestRestartedReplicaInheritsNoState(t *testing.T) {
 	c := newQuietControl(t)
 	now := time.Unix(1_000_000, 0)
 	c.planReads(now)
@@ -158,10 +158,10 @@
 	}
 }
 
-// TestEntriesOfOtherWritersNameNoReplica checks that entries which can't be parsed and entries of
+// TestUnusableEntriesAddNoReplicas checks that entries which can't be parsed and entries of
 // unknown services add no replicas, and become usable once they are corrected or the service is
 // configured. Such entries come from other writers to the store.
-func TestEntriesOfOtherWritersNameNoReplica(t *testing.T) {
+func TestUnusableEntriesAddNoReplicas(t *testing.T) {
 	var out bytes.Buffer
 	m := newMetrics()
 	l := newLog(&out, "info", "d", m)
--- a/daemon/routes/reports.go
+++ b/daemon/routes/reports.go
@@ -24,12 +24,12 @@
 	// A daemon that missed all reports is sent a part of them by some other daemon within one
 	// second on average, at any fleet size.
 	reportRepeatTicks = 5
-	// connectionCloseDelay bounds the time between a replica's termination and the close of its connections
-	// being seen here.
+	// connectionCloseDelay bounds the time from a replica's termination until this daemon sees its
+	// connections closed.
 	connectionCloseDelay = 300 * time.Millisecond
 	// maxInitialDatagrams limits the datagrams of each kind that are sent to a daemon that has just
-	// started. They hold about 60 quarantined contents and 400 departures. The rest
-	// reaches it by repetition.
+	// started. They hold about 60 quarantined contents and 400 departures. The rest reaches it by
+	// repetition.
 	maxInitialDatagrams = 4
 )
 
--- a/daemon/routes/restored_test.go
+++ b/daemon/routes/restored_test.go
@@ -76,10 +76,10 @@
 	p.peer.handle(context.Background(), storeChanged{feed.Changes{Items: []feed.Item{it}, At: feed.Position{Era: era, Revision: it.Revision}}}, p.now)
 }
 
-// TestAChangeWhoseRevisionIsGivenOutAgainIsInForceEverywhere guards against refusing a confirmed route,
+// TestChangeWithReusedRevisionIsAppliedEverywhere guards against refusing a confirmed route,
 // and sending to a draining replica, after the store was restored from a backup and assigns revisions
 // again that were used before.
-func TestAChangeWhoseRevisionIsGivenOutAgainIsInForceEverywhere(t *testing.T) {
+func TestChangeWithReusedRevisionIsAppliedEverywhere(t *testing.T) {
 	p := newRestoredPair(t)
 	p.list(2, 26, config(20, 25), replica(1, "ready", 3), replica(2, "ready", 4))
 	p.watch(2, replica(2, "draining", 27))
@@ -96,10 +96,10 @@
 	}
 }
 
-// TestNoProcessGoesBackToTheCopysConfiguration guards against using the older configuration of the
+// TestRestoreDoesNotRevertConfiguration guards against using the older configuration of the
 // backup, both at daemons that ran before the restore and at one that starts after it and reads the
 // backup's configuration first.
-func TestNoProcessGoesBackToTheCopysConfiguration(t *testing.T) {
+func TestRestoreDoesNotRevertConfiguration(t *testing.T) {
 	p := newRestoredPair(t)
 	p.list(2, 26, config(20, 25), replica(1, "ready", 3), replica(2, "ready", 4))
 	if got := p.peer.version(); got != 23 {
@@ -129,9 +129,9 @@
 	p.daemon = started.daemon
 }
 
-// TestAStartedDaemonLearnsWhichReplicasHaveLeft guards against requests to a replica that is gone or
+// TestDaemonStartedAfterRestoreLearnsDrainingReplicas guards against requests to a replica that is gone or
 // draining, from a daemon whose first documents are those of the backup.
-func TestAStartedDaemonLearnsWhichReplicasHaveLeft(t *testing.T) {
+func TestDaemonStartedAfterRestoreLearnsDrainingReplicas(t *testing.T) {
 	p := newRestoredPair(t)
 	p.watch(1, replica(1, "draining", 30))
 	copied := []feed.Item{config(23, 20), replica(1, "ready", 3), replica(2, "ready", 4)}
@@ -149,9 +149,9 @@
 	}
 }
 
-// TestAnEraWithoutChangesReachesPeers guards against peers that stay in the old era because the restore
+// TestEraWithoutChangesReachesPeers guards against peers that stay in the old era because the restore
 // itself changed no document. They would take the next change for an older one.
-func TestAnEraWithoutChangesReachesPeers(t *testing.T) {
+func TestEraWithoutChangesReachesPeers(t *testing.T) {
 	p := newRestoredPair(t)
 	sent := 0
 	p.peer.heartbeats.send = func(membership.Address, []byte) { sent++ }
@@ -169,9 +169,9 @@
 	}
 }
 
-// TestDocumentsOfBeforeHoldForAWhile covers entries that the backup lacks or has older versions of. The
+// TestPreRestoreDocumentsExpire covers entries that the backup lacks or has older versions of. The
 // known entries must stay in use while they may be rewritten, and then yield to the store's.
-func TestDocumentsOfBeforeHoldForAWhile(t *testing.T) {
+func TestPreRestoreDocumentsExpire(t *testing.T) {
 	p := newRestoredPair(t)
 	p.watch(1, replica(3, "ready", 30))
 	p.watch(1, replica(2, "draining", 31))
@@ -194,9 +194,9 @@
 	}
 }
 
-// TestAPeersAnswerFromAnEraThatIsOverChangesNothing guards against responses that were in flight when the
+// TestResponseFromEarlierEraIsIgnored guards against responses that were in flight when the
 // store was restored.
-func TestAPeersAnswerFromAnEraThatIsOverChangesNothing(t *testing.T) {
+func TestResponseFromEarlierEraIsIgnored(t *testing.T) {
 	p := newRestoredPair(t)
 	before := p.peer.catalog.respond(&documentsRequest{knowsEras: true})
 	_, payload, err := before.encode()
@@ -217,10 +217,10 @@
 	}
 }
 
-// TestRevisionsWithoutAnEraCountWhereThereIsNothingBetter simulates a peer of the previous build, which
+// TestRevisionWithoutEraIsLastResort simulates a peer of the previous build, which
 // does not support eras. Its revisions may be from before a restore and would then hide later changes,
 // while the version of its configuration can always be compared.
-func TestRevisionsWithoutAnEraCountWhereThereIsNothingBetter(t *testing.T) {
+func TestRevisionWithoutEraIsLastResort(t *testing.T) {
 	p := newRestoredPair(t)
 	eraless := func(revision feed.Revision, version routing.ConfigVersion) (asks int) {
 		asked := p.asked
@@ -255,9 +255,9 @@
 	}
 }
 
-// TestTheWholeFleetIsNotShippedAfterTheStoreCameBack checks that the number of documents sent to a
+// TestRestoreSendsOnlyChangedDocuments checks that the number of documents sent to a
 // daemon after a restore does not depend on the number of entries.
-func TestTheWholeFleetIsNotShippedAfterTheStoreCameBack(t *testing.T) {
+func TestRestoreSendsOnlyChangedDocuments(t *testing.T) {
 	for _, replicas := range []int{100, 10000, 20000} {
 		p := newRestoredPair(t)
 		items := []feed.Item{config(23, 1)}
@@ -312,9 +312,9 @@
 
 func (s *restoringStore) Forget() {}
 
-// TestPagesOfTwoErasAreNoList guards against lists that mix documents from before and after a restore,
+// TestListDoesNotMixEras guards against lists that mix documents from before and after a restore,
 // and against changes of a new era that a watch started in the old one returns.
-func TestPagesOfTwoErasAreNoList(t *testing.T) {
+func TestListDoesNotMixEras(t *testing.T) {
 	page := func(era feed.Era, at feed.Revision, next string, key string) feed.Page {
 		return feed.Page{Items: []feed.Item{{Key: key, Revision: 5}}, At: feed.Position{Era: era, Revision: at}, Next: next}
 	}
@@ -358,9 +358,9 @@
 	}
 }
 
-// TestOlderAnswersCountAsAStoreThatIsAway guards against an old copy of the store that is served in
+// TestOlderResponsesAreRejected guards against an old copy of the store that is served in
 // parallel.
-func TestOlderAnswersCountAsAStoreThatIsAway(t *testing.T) {
+func TestOlderResponsesAreRejected(t *testing.T) {
 	older := 0
 	c := &control{events: make(chan event, eventQueue)}
 	c.view.Store(&routing.View{Position: feed.Position{Era: 3, Revision: 4}})
--- a/daemon/routes/statements_test.go
+++ b/daemon/routes/statements_test.go
@@ -15,7 +15,7 @@
 
 // These tests cover how the control loop handles what replicas report about themselves in responses.
 
-// applyEntries applies replica applyEntries, given as values by key, to a control loop.
+// applyEntries applies replica entries, given as values by key, to a control loop.
 func applyEntries(c *control, at feed.Revision, now time.Time, values map[string]string) {
 	items := []feed.Item{{Key: "config", Revision: 1}}
 	for key, value := range values {
@@ -24,9 +24,9 @@
 	c.apply(c.catalog.feed.Apply(items), "store", now)
 }
 
-// TestLeavingByItsOwnWordIsFinal checks that a replica that announced its departure gets no requests until
+// TestAnnouncedDepartureIsFinal checks that a replica that announced its departure gets no requests until
 // it restarts, even if its entry says ready, disappears and reappears, or is part of a new list.
-func TestLeavingByItsOwnWordIsFinal(t *testing.T) {
+func TestAnnouncedDepartureIsFinal(t *testing.T) {
 	c := newQuietControl(t)
 	now := time.Unix(1_000_000, 0)
 	applyEntries(c, 2, now, map[string]string{"replica-1": "born=1", "replica-2": "born=1"})
@@ -60,9 +60,9 @@
 	check("after it restarted", 2)
 }
 
-// TestLeavingIsToldToOtherDaemons checks with two control loops that an announced departure is sent to the
+// TestDepartureIsReportedToOtherDaemons checks with two control loops that an announced departure is sent to the
 // other daemon immediately and when that daemon restarts, and takes effect there.
-func TestLeavingIsToldToOtherDaemons(t *testing.T) {
+func TestDepartureIsReportedToOtherDaemons(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	here, there := newQuietControl(t), newQuietControl(t)
 	var sent [][]byte
@@ -109,9 +109,9 @@
 	}
 }
 
-// TestOperatorsSeeAndLiftRests checks that operators see the backoffs that replicas requested and can end
+// TestOperatorsSeeAndLiftBackoffs checks that operators see the backoffs that replicas requested and can end
 // them.
-func TestOperatorsSeeAndLiftRests(t *testing.T) {
+func TestOperatorsSeeAndLiftBackoffs(t *testing.T) {
 	c := newQuietControl(t)
 	now := time.Unix(1_000_000, 0)
 	applyEntries(c, 2, now, map[string]string{"replica-1": "born=1", "replica-2": "born=1"})
@@ -144,8 +144,8 @@
 	}
 }
 
-// TestIdleConnectionsToReplicasThatLeaveAreClosed checks to which replicas idle connections are kept.
-func TestIdleConnectionsToReplicasThatLeaveAreClosed(t *testing.T) {
+// TestIdleConnectionsToDepartingReplicasAreClosed checks to which replicas idle connections are kept.
+func TestIdleConnectionsToDepartingReplicasAreClosed(t *testing.T) {
 	named := func(id string) routing.Replica { return routing.NewReplica(routing.Replica{ID: routing.ReplicaID(id)}) }
 	p := &routing.Pool{
 		Ready: []routing.Replica{named("ready")}, Draining: []routing.Replica{named("draining")},
--- a/daemon/routes/store.go
+++ b/daemon/routes/store.go
@@ -182,9 +182,9 @@
 	return nil
 }
 
-// knownPosition returns the position that the store must not fall behind: the knownPosition era, and the revision up to
-// which this daemon itself has read the store. Revisions learned from peers don't count, because a peer's
-// build may not support eras.
+// knownPosition returns the position that the store's responses must not precede: the known era, and the
+// revision up to which this daemon itself has read the store. Revisions learned from peers don't count,
+// because a peer's build may not support eras.
 func (r *reader) knownPosition() feed.Position {
 	if own := r.control.viewPosition(); r.after.Era < own.Era {
 		return own.Beginning()
--- a/daemon/routes/store_test.go
+++ b/daemon/routes/store_test.go
@@ -50,9 +50,9 @@
 
 func (s *rejectingStore) Forget() {}
 
-// TestListGoesOnWhereItWasTurnedAway lists 12 pages from a store that rejects calls. A
+// TestListResumesAfterRejection lists 12 pages from a store that rejects calls. A
 // list that starts over after each rejection would never complete.
-func TestListGoesOnWhereItWasTurnedAway(t *testing.T) {
+func TestListResumesAfterRejection(t *testing.T) {
 	store := &rejectingStore{pages: 12, watched: make(chan feed.Revision, 1)}
 	c := &control{events: make(chan event, eventQueue)}
 	c.readPlan.Store(&readPlan{ReadPlan: membership.ReadPlan{Reads: true, Wait: time.Second}, ended: make(chan struct{})})
--- a/daemon/routes/sync.go
+++ b/daemon/routes/sync.go
@@ -75,7 +75,7 @@
 // a digest if the requester accepts one, and otherwise with all documents.
 type documentsRequest struct {
 	after         feed.Position
-	knowsEras     bool // false if the requester's build does not support eras; its revision is then taken for the current era
+	knowsEras     bool // false if the requester's build lacks eras; its revision then counts in any era
 	parts         feed.Parts
 	digest        feed.Digest // the peer's digest, from which the parts were determined
 	acceptsDigest bool
--- a/daemon/routes/sync_test.go
+++ b/daemon/routes/sync_test.go
@@ -80,7 +80,8 @@
 	return got, err
 }
 
-// exchangeHeartbeat has the daemon process a heartbeat of the peer and the responses to all requests that follow from it.
+// exchangeHeartbeat has the daemon process a heartbeat of the peer and the responses to all requests
+// that follow from it.
 func (p *syncedPair) exchangeHeartbeat() {
 	h := p.peer.newHeartbeat(p.now)
 	p.daemon.observePosition(context.Background(), &h, p.now)
@@ -97,9 +98,9 @@
 	return out
 }
 
-// TestAListAfterALostHistoryIsNotSentWhole simulates a peer that listed the store again because the
+// TestListAfterLostHistorySendsOnlyChanges simulates a peer that listed the store again because the
 // store's history was lost. The daemon must be sent only what differs, and not ten thousand entries.
-func TestAListAfterALostHistoryIsNotSentWhole(t *testing.T) {
+func TestListAfterLostHistorySendsOnlyChanges(t *testing.T) {
 	for _, replicas := range []int{100, 10000} {
 		p := newSyncedPair(t)
 		all := fleetEntries(replicas)
@@ -125,9 +126,9 @@
 	}
 }
 
-// TestADaemonOfTheBuildBeforeIsSentEverything checks that a daemon of the previous build, which accepts no
+// TestDaemonOfPreviousBuildIsSentAllDocuments checks that a daemon of the previous build, which accepts no
 // digest, is up to date after one response.
-func TestADaemonOfTheBuildBeforeIsSentEverything(t *testing.T) {
+func TestDaemonOfPreviousBuildIsSentAllDocuments(t *testing.T) {
 	p := newSyncedPair(t)
 	p.acceptsDigest = false
 	p.daemon.apply(p.daemon.catalog.feed.ApplyList(fleetEntries(20), 21), sourceStore, p.now)
@@ -138,10 +139,10 @@
 	}
 }
 
-// TestAConfigurationSpreadsBeforeAListEnds simulates a peer that lists the store after its history was
+// TestConfigurationSpreadsBeforeListCompletes simulates a peer that lists the store after its history was
 // lost. The first page has a new configuration, which must become active immediately and be fetched by
 // the daemon once, although the list is not complete and the revision has not changed.
-func TestAConfigurationSpreadsBeforeAListEnds(t *testing.T) {
+func TestConfigurationSpreadsBeforeListCompletes(t *testing.T) {
 	p := newSyncedPair(t)
 	for _, c := range []*control{p.daemon, p.peer} {
 		c.apply(c.catalog.feed.ApplyList(fleetEntries(200), 201), sourceStore, p.now)
@@ -164,9 +165,9 @@
 	}
 }
 
-// TestADaemonWithoutDocumentsWaitsForTheWholeList checks that a daemon that has just started accepts no
+// TestDaemonWithoutDocumentsWaitsForCompleteList checks that a daemon that has just started accepts no
 // callers after the first page, which has the configuration but hardly any replicas.
-func TestADaemonWithoutDocumentsWaitsForTheWholeList(t *testing.T) {
+func TestDaemonWithoutDocumentsWaitsForCompleteList(t *testing.T) {
 	p := newSyncedPair(t)
 	p.daemon.handle(context.Background(), storePageRead{items: fleetEntries(3), upTo: "replica-00002", at: feed.Position{Revision: 310}}, p.now)
 	if v := p.daemon.view.Load(); v != nil && v.Table != nil {
@@ -178,8 +179,8 @@
 	}
 }
 
-// TestRequestsForDocumentsAreChecked checks that invalid requests are rejected.
-func TestRequestsForDocumentsAreChecked(t *testing.T) {
+// TestInvalidDocumentsRequestsAreRejected checks that invalid requests are rejected.
+func TestInvalidDocumentsRequestsAreRejected(t *testing.T) {
 	for _, query := range []string{"", "after=x", "after=5&parts=zz", "after=5&parts=", "after=5&parts=010203"} {
 		v, err := url.ParseQuery(query)
 		if err != nil {
@@ -191,9 +192,9 @@
 	}
 }
 
-// TestEverythingIsPackedOnce checks that daemons which request all documents share one encoding, and
+// TestSnapshotIsEncodedOnce checks that daemons which request all documents share one encoding, and
 // that no daemon is sent an encoding from before a change.
-func TestEverythingIsPackedOnce(t *testing.T) {
+func TestSnapshotIsEncodedOnce(t *testing.T) {
 	p := newSyncedPair(t)
 	c := p.peer.catalog
 	p.peer.apply(c.feed.ApplyList(fleetEntries(50), 51), sourceStore, p.now)
@@ -216,9 +217,9 @@
 	}
 }
 
-// BenchmarkAskedForEverything measures answering requests for all documents, as hundreds of daemons send
+// BenchmarkSnapshotResponse measures answering requests for all documents, as hundreds of daemons send
 // when a whole fleet starts: the first request, and those after it.
-func BenchmarkAskedForEverything(b *testing.B) {
+func BenchmarkSnapshotResponse(b *testing.B) {
 	for _, replicas := range []int{100, 1000, 10000, 20000} {
 		var out bytes.Buffer
 		l := newLog(&out, "info", "d", newMetrics())
@@ -247,9 +248,9 @@
 	}
 }
 
-// BenchmarkMemoryOfDocuments reports the memory that a daemon uses for a fleet's entries: the documents,
+// BenchmarkDocumentsMemory reports the memory that a daemon uses for a fleet's entries: the documents,
 // the parsed state, and one view.
-func BenchmarkMemoryOfDocuments(b *testing.B) {
+func BenchmarkDocumentsMemory(b *testing.B) {
 	for _, replicas := range []int{100, 1000, 10000, 20000} {
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
 			var out bytes.Buffer
