--- a/cmd/hingectl/router.go
+++ b/cmd/hingectl/router.go
@@ -34,7 +34,7 @@
 			return err
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\t%t\t%d\t%d\t%d\t%s\t%dms\t%s\t%s\n", a.Daemon, a.Domain, readiness(&a), a.Version, a.Era, a.Revision,
-			age(a.ChangedMS), storeState(a.StoreLost), a.ReadsStore, a.Daemons, a.Replicas, a.Cold, domains(a.Evacuated), a.UptimeMS, a.Build, strings.Join(a.Reads, ","))
+			age(a.ChangedMS), storeState(a.StoreUnreachable), a.ReadsStore, a.Daemons, a.Replicas, a.Cold, domains(a.Evacuated), a.UptimeMS, a.Build, strings.Join(a.Reads, ","))
 		return nil
 	})
 }
--- a/daemon/routes/catalog.go
+++ b/daemon/routes/catalog.go
@@ -153,7 +153,7 @@
 }
 
 // isRestart reports whether two entries of a replica belong to different incarnations.
-func isRestart(before, r *routing.Replica) bool { return before.Incarnation() != r.Incarnation() }
+func isRestart(previous, r *routing.Replica) bool { return previous.Incarnation() != r.Incarnation() }
 
 // logReplica logs what changed in a replica's entry.
 func (c *catalog) logReplica(it feed.Item, before *routing.Replica, known bool, r *routing.Replica) {
--- a/daemon/routes/control.go
+++ b/daemon/routes/control.go
@@ -90,7 +90,7 @@
 	// get no requests in any case (coordination/routing/barred.go). The next tick builds one view
 	// for all such replicas.
 	viewStale          bool
-	storeLost          bool
+	storeUnreachable   bool
 	storeUnreadableAt  time.Time // when the store was last unreadable for every known daemon
 	era                eraState
 	storeUnreachableAt time.Time // when the store was last known to be unreachable for this daemon or a peer
@@ -154,7 +154,7 @@
 			c.apply(c.catalog.feed.Apply(e.Items), sourceStore, now)
 		}
 	case storeReachabilityChanged:
-		c.setStoreLost(e, now)
+		c.setStoreUnreachable(e, now)
 	case heartbeatReceived:
 		c.receiveHeartbeat(ctx, &e.heartbeat, now)
 	case silencesReceived:
@@ -208,7 +208,7 @@
 	case replicasQuery:
 		q.reply <- c.replicaAnswers(now)
 	case quarantineQuery:
-		q.reply <- c.heldAnswers(now)
+		q.reply <- c.quarantinedAnswers(now)
 	case releaseCommand:
 		q.reply <- c.release(q.content, now)
 	case liftBackoffCommand:
@@ -219,7 +219,7 @@
 // tick sends a heartbeat if one is due and runs all periodic work.
 func (c *control) tick(ctx context.Context, now time.Time) {
 	c.detectPause(now)
-	if c.storeLost {
+	if c.storeUnreachable {
 		c.storeUnreachableAt = now
 	}
 	c.planReads(now)
@@ -287,17 +287,17 @@
 	}
 }
 
-// setStoreLost records that the store became unreachable or reachable for this daemon.
-func (c *control) setStoreLost(e storeReachabilityChanged, now time.Time) {
-	if e.lost == c.storeLost {
+// setStoreUnreachable records that the store became unreachable or reachable for this daemon.
+func (c *control) setStoreUnreachable(e storeReachabilityChanged, now time.Time) {
+	if e.unreachable == c.storeUnreachable {
 		return
 	}
-	c.storeLost = e.lost
+	c.storeUnreachable = e.unreachable
 	c.storeUnreachableAt = now
-	c.roster.SetStoreUnreachable(e.lost)
+	c.roster.SetStoreUnreachable(e.unreachable)
 	c.planReads(now)
 	c.sendHeartbeat(now)
-	c.log.Store(e.lost, e.err, c.catalog.feed.Revision())
+	c.log.Store(e.unreachable, e.err, c.catalog.feed.Revision())
 }
 
 // apply updates the catalog from changed documents and publishes a view. The new revision
--- a/daemon/routes/daemon_test.go
+++ b/daemon/routes/daemon_test.go
@@ -154,7 +154,7 @@
 }
 
 func (n *node) ready() bool {
-	resp, err := http.Get("http://" + n.Address(routes.ServesReadiness) + platform.PathReady)
+	resp, err := http.Get("http://" + n.Address(routes.ReadinessListener) + platform.PathReady)
 	if err != nil {
 		return false
 	}
@@ -164,7 +164,7 @@
 
 // ask sends a query to the operators' listener and decodes the JSON response.
 func (n *node) ask(path string, into any) {
-	resp, err := http.Get("http://" + n.Address(routes.ServesOperators) + path)
+	resp, err := http.Get("http://" + n.Address(routes.OperatorsListener) + path)
 	if err != nil {
 		return
 	}
@@ -180,7 +180,7 @@
 
 // send sends a request and returns the status and the id of the replica that answered.
 func (n *node) send(key string) (int, string) {
-	r, _ := http.NewRequest("POST", "http://"+n.Address(routes.ServesCallers)+"/p/x", strings.NewReader("body"))
+	r, _ := http.NewRequest("POST", "http://"+n.Address(routes.CallersListener)+"/p/x", strings.NewReader("body"))
 	r.Host = "h.example"
 
 	r.Header.Set("Attempt-Id", fmt.Sprintf("id%d", n.sent.Add(1)))
@@ -206,7 +206,7 @@
 
 // release releases a quarantined content and returns the status of the command.
 func (n *node) release(content string) int {
-	resp, err := http.Post("http://"+n.Address(routes.ServesOperators)+routes.PathRelease+"?content="+url.QueryEscape(content), "", nil)
+	resp, err := http.Post("http://"+n.Address(routes.OperatorsListener)+routes.PathRelease+"?content="+url.QueryEscape(content), "", nil)
 	Expect(err).NotTo(HaveOccurred())
 	_ = resp.Body.Close()
 	return resp.StatusCode
@@ -224,7 +224,7 @@
 	})
 
 	It("shares overloaded replicas between the request path and the control loop", func() {
-		Expect(newSite().start().SharesCrowds()).To(BeTrue())
+		Expect(newSite().start().SharesOverloads()).To(BeTrue())
 	})
 
 	It("quarantines a content in the whole fleet after three replicas crashed while serving it, also in a daemon that starts later, until an operator releases it", func() {
@@ -411,10 +411,10 @@
 		n := s.start()
 		Eventually(n.ready, 3*time.Second).Should(BeTrue())
 		n.endpoint.SetMode(standin.StoreBusy)
-		Eventually(func() bool { return n.status().StoreLost }, 3*time.Second).Should(BeTrue())
+		Eventually(func() bool { return n.status().StoreUnreachable }, 3*time.Second).Should(BeTrue())
 		Expect(n.statusForK1()).To(Equal(200))
 		n.endpoint.SetMode(standin.StoreServes)
-		Eventually(func() bool { return n.status().StoreLost }, 3*time.Second).Should(BeFalse())
+		Eventually(func() bool { return n.status().StoreUnreachable }, 3*time.Second).Should(BeFalse())
 	})
 
 	It("keeps using replicas whose entries expire together during a store outage", func() {
@@ -424,7 +424,7 @@
 		n := s.start()
 		Eventually(n.ready, 3*time.Second).Should(BeTrue())
 		n.endpoint.SetMode(standin.StoreBusy)
-		Eventually(func() bool { return n.status().StoreLost }, 3*time.Second).Should(BeTrue())
+		Eventually(func() bool { return n.status().StoreUnreachable }, 3*time.Second).Should(BeTrue())
 		for _, id := range []string{"i1", "i2", "i3"} {
 			s.store.Delete("servers/" + id)
 		}
@@ -442,7 +442,7 @@
 		n := s.start()
 		Eventually(n.ready, 3*time.Second).Should(BeTrue())
 		n.endpoint.SetMode(standin.StoreBusy)
-		Eventually(func() bool { return n.status().StoreLost }, 3*time.Second).Should(BeTrue())
+		Eventually(func() bool { return n.status().StoreUnreachable }, 3*time.Second).Should(BeTrue())
 		s.store.Delete("servers/i1")
 		s.store.Delete("servers/i2")
 		n.endpoint.SetMode(standin.StoreServes)
@@ -598,7 +598,7 @@
 
 	It("serves metrics as text", func() {
 		n := s.start()
-		resp, err := http.Get("http://" + n.Address(routes.ServesOperators) + routes.PathMetrics)
+		resp, err := http.Get("http://" + n.Address(routes.OperatorsListener) + routes.PathMetrics)
 		Expect(err).NotTo(HaveOccurred())
 		defer resp.Body.Close()
 		b, _ := io.ReadAll(resp.Body)
--- a/daemon/routes/era.go
+++ b/daemon/routes/era.go
@@ -87,7 +87,7 @@
 // restore. Such revisions are interpreted in the current era only as a last resort: if this daemon can't
 // reach the store, no live peer that names an era can read it, and this process has seen no restore.
 func (c *control) resolveEra(named feed.Era, now time.Time) feed.Era {
-	if named == 0 && c.storeLost && !c.era.restored && !c.roster.EraIsRead(now) {
+	if named == 0 && c.storeUnreachable && !c.era.restored && !c.roster.EraIsRead(now) {
 		return c.catalog.feed.Position().Era
 	}
 	return named
--- a/daemon/routes/events.go
+++ b/daemon/routes/events.go
@@ -36,8 +36,8 @@
 	storeChanged struct{ feed.Changes }
 	// storeReachabilityChanged says that the store became unreachable or reachable.
 	storeReachabilityChanged struct {
-		lost bool
-		err  error // why the store is unreachable
+		unreachable bool
+		err         error // why the store is unreachable
 	}
 	// heartbeatReceived carries a peer's heartbeat.
 	heartbeatReceived struct{ heartbeat gossip.Heartbeat }
--- a/daemon/routes/export_test.go
+++ b/daemon/routes/export_test.go
@@ -2,19 +2,19 @@
 
 import "hingewinch.org/hingewinch/daemon"
 
-// Serving identifies one of the daemon's listeners.
-type Serving int
+// ListenerKind identifies one of the daemon's listeners.
+type ListenerKind int
 
 // The daemon's listeners.
 const (
-	ServesCallers Serving = iota
-	ServesReadiness
-	ServesOperators
+	CallersListener ListenerKind = iota
+	ReadinessListener
+	OperatorsListener
 )
 
 // Address returns the address of a listener.
-func (d *Daemon) Address(s Serving) string {
-	l := [...]*daemon.Listener{ServesCallers: d.callers, ServesReadiness: d.readiness, ServesOperators: d.operators}[s]
+func (d *Daemon) Address(s ListenerKind) string {
+	l := [...]*daemon.Listener{CallersListener: d.callers, ReadinessListener: d.readiness, OperatorsListener: d.operators}[s]
 	return l.Address()
 }
 
@@ -23,9 +23,9 @@
 	return daemon.ParseSettings(file, text, defaultSettings(), (*Settings).check)
 }
 
-// SharesCrowds reports whether the request path and the control loop share the table of
+// SharesOverloads reports whether the request path and the control loop share the table of
 // overloaded replicas.
-func (d *Daemon) SharesCrowds() bool {
+func (d *Daemon) SharesOverloads() bool {
 	return d.control.overloads != nil && d.Relay.Placer.Crowds == d.control.overloads
 }
 
--- a/daemon/routes/loans.go
+++ b/daemon/routes/loans.go
@@ -25,10 +25,10 @@
 }
 
 // requestTransfer requests a transfer from another daemon of this daemon's failure domain.
-func (c *control) requestTransfer(w *transferNeeded, now time.Time) {
+func (c *control) requestTransfer(need *transferNeeded, now time.Time) {
 	lender, ok := c.roster.Neighbour(now, c.heartbeats.rng)
 	if !ok {
-		w.reply <- 0
+		need.reply <- 0
 		return
 	}
 	c.log.metrics.TransfersRequested.Inc(1)
@@ -37,8 +37,8 @@
 	if l.pending == nil {
 		l.pending = make(map[gossip.LoanID]pendingTransfer)
 	}
-	l.pending[l.last] = pendingTransfer{reply: w.reply, until: now.Add(routing.LoanTimeout)}
-	ask := gossip.LoanAsk{ID: l.last, From: c.roster.Self().Address, Service: w.service, Missing: w.missing}
+	l.pending[l.last] = pendingTransfer{reply: need.reply, until: now.Add(routing.LoanTimeout)}
+	ask := gossip.LoanAsk{ID: l.last, From: c.roster.Self().Address, Service: need.service, Missing: need.missing}
 	sendReports(c, []membership.Address{lender}, []gossip.LoanAsk{ask}, gossip.EncodeLoanAsks)
 }
 
--- a/daemon/routes/loans_test.go
+++ b/daemon/routes/loans_test.go
@@ -52,8 +52,9 @@
 	}
 }
 
-// request has the borrower request a transfer, and returns the amount received, or 0 if there was no response.
-func (p *transferPair) request(missing routing.Retries) routing.Retries {
+// requestTransfer has the borrower request a transfer, and returns the amount received, or 0 if there was
+// no response.
+func (p *transferPair) requestTransfer(missing routing.Retries) routing.Retries {
 	reply := make(chan routing.Retries, 1)
 	p.controls[borrower].handle(context.Background(), transferNeeded{service: "s", missing: missing, reply: reply}, p.now)
 	select {
@@ -66,13 +67,13 @@
 
 func TestDaemonsTransferUnusedBudget(t *testing.T) {
 	p := newTransferPair(t)
-	if lent := p.request(0.3); lent < 0.3 {
+	if lent := p.requestTransfer(0.3); lent < 0.3 {
 		t.Fatalf("lent %v, want 0.3", lent)
 	}
-	if lent := p.request(1); lent > 0.4 || lent < 0.39 {
+	if lent := p.requestTransfer(1); lent > 0.4 || lent < 0.39 {
 		t.Fatalf("lent %v, want what is left of 0.7", lent)
 	}
-	if lent := p.request(1); lent != 0 {
+	if lent := p.requestTransfer(1); lent != 0 {
 		t.Fatalf("lent %v from a spent budget", lent)
 	}
 	if asked, given := p.controls[borrower].log.metrics.TransfersRequested.Count(), p.controls[lender].log.metrics.TransfersGranted.Count(); asked != 3 || given != 2 {
@@ -80,7 +81,7 @@
 	}
 	p.now = p.now.Add(11 * time.Second)
 	p.controls[borrower].roster.Observe([]membership.Member{{Address: lender, Domain: "a", Incarnation: 1, Heartbeats: 2}}, p.now)
-	if lent := p.request(0.3); lent < 0.3 {
+	if lent := p.requestTransfer(0.3); lent < 0.3 {
 		t.Fatalf("lent %v after a window, want 0.3", lent)
 	}
 }
@@ -90,7 +91,7 @@
 func TestDuplicateTransferCountsOnce(t *testing.T) {
 	p := newTransferPair(t)
 	p.copies = 2
-	if lent := p.request(0.3); lent < 0.3 || lent > 0.302 {
+	if lent := p.requestTransfer(0.3); lent < 0.3 || lent > 0.302 {
 		t.Fatalf("lent %v, want 0.3 once", lent)
 	}
 }
@@ -124,7 +125,7 @@
 func TestTransferWithoutPeerInDomain(t *testing.T) {
 	p := newTransferPair(t)
 	p.controls[borrower].roster = membership.NewRoster(membership.Member{Address: borrower, Domain: "a"}, nil)
-	if lent := p.request(0.3); lent != 0 {
+	if lent := p.requestTransfer(0.3); lent != 0 {
 		t.Fatalf("lent %v without a lender", lent)
 	}
 }
--- a/daemon/routes/log.go
+++ b/daemon/routes/log.go
@@ -133,10 +133,10 @@
 		Int64("pulls", m.Syncs.Count()).Int64("pulled_bytes", m.SyncedBytes.Count()).Msg(prefixDaemon + "figures so far")
 }
 
-// Store logs that the store became unavailable, with the error, or available again.
-func (l *Log) Store(lost bool, err error, at feed.Revision) {
-	if lost {
-		const text = "unavailable; serving with the last known documents"
+// Store logs that the store became unreachable, with the error, or reachable again.
+func (l *Log) Store(unreachable bool, err error, at feed.Revision) {
+	if unreachable {
+		const text = "unreachable; serving with the last known documents"
 		l.timeline.Record(coordination.EventPlatform, "store", "", text)
 		l.logger.Warn().AnErr("error", err).Uint64("revision", uint64(at)).Msg(prefixStore + text)
 		return
--- a/daemon/routes/metrics.go
+++ b/daemon/routes/metrics.go
@@ -28,7 +28,7 @@
 	TransfersRequested metrics.Counter
 	TransfersGranted   metrics.Counter
 	Spilled            metrics.Counter
-	Copied             metrics.Counter
+	PromptsCopied      metrics.Counter
 	NewConnections     metrics.Counter
 	Ejections          metrics.Counter
 	// ReportedSilent counts the replicas that were silent according to other daemons' reports.
@@ -68,12 +68,12 @@
 	HeartbeatsReceived metrics.Counter
 	FirstByte          metrics.Histogram // milliseconds
 	Total              metrics.Histogram // milliseconds
-	// LoadMissed is the number of requests by which a replica's reported load exceeded the
+	// LoadUnderestimate is the number of requests by which a replica's reported load exceeded the
 	// estimate that it was chosen by, without the request itself. Coverage is the percentage
 	// of the fleet's daemons that the estimate included. Together they show whether the load
 	// bound of routing holds, and if not, whether missing load reports are the cause.
-	LoadMissed metrics.Histogram
-	Coverage   metrics.Histogram
+	LoadUnderestimate metrics.Histogram
+	Coverage          metrics.Histogram
 }
 
 // sampleSize and sampleAlpha are the parameters of the histograms' exponentially decaying samples.
@@ -96,7 +96,7 @@
 		"loans_asked_total":      &m.TransfersRequested,
 		"loans_given_total":      &m.TransfersGranted,
 		"spilled_total":          &m.Spilled,
-		"prompts_copied_total":   &m.Copied,
+		"prompts_copied_total":   &m.PromptsCopied,
 		"new_connections_total":  &m.NewConnections,
 		"passed_over_total":      &m.Ejections,
 		"found_silent_total":     &m.ReportedSilent,
@@ -124,7 +124,7 @@
 	}
 	m.FirstByte = metrics.NewRegisteredHistogram("first_byte_ms", m.registry, metrics.NewExpDecaySample(sampleSize, sampleAlpha))
 	m.Total = metrics.NewRegisteredHistogram("total_ms", m.registry, metrics.NewExpDecaySample(sampleSize, sampleAlpha))
-	m.LoadMissed = metrics.NewRegisteredHistogram("load_missed", m.registry, metrics.NewExpDecaySample(sampleSize, sampleAlpha))
+	m.LoadUnderestimate = metrics.NewRegisteredHistogram("load_missed", m.registry, metrics.NewExpDecaySample(sampleSize, sampleAlpha))
 	m.Coverage = metrics.NewRegisteredHistogram("load_coverage_percent", m.registry, metrics.NewExpDecaySample(sampleSize, sampleAlpha))
 	return m
 }
@@ -159,13 +159,13 @@
 			m.Spilled.Inc(1)
 		}
 		if t.Copied != "" {
-			m.Copied.Inc(1)
+			m.PromptsCopied.Inc(1)
 		}
 		if !t.Reused {
 			m.NewConnections.Inc(1)
 		}
 		if t.Reported.Known {
-			m.LoadMissed.Update(int64(max(0, t.Reported.Requests-1-t.Load)))
+			m.LoadUnderestimate.Update(int64(max(0, t.Reported.Requests-1-t.Load)))
 			m.Coverage.Update(int64(percent * t.Coverage))
 		}
 	}
--- a/daemon/routes/operator.go
+++ b/daemon/routes/operator.go
@@ -36,22 +36,22 @@
 
 // StatusAnswer is the response to GET /status.
 type StatusAnswer struct {
-	Daemon          state.DaemonID        `json:"daemon"`
-	Domain          state.FailureDomain   `json:"domain"`
-	Ready           bool                  `json:"ready"`
-	Stopping        bool                  `json:"stopping"`
-	UptimeMS        int64                 `json:"uptime_ms"`
-	Version         routing.ConfigVersion `json:"config_version"`
-	Revision        feed.Revision         `json:"revision"`
-	Era             feed.Era              `json:"era"`            // of the revision: how often the store was restored from a backup
-	ChangedMS       int64                 `json:"changed_ms_ago"` // since the documents changed; -1: never
-	StoreLost       bool                  `json:"store_lost"`
-	ReadsStore      bool                  `json:"reads_store"`
-	Daemons         int                   `json:"daemons"`
-	Routes          int                   `json:"routes"`
-	Replicas        int                   `json:"replicas"`
-	LogLinesDropped int64                 `json:"log_lines_left_out"`
-	Connections     int                   `json:"idle_connections"`
+	Daemon           state.DaemonID        `json:"daemon"`
+	Domain           state.FailureDomain   `json:"domain"`
+	Ready            bool                  `json:"ready"`
+	Stopping         bool                  `json:"stopping"`
+	UptimeMS         int64                 `json:"uptime_ms"`
+	Version          routing.ConfigVersion `json:"config_version"`
+	Revision         feed.Revision         `json:"revision"`
+	Era              feed.Era              `json:"era"`            // of the revision: how often the store was restored from a backup
+	ChangedMS        int64                 `json:"changed_ms_ago"` // since the documents changed; -1: never
+	StoreUnreachable bool                  `json:"store_lost"`
+	ReadsStore       bool                  `json:"reads_store"`
+	Daemons          int                   `json:"daemons"`
+	Routes           int                   `json:"routes"`
+	Replicas         int                   `json:"replicas"`
+	LogLinesDropped  int64                 `json:"log_lines_left_out"`
+	Connections      int                   `json:"idle_connections"`
 	// Evacuated lists the evacuated failure domains.
 	Evacuated []state.FailureDomain `json:"evacuated_domains"`
 	Cold      int                   `json:"cold_replicas"`
@@ -150,7 +150,7 @@
 // statusAnswer returns the part of the status that the control loop knows.
 func (c *control) statusAnswer(now time.Time) StatusAnswer {
 	a := StatusAnswer{
-		Domain: c.domain, Revision: c.catalog.feed.Revision(), Era: c.catalog.feed.Position().Era, ChangedMS: -1, StoreLost: c.storeLost,
+		Domain: c.domain, Revision: c.catalog.feed.Revision(), Era: c.catalog.feed.Position().Era, ChangedMS: -1, StoreUnreachable: c.storeUnreachable,
 		ReadsStore: c.readPlan.Load().Reads, Daemons: c.daemons, Replicas: len(c.catalog.replicas),
 		Evacuated: c.catalog.evacuations.Domains(),
 	}
@@ -208,8 +208,8 @@
 	return out
 }
 
-// heldAnswers lists the quarantined contents.
-func (c *control) heldAnswers(now time.Time) []HeldAnswer {
+// quarantinedAnswers lists the quarantined contents.
+func (c *control) quarantinedAnswers(now time.Time) []HeldAnswer {
 	out := []HeldAnswer{}
 	for _, h := range c.crashes.AllHeld(now) {
 		a := HeldAnswer{Content: h.Content.String(), Workspace: c.workspace(h.Caller), CrashedMS: h.For.Milliseconds(), Refused: h.Refused}
--- a/daemon/routes/restored_test.go
+++ b/daemon/routes/restored_test.go
@@ -235,7 +235,7 @@
 	if eraless(30, 23) != 0 {
 		t.Error("a daemon that can read the store fetches a revision without an era")
 	}
-	p.daemon.storeLost = true
+	p.daemon.storeUnreachable = true
 	if eraless(31, 23) != 1 {
 		t.Error("a later revision is not fetched although no daemon that names an era can read the store")
 	}
--- a/daemon/routes/store.go
+++ b/daemon/routes/store.go
@@ -250,7 +250,7 @@
 	r.store.Forget()
 	if r.backoff == 0 {
 		r.backoff = firstBackoff
-		r.control.post(ctx, storeReachabilityChanged{lost: true, err: err})
+		r.control.post(ctx, storeReachabilityChanged{unreachable: true, err: err})
 		return
 	}
 	pause(ctx, r.backoff/2+rand.N(r.backoff))
