--- a/daemon/routes/loans_test.go
+++ b/daemon/routes/loans_test.go
@@ -52,8 +52,9 @@
 	}
 }
 
-// request has the borrower request a transfer, and returns the amount received, or 0 if there was no response.
-func (p *transferPair) request(missing routing.Retries) routing.Retries {
+// requestTransfer has the borrower request a transfer, and returns the amount received, or 0 if there was
+// no response.
+func (p *transferPair) requestTransfer(missing routing.Retries) routing.Retries {
 	reply := make(chan routing.Retries, 1)
 	p.controls[borrower].handle(context.Background(), transferNeeded{service: "s", missing: missing, reply: reply}, p.now)
 	select {
@@ -64,15 +65,15 @@
 	}
 }
 
-func TestDaemonsLendWhatTheyHaveLeft(t *testing.T) {
+func TestDaemonsTransferUnusedBudget(t *testing.T) {
 	p := newTransferPair(t)
-	if lent := p.request(0.3); lent < 0.3 {
+	if lent := p.requestTransfer(0.3); lent < 0.3 {
 		t.Fatalf("lent %v, want 0.3", lent)
 	}
-	if lent := p.request(1); lent > 0.4 || lent < 0.39 {
+	if lent := p.requestTransfer(1); lent > 0.4 || lent < 0.39 {
 		t.Fatalf("lent %v, want what is left of 0.7", lent)
 	}
-	if lent := p.request(1); lent != 0 {
+	if lent := p.requestTransfer(1); lent != 0 {
 		t.Fatalf("lent %v from a spent budget", lent)
 	}
 	if asked, given := p.controls[borrower].log.metrics.TransfersRequested.Count(), p.controls[lender].log.metrics.TransfersGranted.Count(); asked != 3 || given != 2 {
@@ -80,24 +81,24 @@
 	}
 	p.now = p.now.Add(11 * time.Second)
 	p.controls[borrower].roster.Observe([]membership.Member{{Address: lender, Domain: "a", Incarnation: 1, Heartbeats: 2}}, p.now)
-	if lent := p.request(0.3); lent < 0.3 {
+	if lent := p.requestTransfer(0.3); lent < 0.3 {
 		t.Fatalf("lent %v after a window, want 0.3", lent)
 	}
 }
 
-// TestALoanThatComesTwiceCountsOnce delivers each datagram twice. The lender then grants the transfer
+// TestDuplicateTransferCountsOnce delivers each datagram twice. The lender then grants the transfer
 // twice, but the borrower must use only one of the two.
-func TestALoanThatComesTwiceCountsOnce(t *testing.T) {
+func TestDuplicateTransferCountsOnce(t *testing.T) {
 	p := newTransferPair(t)
 	p.copies = 2
-	if lent := p.request(0.3); lent < 0.3 || lent > 0.302 {
+	if lent := p.requestTransfer(0.3); lent < 0.3 || lent > 0.302 {
 		t.Fatalf("lent %v, want 0.3 once", lent)
 	}
 }
 
-// TestALoanThatIsNotAnsweredIsGivenUp simulates a lender of an earlier build, which ignores requests
+// TestUnansweredTransferExpires simulates a lender of an earlier build, which ignores requests
 // for transfers. The borrower must give up after LoanTimeout and drop the transfer.
-func TestALoanThatIsNotAnsweredIsGivenUp(t *testing.T) {
+func TestUnansweredTransferExpires(t *testing.T) {
 	p := newTransferPair(t)
 	c := p.controls[borrower]
 	c.events = make(chan event, eventQueue)
@@ -119,12 +120,12 @@
 	}
 }
 
-// TestADaemonAloneBorrowsNothing checks that a daemon which knows no other daemon in its failure domain
+// TestTransferWithoutPeerInDomain checks that a daemon which knows no other daemon in its failure domain
 // gets an immediate response of 0.
-func TestADaemonAloneBorrowsNothing(t *testing.T) {
+func TestTransferWithoutPeerInDomain(t *testing.T) {
 	p := newTransferPair(t)
 	p.controls[borrower].roster = membership.NewRoster(membership.Member{Address: borrower, Domain: "a"}, nil)
-	if lent := p.request(0.3); lent != 0 {
+	if lent := p.requestTransfer(0.3); lent != 0 {
 		t.Fatalf("lent %v without a lender", lent)
 	}
 }
--- a/daemon/routes/operator.go
+++ b/daemon/routes/operator.go
@@ -1,7 +1,6 @@
 // This file implements the HTTP interface for operators and scrapers: queries for status, members,
-// replicas, quarantined contents, timeline and metrics, and the commands to release a quarantined content
-// and to end a replica's backoff.
-// The field names are part of the published interface.
+// replicas, quarantined contents, timeline and metrics, and the commands to release a quarantined
+// content and to end a replica's backoff. The field names are part of the published interface.
 
 package routes
 
@@ -27,8 +26,8 @@
 	PathMembers  = "/members"
 	PathReplicas = "/replicas"
 	PathMetrics  = "/metrics"
-	// PathHeld lists the quarantined contents. A POST to PathRelease with a
-	// content releases its requests at all daemons.
+	// PathHeld lists the quarantined contents. A POST to PathRelease with a content releases it at
+	// all daemons.
 	PathHeld    = "/held"
 	PathRelease = "/release"
 	// A POST to PathLift with a replica ends the backoff that the replica requested of this daemon.
@@ -37,22 +36,22 @@
 
 // StatusAnswer is the response to GET /status.
 type StatusAnswer struct {
-	Daemon          state.DaemonID        `json:"daemon"`
-	Domain          state.FailureDomain   `json:"domain"`
-	Ready           bool                  `json:"ready"`
-	Stopping        bool                  `json:"stopping"`
-	UptimeMS        int64                 `json:"uptime_ms"`
-	Version         routing.ConfigVersion `json:"config_version"`
-	Revision        feed.Revision         `json:"revision"`
-	Era             feed.Era              `json:"era"`            // of the revision: how often the store was restored from a backup
-	ChangedMS       int64                 `json:"changed_ms_ago"` // since the documents changed; -1: never
-	StoreLost       bool                  `json:"store_lost"`
-	ReadsStore      bool                  `json:"reads_store"`
-	Daemons         int                   `json:"daemons"`
-	Routes          int                   `json:"routes"`
-	Replicas        int                   `json:"replicas"`
-	LogLinesDropped int64                 `json:"log_lines_left_out"`
-	Connections     int                   `json:"idle_connections"`
+	Daemon           state.DaemonID        `json:"daemon"`
+	Domain           state.FailureDomain   `json:"domain"`
+	Ready            bool                  `json:"ready"`
+	Stopping         bool                  `json:"stopping"`
+	UptimeMS         int64                 `json:"uptime_ms"`
+	Version          routing.ConfigVersion `json:"config_version"`
+	Revision         feed.Revision         `json:"revision"`
+	Era              feed.Era              `json:"era"`            // of the revision: how often the store was restored from a backup
+	ChangedMS        int64                 `json:"changed_ms_ago"` // since the documents changed; -1: never
+	StoreUnreachable bool                  `json:"store_lost"`
+	ReadsStore       bool                  `json:"reads_store"`
+	Daemons          int                   `json:"daemons"`
+	Routes           int                   `json:"routes"`
+	Replicas         int                   `json:"replicas"`
+	LogLinesDropped  int64                 `json:"log_lines_left_out"`
+	Connections      int                   `json:"idle_connections"`
 	// Evacuated lists the evacuated failure domains.
 	Evacuated []state.FailureDomain `json:"evacuated_domains"`
 	Cold      int                   `json:"cold_replicas"`
@@ -151,7 +150,7 @@
 // statusAnswer returns the part of the status that the control loop knows.
 func (c *control) statusAnswer(now time.Time) StatusAnswer {
 	a := StatusAnswer{
-		Domain: c.domain, Revision: c.catalog.feed.Revision(), Era: c.catalog.feed.Position().Era, ChangedMS: -1, StoreLost: c.storeLost,
+		Domain: c.domain, Revision: c.catalog.feed.Revision(), Era: c.catalog.feed.Position().Era, ChangedMS: -1, StoreUnreachable: c.storeUnreachable,
 		ReadsStore: c.readPlan.Load().Reads, Daemons: c.daemons, Replicas: len(c.catalog.replicas),
 		Evacuated: c.catalog.evacuations.Domains(),
 	}
@@ -209,8 +208,8 @@
 	return out
 }
 
-// heldAnswers lists the quarantined contents.
-func (c *control) heldAnswers(now time.Time) []HeldAnswer {
+// quarantinedAnswers lists the quarantined contents.
+func (c *control) quarantinedAnswers(now time.Time) []HeldAnswer {
 	out := []HeldAnswer{}
 	for _, h := range c.crashes.AllQuarantined(now) {
 		a := HeldAnswer{Content: h.Content.String(), Workspace: c.workspace(h.Caller), CrashedMS: h.For.Milliseconds(), Refused: h.Refused}
@@ -240,7 +239,7 @@
 	return strconv.FormatUint(uint64(key), 10)
 }
 
-// release releases requests with a content, here and, by a report to the peers, at all daemons. It
+// release releases a quarantined content, here and, by a report to the peers, at all daemons. It
 // returns false if the content is not known.
 func (c *control) release(content routing.ContentKey, now time.Time) bool {
 	known := c.crashes.Clear(content, now)
@@ -250,7 +249,7 @@
 	return known
 }
 
-// release handles an operator's command to release requests with a content.
+// release handles an operator's command to release a quarantined content.
 func (d *Daemon) release(w http.ResponseWriter, r *http.Request) {
 	content, err := routing.ParseContentKey(r.URL.Query().Get("content"))
 	if err != nil {
