--- a/transport/relay/relay_test.go
+++ b/transport/relay/relay_test.go
@@ -269,7 +269,7 @@
 		Expect(time.Since(begun)).To(BeNumerically("<", time.Second))
 	})
 
-	It("retries an idempotent request at another replica after any failure", func() {
+	It("retries an idempotent request at another replica after any failure, within the allowed attempts", func() {
 		calls := 0
 		script := func(a *receivedRequest) bool {
 			if countCall(&calls) < 3 {
