--- a/transport/clock/clock_test.go
+++ b/transport/clock/clock_test.go
@@ -24,35 +24,40 @@
 func TestClockCountsSuspensions(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		run  func(f *fakeSource, look func())
+		run  func(f *fakeSource, readClock func())
 		want time.Duration // elapsed by the clock
 	}{
 		{"no suspension", func(f *fakeSource, _ func()) { f.run(time.Minute) }, time.Minute},
 		{"one suspension", func(f *fakeSource, _ func()) { f.run(time.Second); f.suspend(5 * time.Second); f.run(time.Second) }, 7 * time.Second},
-		{"two suspensions", func(f *fakeSource, look func()) {
+		{"two suspensions", func(f *fakeSource, readClock func()) {
 			f.suspend(5 * time.Second)
-			look()
+			readClock()
 			f.run(time.Second)
 			f.suspend(3 * time.Second)
 		}, 9 * time.Second},
 		{"wall clock steps forward", func(f *fakeSource, _ func()) { f.run(time.Second); f.step(time.Hour) }, time.Second},
-		{"wall clock steps forward and back", func(f *fakeSource, look func()) { f.step(time.Hour); look(); f.run(time.Second); f.step(-time.Hour) }, time.Second},
-		{"suspension after the wall clock stepped back", func(f *fakeSource, look func()) { f.step(-time.Hour); look(); f.suspend(4 * time.Second) }, 4 * time.Second},
+		{"wall clock steps forward and back", func(f *fakeSource, readClock func()) {
+			f.step(time.Hour)
+			readClock()
+			f.run(time.Second)
+			f.step(-time.Hour)
+		}, time.Second},
+		{"suspension after the wall clock stepped back", func(f *fakeSource, readClock func()) { f.step(-time.Hour); readClock(); f.suspend(4 * time.Second) }, 4 * time.Second},
 		{"CLOCK_BOOTTIME is not available", func(f *fakeSource, _ func()) { f.unknown = true; f.run(time.Second); f.suspend(5 * time.Second) }, time.Second},
 		{"CLOCK_BOOTTIME jumps by itself", func(f *fakeSource, _ func()) { f.boot += 1000 * time.Hour; f.step(time.Second) }, time.Second + minOffsetChange},
-		{"gradual wall clock adjustments", func(f *fakeSource, look func()) {
+		{"gradual wall clock adjustments", func(f *fakeSource, readClock func()) {
 			for range 50 {
 				f.run(time.Second)
 				f.step(time.Millisecond)
-				look()
+				readClock()
 			}
 		}, 50 * time.Second},
 	} {
 		f := &fakeSource{boot: time.Hour}
 		clock := New(f)
-		begun := clock.Now()
+		start := clock.Now()
 		c.run(f, func() { clock.Now() })
-		if got := clock.Now().Sub(begun); got != c.want {
+		if got := clock.Now().Sub(start); got != c.want {
 			t.Errorf("%s: %v elapsed, want %v", c.name, got, c.want)
 		}
 	}
--- a/transport/relay/events_test.go
+++ b/transport/relay/events_test.go
@@ -21,11 +21,11 @@
 		var out []byte
 		for rest := stream; len(rest) > 0; {
 			n := min(size, len(rest))
-			whole, ok := e.add(rest[:n])
+			events, ok := e.add(rest[:n])
 			if !ok {
 				break
 			}
-			out = append(out, whole...)
+			out = append(out, events...)
 			rest = rest[n:]
 		}
 		if !bytes.HasPrefix(stream, out) {
--- a/transport/relay/liveness_test.go
+++ b/transport/relay/liveness_test.go
@@ -21,10 +21,10 @@
 // responses of one of the replicas.
 func TestResponseDisprovesReportedCrash(t *testing.T) {
 	RegisterTestingT(t)
-	answered := make(chan struct{})
+	respondSlow := make(chan struct{})
 	r := startReplica("r", func(a *receivedRequest) bool {
 		if string(a.body) == "slow" {
-			<-answered
+			<-respondSlow
 		}
 		return respondOK(a)
 	})
@@ -36,7 +36,7 @@
 	slow.Go(func() { w.serve(w.call("slow", "POST", "slow")) })
 	Eventually(r.count).Should(Equal(2))
 	w.relay.Placer.Health.ReportEnds([]routing.CrashReport{{Content: 5, Replica: r.LoadKey(), Age: 100 * time.Millisecond}}, time.Now())
-	close(answered)
+	close(respondSlow)
 	slow.Wait()
 	for _, id := range []string{"a", "b", "c"} {
 		if to, _ := w.serve(w.call(id, "POST", "x")); to.status != 200 {
--- a/transport/relay/pool.go
+++ b/transport/relay/pool.go
@@ -122,10 +122,10 @@
 func (p *Pool) dial(ctx context.Context, address string) (net.Conn, error) {
 	dialer := p.dialer
 	dialer.Timeout = p.dialTimes.Timeout()
-	begun := clock.Now()
+	started := clock.Now()
 	raw, err := dialer.DialContext(ctx, "tcp4", address)
 	if err == nil {
-		p.dialTimes.Observe(clock.Since(begun))
+		p.dialTimes.Observe(clock.Since(started))
 	}
 	return raw, err
 }
--- a/transport/relay/quarantine_test.go
+++ b/transport/relay/quarantine_test.go
@@ -15,8 +15,8 @@
 
 var _ = Describe("A request that crashes replicas", func() {
 	gone := 0
-	reportCrashes := func(w *fixture, c *relay.Call, ends int) {
-		for range ends {
+	reportCrashes := func(w *fixture, c *relay.Call, crashes int) {
+		for range crashes {
 			gone++
 			r := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(fmt.Sprint("gone", gone))})
 			w.relay.Crashes.ReportEnd(c.Content, c.Workspace, &r, time.Now())
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -104,16 +104,16 @@
 
 // sendAndRecord sends the call to a replica, updates what is known about the replica, and adds
 // the attempt to the summary.
-func (s *activeCall) sendAndRecord(ctx context.Context, t *routing.Target, begun time.Time) *failure {
+func (s *activeCall) sendAndRecord(ctx context.Context, t *routing.Target, started time.Time) *failure {
 	a := Attempt{
-		Replica: t.Replica.ID, Rank: t.Rank, Cold: t.Replica.IsCold(begun), PromptSource: t.Source.ID,
+		Replica: t.Replica.ID, Rank: t.Rank, Cold: t.Replica.IsCold(started), PromptSource: t.Source.ID,
 		Load: t.Load, MeanLoad: t.Mean, LoadCoverage: t.Coverage,
 	}
 	key := t.Replica.LoadKey()
 	s.Placer.Loads.Begin(key)
 	f := s.send(ctx, t, &a)
 	s.Placer.Loads.End(key)
-	a.Duration = clock.Since(begun)
+	a.Duration = clock.Since(started)
 	if f != nil {
 		a.Err = f.err
 		if f.countsAgainst {
--- a/transport/relay/relay_test.go
+++ b/transport/relay/relay_test.go
@@ -27,7 +27,7 @@
 func beNotRun() OmegaMatcher     { return BeAssignableToTypeOf(coordination.NotRun{}) }
 
 var _ = Describe("Relay of requests that are not streamed", func() {
-	DescribeTable("records the load that a replica reports, without the request it responds to", func(load string, crowded bool) {
+	DescribeTable("records the load that a replica reports, without the request it responds to", func(load string, overloaded bool) {
 		var replicas []*replica
 		for i := range 4 {
 			replicas = append(replicas, startReplica(fmt.Sprint(i), func(a *receivedRequest) bool {
@@ -43,7 +43,7 @@
 		}
 		_, s := w.serve(c)
 		Expect(s.Attempts).To(ConsistOf(HaveField("Reported.Known", true)))
-		if crowded {
+		if overloaded {
 			Expect(w.observer.overloaded).To(ConsistOf(s.Attempts[0].Replica))
 			return
 		}
@@ -179,7 +179,7 @@
 		r, other := startReplica("r", script), startReplica("r2", script)
 		w := newFixture(atMostOnce, r, other)
 		to, _ := w.serve(w.call("a", "POST", "x"))
-		Expect(to.whole).To(BeFalse())
+		Expect(to.complete).To(BeFalse())
 		Expect(to.refusal).To(beMayHaveRun())
 		Expect(r.count()+other.count()).To(Equal(1), "an at-most-once request is not retried")
 	},
@@ -366,11 +366,11 @@
 		}
 		scriptMu.Unlock()
 		w := newFixture(atMostOnce, r)
-		ctx, leave := context.WithCancel(context.Background())
+		ctx, disconnect := context.WithCancel(context.Background())
 		done := make(chan *relay.Summary)
 		go func() { done <- w.relay.Serve(ctx, w.call("a", "POST", "x"), &recordingSink{}) }()
 		<-reading
-		leave()
+		disconnect()
 		Eventually(r.closed, time.Second).Should(Receive())
 		Expect((<-done).CallerGone).To(BeTrue())
 	})
@@ -388,18 +388,18 @@
 		}
 		scriptMu.Unlock()
 		w := newFixture(idempotent, a, b)
-		ctx, leave := context.WithCancel(context.Background())
+		ctx, disconnect := context.WithCancel(context.Background())
 		done := make(chan *relay.Summary)
 		go func() { done <- w.relay.Serve(ctx, w.call("a", "POST", "x"), &recordingSink{}) }()
 		<-reading
-		leave()
+		disconnect()
 		Expect((<-done).Attempts).To(HaveLen(1))
 		Expect(a.count() + b.count()).To(Equal(1))
 	})
 })
 
 var _ = Describe("Relay of streams", func() {
-	whole := event(1) + event(2) + event(3)
+	allEvents := event(1) + event(2) + event(3)
 
 	It("forwards events as they arrive", func() {
 		gate := make(chan struct{})
@@ -417,7 +417,7 @@
 		Eventually(to.wrote, time.Second).Should(Receive())
 		close(gate)
 		<-done
-		Expect(string(to.body)).To(Equal(whole))
+		Expect(string(to.body)).To(Equal(allEvents))
 		Expect(to.broken).To(BeFalse())
 	})
 
@@ -475,7 +475,7 @@
 		r1, r2 := startReplica("r1", script), startReplica("r2", script)
 		w := newFixture(resumable, r1, r2)
 		to, s := w.serve(w.call("a", "POST", "x"))
-		Expect(string(to.body)).To(Equal(whole))
+		Expect(string(to.body)).To(Equal(allEvents))
 		Expect(to.broken).To(BeFalse())
 		Expect(s.Attempts).To(HaveLen(2))
 		second := r1
@@ -508,7 +508,7 @@
 		w := newFixture(resumable, startReplica("r1", script), startReplica("r2", script))
 		w.relay.Budgets = routing.NewRetryBudgets(routing.RetryRule{Window: 10 * time.Second}, 1)
 		to, s := w.serve(w.call("a", "POST", "x"))
-		Expect(string(to.body)).To(Equal(whole))
+		Expect(string(to.body)).To(Equal(allEvents))
 		Expect(to.broken).To(BeFalse())
 		Expect(s.Attempts).To(HaveLen(1))
 	})
@@ -547,7 +547,7 @@
 		reports := func(route routing.Route, replicas ...*replica) []routing.SilenceReport {
 			w := newFixture(route, replicas...)
 			to, _ := w.serve(w.call("a", "POST", "x"))
-			Expect(string(to.body)).To(Equal(whole))
+			Expect(string(to.body)).To(Equal(allEvents))
 			return w.relay.Placer.Health.TakeSilences(10, time.Now())
 		}
 		notResumable := resumable
@@ -583,7 +583,7 @@
 		}
 		w := newFixture(resumable, startReplica("r1", script), startReplica("r2", script))
 		to, _ := w.serve(w.call("a", "POST", "x"))
-		Expect(string(to.body)).To(Equal(whole))
+		Expect(string(to.body)).To(Equal(allEvents))
 	})
 
 	It("starts after the caller's last event", func() {
--- a/transport/relay/replica_test.go
+++ b/transport/relay/replica_test.go
@@ -176,17 +176,17 @@
 
 // recordingSink is a Sink that records what it is given.
 type recordingSink struct {
-	status  int
-	header  http.Header
-	body    []byte
-	refusal coordination.Outcome
-	broken  bool
-	whole   bool
-	wrote   chan struct{}
+	status   int
+	header   http.Header
+	body     []byte
+	refusal  coordination.Outcome
+	broken   bool
+	complete bool
+	wrote    chan struct{}
 }
 
 func (c *recordingSink) Respond(status int, h http.Header, body []byte) error {
-	c.status, c.header, c.body, c.whole = status, h, body, true
+	c.status, c.header, c.body, c.complete = status, h, body, true
 	return nil
 }
 
