--- a/transport/clock/clock_test.go
+++ b/transport/clock/clock_test.go
@@ -24,32 +24,27 @@
 func TestClockCountsSuspensions(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		run  func(f *fakeSource, readClock func())
+		run  func(f *fakeSource, read func())
 		want time.Duration // elapsed by the clock
 	}{
 		{"no suspension", func(f *fakeSource, _ func()) { f.run(time.Minute) }, time.Minute},
 		{"one suspension", func(f *fakeSource, _ func()) { f.run(time.Second); f.suspend(5 * time.Second); f.run(time.Second) }, 7 * time.Second},
-		{"two suspensions", func(f *fakeSource, readClock func()) {
+		{"two suspensions", func(f *fakeSource, read func()) {
 			f.suspend(5 * time.Second)
-			readClock()
+			read()
 			f.run(time.Second)
 			f.suspend(3 * time.Second)
 		}, 9 * time.Second},
 		{"wall clock steps forward", func(f *fakeSource, _ func()) { f.run(time.Second); f.step(time.Hour) }, time.Second},
-		{"wall clock steps forward and back", func(f *fakeSource, readClock func()) {
-			f.step(time.Hour)
-			readClock()
-			f.run(time.Second)
-			f.step(-time.Hour)
-		}, time.Second},
-		{"suspension after the wall clock stepped back", func(f *fakeSource, readClock func()) { f.step(-time.Hour); readClock(); f.suspend(4 * time.Second) }, 4 * time.Second},
+		{"wall clock steps forward and back", func(f *fakeSource, read func()) { f.step(time.Hour); read(); f.run(time.Second); f.step(-time.Hour) }, time.Second},
+		{"suspension after the wall clock stepped back", func(f *fakeSource, read func()) { f.step(-time.Hour); read(); f.suspend(4 * time.Second) }, 4 * time.Second},
 		{"CLOCK_BOOTTIME is not available", func(f *fakeSource, _ func()) { f.unknown = true; f.run(time.Second); f.suspend(5 * time.Second) }, time.Second},
 		{"CLOCK_BOOTTIME jumps by itself", func(f *fakeSource, _ func()) { f.boot += 1000 * time.Hour; f.step(time.Second) }, time.Second + minOffsetChange},
-		{"gradual wall clock adjustments", func(f *fakeSource, readClock func()) {
+		{"gradual wall clock adjustments", func(f *fakeSource, read func()) {
 			for range 50 {
 				f.run(time.Second)
 				f.step(time.Millisecond)
-				readClock()
+				read()
 			}
 		}, 50 * time.Second},
 	} {
