--- a/daemon/routes/daemon.go
+++ b/daemon/routes/daemon.go
@@ -31,8 +31,8 @@
 // Platform is the platform-specific part of a daemon.
 type Platform struct {
 	Store Store
-	// HistoryGone is the error of a watch whose start revision the store no longer has; the
-	// store must be listed again.
+	// HistoryGone is the error of a watch if the store no longer knows what changed since the
+	// given revision. The store must then be listed again.
 	HistoryGone error
 	Documents   Documents
 	Codec       relay.Codec
@@ -61,8 +61,8 @@
 }
 
 // New opens the listeners and assembles a daemon. Nothing is served before Run.
-func New(s *Settings, o Platform, logTo io.Writer) (*Daemon, error) {
-	d := &Daemon{settings: s, platform: o, Metrics: newMetrics(), started: clock.Now(), pool: relay.NewPool()}
+func New(s *Settings, p Platform, logTo io.Writer) (*Daemon, error) {
+	d := &Daemon{settings: s, platform: p, Metrics: newMetrics(), started: clock.Now(), pool: relay.NewPool()}
 	d.Log = newLog(logTo, s.LogLevel, string(s.ID), d.Metrics)
 	limitMemory(s.MemoryMB)
 	if err := d.open(); err != nil {
--- a/daemon/routes/era.go
+++ b/daemon/routes/era.go
@@ -86,9 +86,9 @@
 // if it names none. Builds without support for eras send revisions only, which may be from before a
 // restore. Such revisions are interpreted in the current era only as a last resort: if this daemon can't
 // reach the store, no live peer that names an era can read it, and this process has seen no restore.
-func (c *control) resolveEra(named feed.Era, now time.Time) feed.Era {
-	if named == 0 && c.storeUnreachable && !c.era.restored && !c.roster.EraIsRead(now) {
+func (c *control) resolveEra(declared feed.Era, now time.Time) feed.Era {
+	if declared == 0 && c.storeUnreachable && !c.era.restored && !c.roster.EraIsRead(now) {
 		return c.catalog.feed.Position().Era
 	}
-	return named
+	return declared
 }
--- a/daemon/routes/log.go
+++ b/daemon/routes/log.go
@@ -145,19 +145,19 @@
 	l.logger.Info().Uint64("revision", uint64(at)).Msg(prefixStore + "regained")
 }
 
-// StoreRestored logs that the store was restored from a backup. source is where this was learned from: the store
-// or a peer's address. differs is the number of documents that changed, and kept is the version of the
+// StoreRestored logs that the store was restored from a backup. source is where this was learned from: the
+// store or a peer's address. changed is the number of documents that changed, and version is that of the
 // active configuration.
-func (l *Log) StoreRestored(from, to feed.Position, source string, differs int, kept routing.ConfigVersion) {
+func (l *Log) StoreRestored(from, to feed.Position, source string, changed int, version routing.ConfigVersion) {
 	l.timeline.Record(coordination.EventPlatform, "store", "", "restored from a backup; era %d begins", uint64(to.Era))
 	l.metrics.StoreEras.Inc(1)
 	l.logger.Warn().Uint64("from_era", uint64(from.Era)).Uint64("from_revision", uint64(from.Revision)).
 		Uint64("era", uint64(to.Era)).Uint64("revision", uint64(to.Revision)).Str("source", source).
-		Int("documents", differs).Uint64("version", uint64(kept)).Msg(prefixStore + "restored from a backup; changes made after the backup are missing until they are written again")
+		Int("documents", changed).Uint64("version", uint64(version)).Msg(prefixStore + "restored from a backup; changes made after the backup are missing until they are written again")
 }
 
-// PreRestoreDocuments logs how documents from before a restore were handled that the restored store lacks or has older
-// versions of.
+// PreRestoreDocuments logs how documents from before a restore were handled which the restored store lacks
+// or has older versions of.
 func (l *Log) PreRestoreDocuments(n int, text string) {
 	l.logger.Warn().Int("documents", n).Msg(prefixControl + text)
 }
--- a/daemon/routes/operator.go
+++ b/daemon/routes/operator.go
@@ -242,11 +242,11 @@
 // release releases a quarantined content, here and, by a report to the peers, at all daemons. It
 // returns false if the content is not known.
 func (c *control) release(content routing.ContentKey, now time.Time) bool {
-	known := c.crashes.Acquit(content, now)
-	if known {
+	released := c.crashes.Acquit(content, now)
+	if released {
 		c.log.Released(content)
 	}
-	return known
+	return released
 }
 
 // release handles an operator's command to release a quarantined content.
--- a/daemon/routes/store.go
+++ b/daemon/routes/store.go
@@ -69,7 +69,7 @@
 type reader struct {
 	store       Store
 	control     *control
-	historyGone error // the store's error after which it must be listed again
+	historyGone error // see Platform.HistoryGone
 	eras        membership.Eras
 	countCall   func() // called for each call to the store
 	countOlder  func() // called for each response that is older than the known position
