--- a/coordination/routing/evidence.go
+++ b/coordination/routing/evidence.go
@@ -17,7 +17,7 @@
 	ResultFailed
 	// ResultBroken is an incomplete or invalid response, or none because the connection broke.
 	ResultBroken
-	// ResultSilent is no response within the time limit (giveup.go).
+	// ResultSilent is no response within the time limit (timeouts.go).
 	ResultSilent
 	// ResultUnreachable is a failed connection attempt.
 	ResultUnreachable
--- a/daemon/routes/loans_test.go
+++ b/daemon/routes/loans_test.go
@@ -97,7 +97,7 @@
 }
 
 // TestUnansweredTransferExpires simulates a lender of an earlier build, which ignores requests
-// for transfers. The borrower must give up after LoanTimeout and drop the transfer.
+// for transfers. The borrower must give up after TransferTimeout and drop the transfer.
 func TestUnansweredTransferExpires(t *testing.T) {
 	p := newTransferPair(t)
 	c := p.controls[borrower]
