--- a/protocol/bench_test.go
+++ b/protocol/bench_test.go
@@ -12,7 +12,7 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// The size of two years.
+// Expected deployment size in two years.
 const (
 	futureDaemons = 930
 	futureEngines = 4500
@@ -21,8 +21,8 @@
 	futureModels  = 24
 )
 
-// futureConfig is an operators' file with some workspaces, in which a comment
-// stands for a change.
+// futureConfig returns a configuration file with the given number of workspaces.
+// Two files with different comments differ in one line.
 func futureConfig(workspaces int, comment string) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "version: 5000 # %s\nregions:\n", comment)
@@ -49,6 +49,8 @@
 	return b.Bytes()
 }
 
+// futureList returns a member list of the expected size. The member whose index is
+// the revision is leaving, so that successive revisions differ.
 func futureList(revision int) []byte {
 	var members []state.Member
 	for i := range futureDaemons + futureEngines {
@@ -104,7 +106,8 @@
 	}
 }
 
-// BenchmarkDelta packs and unpacks a change of one line, and of one member.
+// BenchmarkDelta packs and unpacks a change to one line of a configuration and to
+// a few entries of a member list.
 func BenchmarkDelta(b *testing.B) {
 	cases := []struct {
 		name      string
@@ -139,8 +142,9 @@
 	}
 }
 
-// BenchmarkControlMemory is the memory of what a daemon knows at the size of
-// two years: four contents of each document, the newest parsed, a snapshot.
+// BenchmarkControlMemory measures the heap that a daemon's control state takes at the
+// size expected in two years: four versions of each document, the newest one parsed,
+// and a snapshot.
 func BenchmarkControlMemory(b *testing.B) {
 	for range b.N {
 		runtime.GC()
--- a/protocol/delta.go
+++ b/protocol/delta.go
@@ -1,5 +1,5 @@
-// This file packs a document as its difference from another one. A change of a
-// few lines in a file of a megabyte then costs a few hundred bytes on the wire.
+// This file encodes documents as deltas against a base document, so that a change
+// to a few lines of a 1 MB file costs a few hundred bytes on the wire.
 
 package protocol
 
@@ -13,16 +13,18 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// MaxDocumentBytes is the largest document that daemons pass on.
+// MaxDocumentBytes is the size of the largest document that daemons forward.
 const MaxDocumentBytes = 4 << 20
 
-// deltaDictionary is the id that both sides give to the base text.
+// deltaDictionary is the Zstandard dictionary ID of the base text, fixed on both
+// sides.
 const deltaDictionary = 1
 
-// errDelta is returned for content that does not unpack to what its head names.
-var errDelta = errors.New("document does not unpack to the content its head names; it is fetched whole next time")
+// errDelta is returned if the unpacked text does not match the digest in its head.
+var errDelta = errors.New("unpacked document does not match its head; the next fetch requests the complete document")
 
-// PackDocument returns a document as a delta against base, which may be nil.
+// PackDocument compresses a document as a delta against base. If base is empty, the
+// result stands alone.
 func PackDocument(head state.Head, text []byte, baseHead state.Head, base []byte) (*peer.FetchResponse, error) {
 	opts := []zstd.EOption{zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(MaxDocumentBytes), zstd.WithEncoderCRC(false)}
 	if len(base) > 0 {
@@ -40,8 +42,8 @@
 	return resp, nil
 }
 
-// UnpackDocument returns the text of a packed document. The text is checked
-// against its head, so a wrong or hostile delta is refused.
+// UnpackDocument returns the head and text of a packed document. It checks the text
+// against the head and rejects a wrong or malicious delta.
 func UnpackDocument(resp *peer.FetchResponse, base []byte) (state.Head, []byte, error) {
 	head := DecodeHead(resp.GetHead())
 	opts := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(MaxDocumentBytes), zstd.WithDecoderMaxWindow(2 * MaxDocumentBytes)}
--- a/protocol/doc.go
+++ b/protocol/doc.go
@@ -1,17 +1,17 @@
-// Package protocol defines the shapes on the wire: what callers, engines, the
-// platform and peers send, and how it is read and checked. It does no I/O of
-// its own beyond reading from an io.Reader it is given.
+// Package protocol defines, parses and validates the messages that callers,
+// engines, the platform and peers exchange with the daemon. Its only I/O is reading
+// from an io.Reader passed to it.
 //
-// Each outside system has one small file, so that another system's protocol can
-// take its place: openai.go for callers and engines' answers, engine.go for
-// what engines say of themselves, platform.go for the published documents,
-// gossip.go for peers of the OpenAI front end.
+// The protocol of each external system is in a file of its own, so that it can be
+// replaced: openai.go for callers and engine responses, engine.go for the state
+// that engines report, platform.go for the published documents, gossip.go for peers
+// of the OpenAI front end.
 //
 // # Usage
 //
 //	req, err := protocol.ParseChat(body)
 //	if err != nil {
-//		// *protocol.BadRequestError: its message names the remedy
+//		// a *protocol.BadRequestError, whose message includes the remedy
 //	}
 //	key := coordination.ChatKeyOf(w.Name, req.Model, req.Identity())
 package protocol
--- a/protocol/engine.go
+++ b/protocol/engine.go
@@ -1,5 +1,5 @@
-// This file defines what engines and services say of themselves. It is the one
-// place to change for another engine's protocol.
+// This file defines the protocol in which engines and services report their state.
+// Support for another engine protocol requires changes only here.
 
 package protocol
 
@@ -15,7 +15,7 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// Paths that engines serve.
+// Paths served by engines.
 const (
 	PathChat    = "/v1/chat/completions"
 	PathModels  = "/v1/models"
@@ -25,9 +25,9 @@
 	PathKV      = "/v1/kv/"
 )
 
-// UpstreamState is the answer to GET /v1/state?after=N&wait_ms=T. An upstream
-// answers at once if its sequence number is above N and else when the wait
-// ends.
+// UpstreamState is the response to GET /v1/state?after=N&wait_ms=T, a long poll.
+// An upstream responds immediately if its sequence number is greater than N, and
+// otherwise after T at the latest.
 type UpstreamState struct {
 	Incarnation uint64 `json:"incarnation"`
 	State       string `json:"state"` // live or leaving
@@ -35,28 +35,29 @@
 	Running     int    `json:"running"`
 	Queued      int    `json:"queued"`
 	// Work is the outstanding work in thousandths of a request of average
-	// cost. An upstream that does not give it is weighed by its requests.
+	// cost. If it is absent, the load is computed from Running and Queued.
 	Work *uint32 `json:"work,omitempty"`
 }
 
-// StateTarget returns the request target of a state query.
+// StateTarget returns the request target of a state query, as described at
+// [UpstreamState].
 func StateTarget(after uint64, wait time.Duration) string {
 	q := url.Values{"after": {strconv.FormatUint(after, 10)}, "wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)}}
 	return PathState + "?" + q.Encode()
 }
 
-// ResumeTarget returns the request target that continues a stream after a
-// position.
+// ResumeTarget returns the request target that resumes a stream after the event
+// with the given sequence number.
 func ResumeTarget(stream string, after uint64) string {
 	return PathStreams + url.PathEscape(stream) + "?after=" + strconv.FormatUint(after, 10)
 }
 
-// maxWork caps what one upstream can report, so that a wrong figure can't
-// overflow sums.
+// maxWork caps the load that one upstream can report, so that an incorrect value
+// cannot overflow sums.
 const maxWork = 1_000_000
 
-// ParseUpstreamState reads an upstream's state into an event for the control
-// loop.
+// ParseUpstreamState decodes an upstream's state into an event for the control
+// loop. It also returns the sequence number of the state.
 func ParseUpstreamState(id state.UpstreamID, body []byte) (fleet.UpstreamSeen, uint64, error) {
 	var s UpstreamState
 	if err := json.Unmarshal(body, &s); err != nil {
@@ -79,9 +80,9 @@
 	return ev, s.Seq, nil
 }
 
-// RefusedByUpstream reports whether an upstream's answer says that it did not
-// run the request. A bare 429 or 503 does not say so: what stands in front of
-// an engine may send it after the engine has begun.
+// RefusedByUpstream reports whether an upstream's response states that it did not
+// run the request. A 429 or 503 without the outcome header is not enough: a proxy
+// in front of an engine may send it after the engine has started.
 func RefusedByUpstream(resp *http.Response) bool {
 	return resp.StatusCode >= http.StatusBadRequest && resp.Header.Get(HeaderOutcome) == OutcomeNotRun
 }
--- a/protocol/gossip.go
+++ b/protocol/gossip.go
@@ -1,6 +1,6 @@
-// This file turns the messages between daemons into the types of the
-// coordination package and back. What a peer sends is checked here: a wrong
-// field is left out or cut, it never reaches a decision.
+// This file converts gossip messages between their wire form and the types of
+// coordination/fleet. Fields from a peer are validated here: an invalid field is
+// dropped or clamped and never affects a decision.
 
 package protocol
 
@@ -42,11 +42,12 @@
 	return out
 }
 
-// maxListAge is the age that a peer can give for its list; one beyond it is
-// never fresh anyhow, and the limit keeps the arithmetic from overflowing.
+// maxListAge is the greatest age that a peer can report for its member list. An
+// older list never counts as fresh, and the limit keeps the conversion to
+// time.Duration from overflowing.
 const maxListAge = 24 * time.Hour
 
-// DecodeGossip reads the wire form of a message.
+// DecodeGossip validates and converts the wire form of a message.
 func DecodeGossip(m *peer.News) fleet.Gossip {
 	out := fleet.Gossip{
 		Sender:         state.DaemonID(m.GetSender()),
@@ -73,6 +74,8 @@
 	return out
 }
 
+// decodeReport returns false for a report without an id or with an unknown state,
+// and clamps numbers that are too large.
 func decodeReport(r *peer.Report) (fleet.Report, bool) {
 	st := state.MemberState(min(r.GetState(), 255))
 	if r.GetId() == "" || st < state.Live || st > state.Gone {
@@ -88,7 +91,7 @@
 	}, true
 }
 
-// EncodeHead returns the message of a head; the zero head is a nil message.
+// EncodeHead returns the wire form of a head, which is nil for the zero head.
 func EncodeHead(h state.Head) *peer.Head {
 	if h.IsZero() {
 		return nil
@@ -96,8 +99,8 @@
 	return &peer.Head{Version: h.Version, Digest: h.Digest[:]}
 }
 
-// DecodeHead returns the head of a message. A digest of a wrong length gives
-// the zero head, which is older than all others.
+// DecodeHead converts the wire form of a head. If the digest has the wrong length,
+// it returns the zero head, which is older than all others.
 func DecodeHead(m *peer.Head) state.Head {
 	h := state.Head{Version: m.GetVersion()}
 	if len(m.GetDigest()) != len(h.Digest) {
--- a/protocol/header.go
+++ b/protocol/header.go
@@ -1,5 +1,5 @@
-// This file names the header fields that are used, and those that belong to one
-// connection and are never passed on (RFC 9110, section 7.6.1).
+// This file defines the header fields in use and removes the hop-by-hop fields,
+// which are never forwarded (RFC 9110, section 7.6.1).
 
 package protocol
 
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Header fields towards callers, engines and services.
+// Header fields exchanged with callers, engines and services.
 const (
 	HeaderRequestID      = "X-Request-Id"
 	HeaderOutcome        = "X-Outcome"
@@ -25,25 +25,26 @@
 	HeaderTimeoutMS      = "X-Timeout-Ms"
 )
 
-// OutcomeNotRun is the value of HeaderOutcome by which an upstream itself says
-// that it did not run a request.
+// OutcomeNotRun is the value of HeaderOutcome with which an upstream states that it
+// did not run a request.
 const OutcomeNotRun = "not-run"
 
-// connectionFields belong to one connection. Some are no longer standard and
-// are still sent.
+// connectionFields apply to a single connection. Some are no longer standard but
+// are still sent by clients.
 var connectionFields = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// privateFields are between the caller and the daemon, or the daemon's own to
-// write: a caller must not pass a key on or set what upstreams take from us.
+// privateFields are removed from requests before they are forwarded: they are meant
+// for the daemon, or only the daemon may set them. Upstreams must not see the
+// caller's key, and a caller must not set fields that upstreams trust.
 var privateFields = []string{
 	"Authorization", "Content-Length", "Expect", HeaderPriority, HeaderRequestID,
 	HeaderTimeoutMS, HeaderOutcome, HeaderReason, HeaderDaemon, HeaderUpstream,
 }
 
-// ForwardHeader returns the fields of a caller's request that go to an
+// ForwardHeader returns the fields of a caller's request that are forwarded to an
 // upstream.
 func ForwardHeader(h http.Header) http.Header {
 	out := h.Clone()
@@ -57,7 +58,8 @@
 	return out
 }
 
-// ReturnHeader returns the fields of an upstream's answer that go to a caller.
+// ReturnHeader returns the fields of an upstream's response that are forwarded to
+// the caller.
 func ReturnHeader(h http.Header) http.Header {
 	out := h.Clone()
 	if out == nil {
@@ -68,8 +70,8 @@
 	return out
 }
 
-// removeConnectionFields removes the standard fields and those that the
-// Connection field names.
+// removeConnectionFields removes the standard hop-by-hop fields and those listed in
+// the Connection field.
 func removeConnectionFields(h http.Header) {
 	for _, list := range h["Connection"] {
 		for _, name := range strings.Split(list, ",") {
--- a/protocol/openai.go
+++ b/protocol/openai.go
@@ -1,6 +1,5 @@
-// This file reads the chat-completions request as far as routing needs it. The
-// body itself goes to the engine as it came: tools and fields that are unknown
-// here pass through untouched.
+// This file parses the parts of a chat-completions request that routing needs. The
+// body is forwarded to the engine unchanged, including tools and unknown fields.
 
 package protocol
 
@@ -16,20 +15,21 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// StreamEnd is the data of the event that ends a streamed answer.
+// StreamEnd is the data of the event that terminates a streamed response.
 const StreamEnd = "[DONE]"
 
-// ChatRequest is what routing needs of a chat-completions request.
+// ChatRequest holds the fields of a chat-completions request that routing uses.
 type ChatRequest struct {
 	Model state.ModelID
 	// CacheKey is the caller's prompt_cache_key, or empty.
 	CacheKey string
-	// Leading holds the messages up to the first of the user, as the caller
-	// wrote them. They are the same in each turn of one chat.
+	// Leading is the raw JSON of the messages up to and including the first user
+	// message. It is the same in each turn of a chat.
 	Leading []byte
 }
 
-// Identity returns what stays the same over the turns of one chat.
+// Identity returns a value that identifies the chat: it is the same for all its
+// turns.
 func (r *ChatRequest) Identity() []byte {
 	if r.CacheKey != "" {
 		return []byte(r.CacheKey)
@@ -37,10 +37,9 @@
 	return r.Leading
 }
 
-// BadRequestError says what is wrong with a caller's request and how to mend
-// it.
+// BadRequestError describes a problem with a caller's request and how to fix it.
 type BadRequestError struct {
-	Param  string // the field at fault, or empty
+	Param  string // the invalid field, or empty
 	Text   string
 	Remedy string
 }
@@ -52,13 +51,15 @@
 	return &BadRequestError{Param: param, Text: text, Remedy: remedy}
 }
 
-// chatFields are the fields that are read. Names are compared exactly: a
-// decoder that took "Model" for "model" could be made to check one model and
-// have the engine run another.
+// chatFields holds the fields that are read. Names are matched case-sensitively: a
+// decoder that accepted "Model" as "model" could authorize one model while the
+// engine runs another.
 type chatFields struct {
 	model, stream, cacheKey, messages gjson.Result
 }
 
+// slot returns where the value of the named field is stored, or nil if the field is
+// not read.
 func (f *chatFields) slot(name string) *gjson.Result {
 	switch name {
 	case "model":
@@ -73,8 +74,9 @@
 	return nil
 }
 
-// ParseChat reads a chat-completions body. The error is a [*BadRequestError].
-// The result refers to the body, which must not be changed while it is used.
+// ParseChat parses the body of a chat-completions request. Its error is a
+// [*BadRequestError]. The result refers to body, which must not be modified while
+// the result is in use.
 func ParseChat(body []byte) (*ChatRequest, error) {
 	if !utf8.Valid(body) {
 		return nil, badRequest("", "body is not valid UTF-8", "encode the JSON as UTF-8")
@@ -129,8 +131,8 @@
 	return nil
 }
 
-// leadingTurns returns the messages up to the first one of the user. What
-// follows is not looked at, so the cost does not grow with the chat.
+// leadingTurns returns the messages up to and including the first user message. It
+// does not look at the messages after it, so its cost does not grow with the chat.
 func leadingTurns(body []byte, messages gjson.Result) ([]byte, error) {
 	var first, last gjson.Result
 	ok := messages.IsArray()
@@ -149,7 +151,7 @@
 	return body[first.Index : last.Index+len(last.Raw)], nil
 }
 
-// ModelList is the answer to GET /v1/models.
+// ModelList is the response to GET /v1/models.
 type ModelList struct {
 	Object string       `json:"object"`
 	Data   []ModelEntry `json:"data"`
@@ -163,7 +165,7 @@
 	OwnedBy string        `json:"owned_by"`
 }
 
-// NewModelList returns the list of the given models.
+// NewModelList returns a ModelList with an entry for each ID.
 func NewModelList(ids []state.ModelID) ModelList {
 	l := ModelList{Object: "list", Data: make([]ModelEntry, len(ids))}
 	for i, id := range ids {
@@ -172,8 +174,8 @@
 	return l
 }
 
-// ErrorBody is an error in the shape of the OpenAI protocol, with the outcome
-// added. Outcome is "not-run" or "may-have-run".
+// ErrorBody is an error response of the OpenAI protocol, extended by the request's
+// outcome, "not-run" or "may-have-run".
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
@@ -188,11 +190,11 @@
 	RequestID state.RequestID `json:"request_id"`
 }
 
-// ErrTooLarge is returned by ReadBounded.
+// ErrTooLarge is returned by [ReadBounded] if the content exceeds the limit.
 var ErrTooLarge = errors.New("content is larger than the limit")
 
-// ReadBounded reads all of r, at most limit bytes. size is the announced length
-// or a negative number.
+// ReadBounded reads r to its end, and fails with [ErrTooLarge] if that takes more
+// than limit bytes. size is the announced length, or negative if it is unknown.
 func ReadBounded(r io.Reader, size, limit int64) ([]byte, error) {
 	if size > limit {
 		return nil, ErrTooLarge
--- a/protocol/peer/generate.go
+++ b/protocol/peer/generate.go
@@ -1,11 +1,11 @@
-// Package peer holds the messages that daemons exchange, generated from
-// peer.proto, as Protocol Buffers over twirp.
+// Package peer defines the messages that daemons exchange: Protocol Buffers over
+// Twirp, generated from peer.proto.
 //
 // # Usage
 //
-// The generated code is committed, so a build needs no generator. After a
-// change of peer.proto run, with buf, protoc-gen-go and protoc-gen-twirp on the
-// path:
+// The generated code is committed, so builds do not need the generators. After a
+// change to peer.proto, run the following with buf, protoc-gen-go and
+// protoc-gen-twirp in PATH:
 //
 //	cd protocol/peer && buf generate
 package peer
--- a/protocol/peer/peer.twirp.go
+++ b/protocol/peer/peer.twirp.go
@@ -31,16 +31,16 @@
 // Peer Interface
 // ==============
 
-// Peer is what each daemon offers to the others.
+// Peer is the service that each daemon provides to its peers.
 type Peer interface {
-	// Exchange tells news both ways.
+	// Exchange sends the caller's gossip and returns that of the receiver.
 	Exchange(context.Context, *News) (*News, error)
 
 	// Fetch returns a published document as a delta against one that the caller
 	// has.
 	Fetch(context.Context, *FetchRequest) (*FetchResponse, error)
 
-	// Run runs a request that must not be repeated, at the daemon that keeps its
+	// Run executes a request that must not be repeated, on the daemon that owns its
 	// key.
 	Run(context.Context, *RunRequest) (*RunResponse, error)
 }
--- a/protocol/platform.go
+++ b/protocol/platform.go
@@ -1,5 +1,5 @@
-// This file defines the documents that the platform publishes. It is the one
-// place to change for another platform's protocol.
+// This file defines the documents that the platform publishes. Support for another
+// platform protocol requires changes only here.
 
 package protocol
 
@@ -11,8 +11,8 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// Paths of the platform. Both answer 304 when the wait ends without a change
-// from the content that If-None-Match names.
+// Paths served by the platform. Both return 304 if the content still matches
+// If-None-Match when the wait time has elapsed.
 const (
 	PathConfig  = "/v1/config"
 	PathMembers = "/v1/members"
@@ -33,8 +33,8 @@
 	State       string `json:"state"`
 }
 
-// ParseMemberList reads the platform's list. A list with one wrong entry is
-// refused as a whole: half a list is worse than the last good one.
+// ParseMemberList parses the platform's member list. A list with an invalid entry is
+// rejected as a whole, because an incomplete list is worse than the last valid one.
 func ParseMemberList(text []byte) (*state.MemberList, error) {
 	var doc listDocument
 	if err := json.Unmarshal(text, &doc); err != nil {
@@ -48,7 +48,7 @@
 			return nil, fmt.Errorf("member list: entry %d (%q): %w", i, d.ID, err)
 		}
 		if seen[d.ID] {
-			return nil, fmt.Errorf("member list: entry %d: id %q stands twice", i, d.ID)
+			return nil, fmt.Errorf("member list: entry %d: id %q is listed twice", i, d.ID)
 		}
 		seen[d.ID] = true
 		members = append(members, m)
--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -31,13 +31,13 @@
 		Expect(err).NotTo(HaveOccurred())
 		return string(r.Identity())
 	}
-	It("stays the same over turns", func() {
+	It("is the same for all turns", func() {
 		first := `{"role":"system","content":"s"},{"role":"user","content":"u"}`
 		one := identity(`{"model":"m","messages":[` + first + `]}`)
 		two := identity(`{"messages":[` + first + `,{"role":"assistant","content":"a"},{"role":"user","content":"v"}],"model":"m"}`)
 		Expect(one).To(Equal(two))
 	})
-	It("is the cache key where the caller gives one", func() {
+	It("is the cache key if the caller sends one", func() {
 		Expect(identity(`{"model":"m","prompt_cache_key":"k","messages":[{"role":"user"}]}`)).To(Equal("k"))
 	})
 })
@@ -54,14 +54,14 @@
 			out = append(out, fmt.Sprintf("%d:%s", ev.Seq, ev.Data))
 		}
 	}
-	DescribeTable("reads whole events only", func(text string, want []string, end error) {
+	DescribeTable("returns only complete events", func(text string, want []string, end error) {
 		got, err := read(text)
 		Expect(got).To(Equal(want))
 		Expect(err).To(MatchError(end))
 	},
 		Entry("numbered", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", []string{"1:a", "2:b"}, io.EOF),
-		Entry("cut in a line", "data: a\n\ndata: b", []string{"0:a"}, io.ErrUnexpectedEOF),
-		Entry("cut before the blank line", "data: a\n\ndata: b\n", []string{"0:a"}, io.ErrUnexpectedEOF),
+		Entry("truncated within a line", "data: a\n\ndata: b", []string{"0:a"}, io.ErrUnexpectedEOF),
+		Entry("truncated before the blank line", "data: a\n\ndata: b\n", []string{"0:a"}, io.ErrUnexpectedEOF),
 		Entry("several data lines", "data: a\ndata:b\n\n", []string{"0:a\nb"}, io.EOF),
 		Entry("comments", ": ping\n\n: ping\ndata: a\n\n", []string{"0:a"}, io.EOF),
 		Entry("carriage returns", "data: a\r\n\r\n", []string{"0:a"}, io.EOF),
@@ -82,7 +82,7 @@
 	old, next := text("old"), text("new")
 	oldHead, nextHead := state.HeadOf(1, old), state.HeadOf(2, next)
 
-	It("is small when little has changed, and unpacks to the same", func() {
+	It("is small after a small change, and unpacks to the original", func() {
 		resp, err := protocol.PackDocument(nextHead, next, oldHead, old)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(len(resp.GetData())).To(BeNumerically("<", len(next)/100))
@@ -91,7 +91,7 @@
 		Expect(head).To(Equal(nextHead))
 		Expect(got).To(Equal(next))
 	})
-	It("is refused if it does not give the content of its head", func() {
+	It("is rejected if its content does not match its head", func() {
 		resp, err := protocol.PackDocument(oldHead, next, state.Head{}, nil)
 		Expect(err).NotTo(HaveOccurred())
 		_, _, err = protocol.UnpackDocument(resp, nil)
@@ -100,14 +100,14 @@
 })
 
 var _ = Describe("a member list", func() {
-	It("comes back as it was written", func() {
+	It("round-trips", func() {
 		members := []state.Member{{ID: "d1", Kind: state.KindDaemon, Domain: "a", Address: "127.0.0.1:1", Incarnation: 3, State: state.Leaving}}
 		l, err := protocol.ParseMemberList(standin.FormatMemberList(7, members))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(l.Members).To(Equal(members))
 		Expect(l.Head.Version).To(Equal(uint64(7)))
 	})
-	DescribeTable("is refused as a whole", func(entry, want string) {
+	DescribeTable("is rejected as a whole", func(entry, want string) {
 		_, err := protocol.ParseMemberList([]byte(`{"revision":1,"members":[` + entry + `]}`))
 		Expect(err).To(MatchError(ContainSubstring(want)))
 	},
@@ -118,8 +118,8 @@
 	)
 })
 
-// TestGossipSurvivesTheWire checks that what is sent is what is read.
-func TestGossipSurvivesTheWire(t *testing.T) {
+// TestGossipRoundTrip checks that a decoded message equals the encoded one.
+func TestGossipRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := fleet.Gossip{
 			Sender: "d1", Incarnation: 7, Domain: "a", Address: "h:1", Leaving: rapid.Bool().Draw(t, "leaving"),
@@ -130,13 +130,13 @@
 		}
 		got := protocol.DecodeGossip(protocol.EncodeGossip(n))
 		if fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", n) {
-			t.Fatalf("sent %+v, read %+v", n, got)
+			t.Fatalf("encoded %+v, decoded %+v", n, got)
 		}
 	})
 }
 
-// TestHostileGossip checks that no message of a peer reaches a decision out of
-// range.
+// TestHostileGossip checks that decoding drops or clamps every out-of-range field
+// of a peer's message.
 func TestHostileGossip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &peer.News{
@@ -146,11 +146,11 @@
 		n := protocol.DecodeGossip(m)
 		for _, r := range n.Reports {
 			if r.State < state.Live || r.State > state.Gone || r.ID == "" {
-				t.Fatalf("report %+v passed", r)
+				t.Fatalf("report %+v was accepted", r)
 			}
 		}
 		if n.ListAge < -1 {
-			t.Fatalf("age %v passed", n.ListAge)
+			t.Fatalf("age %v was accepted", n.ListAge)
 		}
 	})
 }
@@ -162,16 +162,16 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		r, err := protocol.ParseChat(body)
 		if err == nil && (r.Model == "" || len(r.Identity()) == 0) {
-			t.Fatalf("a request without model or identity was taken: %q", body)
+			t.Fatalf("a request without model or identity was accepted: %q", body)
 		}
 		if err != nil {
 			return
 		}
-		// The standard library must read the same model as an engine would.
+		// encoding/json, which stands for the engine's parser, must read the same model.
 		var fields map[string]json.RawMessage
 		var model string
 		if json.Unmarshal(body, &fields) != nil || json.Unmarshal(fields["model"], &model) != nil || model != string(r.Model) {
-			t.Fatalf("read model %q of %q", r.Model, body)
+			t.Fatalf("parsed model %q from %q", r.Model, body)
 		}
 	})
 }
@@ -187,7 +187,7 @@
 				return
 			}
 			if !bytes.HasSuffix(ev.Raw, []byte("\n\n")) {
-				t.Fatalf("event without its end: %q", ev.Raw)
+				t.Fatalf("event without a final blank line: %q", ev.Raw)
 			}
 		}
 	})
@@ -199,7 +199,7 @@
 		head := state.HeadOf(1, []byte("other"))
 		resp := &peer.FetchResponse{Head: protocol.EncodeHead(head), Base: protocol.EncodeHead(head), Data: data}
 		if _, text, err := protocol.UnpackDocument(resp, base); err == nil && string(text) != "other" {
-			t.Fatalf("unpacked %q under the head of another content", text)
+			t.Fatalf("unpacked %q, which does not match the head", text)
 		}
 	})
 }
--- a/protocol/sse.go
+++ b/protocol/sse.go
@@ -1,5 +1,6 @@
-// This file reads server-sent events. An event counts only when the blank line
-// behind it has arrived: what a broken connection leaves over is no event.
+// This file reads server-sent events. An event is complete only when the blank line
+// after it has arrived; a partial event at the end of a broken connection is
+// discarded.
 
 package protocol
 
@@ -12,11 +13,11 @@
 	"strconv"
 )
 
-// MaxEventBytes is the largest event that is relayed.
+// MaxEventBytes is the size of the largest event that is relayed.
 const MaxEventBytes = 1 << 20
 
-// eventBufferBytes is the read buffer of one stream. Events are mostly small;
-// a larger one is collected piece by piece.
+// eventBufferBytes is the size of a stream's read buffer. Most events are smaller;
+// longer lines are assembled from several reads.
 const eventBufferBytes = 2 << 10
 
 // ErrEventTooLarge is returned for an event larger than MaxEventBytes.
@@ -25,9 +26,9 @@
 // StreamEvent is one server-sent event. Its slices are valid until the next
 // call of Read.
 type StreamEvent struct {
-	Seq  uint64 // the numeric id, or 0
-	Data []byte // the data lines joined by newlines
-	Raw  []byte // the event as it goes to the caller, without the id
+	Seq  uint64 // numeric id, or 0
+	Data []byte // data lines joined by newlines
+	Raw  []byte // event as forwarded to the caller, without the id
 }
 
 // IsEnd reports whether the event is the terminator of a chat stream.
@@ -40,13 +41,13 @@
 	data []byte
 }
 
-// NewEventReader returns a reader of events.
+// NewEventReader returns an EventReader that reads from r.
 func NewEventReader(r io.Reader) *EventReader {
 	return &EventReader{r: bufio.NewReaderSize(r, eventBufferBytes)}
 }
 
-// Read returns the next whole event. It returns io.EOF only between events, and
-// io.ErrUnexpectedEOF inside one.
+// Read returns the next complete event. It returns io.EOF if the stream ends between
+// events, and io.ErrUnexpectedEOF if it ends within one.
 func (er *EventReader) Read() (StreamEvent, error) {
 	ev := StreamEvent{}
 	er.raw, er.data = er.raw[:0], er.data[:0]
@@ -67,7 +68,7 @@
 		if hasData {
 			break
 		}
-		// Comments and lone ids keep a connection open and are no event.
+		// Comments and ids without data keep a connection open and are not events.
 		lines = 0
 		er.raw = er.raw[:0]
 	}
@@ -76,12 +77,12 @@
 	return ev, nil
 }
 
-// field takes in one line of an event.
+// field adds one line to the event. Raw gets neither ids nor comments.
 func (er *EventReader) field(line []byte, ev *StreamEvent, hasData *bool) {
 	name, value := splitField(line)
 	switch name {
 	case "id":
-		ev.Seq, _ = strconv.ParseUint(string(value), 10, 64) // 0: the id is no number
+		ev.Seq, _ = strconv.ParseUint(string(value), 10, 64) // 0 if the id is not a number
 		return
 	case "data":
 		if *hasData {
@@ -96,7 +97,7 @@
 	er.raw = append(er.raw, '\n')
 }
 
-// line returns the next line without its ending.
+// line returns the next line without its line ending.
 func (er *EventReader) line() ([]byte, error) {
 	line, err := er.r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -112,6 +113,7 @@
 	return bytes.TrimSuffix(line, []byte{'\r'}), nil
 }
 
+// longLine reads the rest of a line that does not fit the read buffer.
 func (er *EventReader) longLine(first []byte) ([]byte, error) {
 	line := append([]byte(nil), first...)
 	for {
@@ -126,8 +128,8 @@
 	}
 }
 
-// splitField splits a line into field name and value. A comment has an empty
-// name.
+// splitField splits a line into field name and value. The name of a comment is
+// empty.
 func splitField(line []byte) (string, []byte) {
 	name, value, found := bytes.Cut(line, []byte{':'})
 	if !found {
