--- a/protocol/gossip/crowds.go
+++ b/protocol/gossip/crowds.go
@@ -1,5 +1,5 @@
-// This file encodes reports of crowded replicas. A daemon of an earlier build drops them,
-// and holds replicas to the bound by what it knows of their loads.
+// This file encodes reports of overloaded replicas. A daemon of an earlier build drops them
+// and applies the load bound to its own estimate of each replica's load.
 
 package gossip
 
@@ -9,7 +9,7 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// MaxCrowds is how many reports fit a datagram with room to spare.
+// MaxCrowds is the number of reports that safely fit a datagram.
 const MaxCrowds = 60
 
 type crowdMessage struct {
@@ -27,10 +27,10 @@
 	})
 }
 
-// IsCrowds reports whether a datagram is meant for [DecodeCrowds].
+// IsCrowds reports whether a datagram holds overload reports.
 func IsCrowds(payload []byte) bool { return isReports(payload, kindCrowds) }
 
-// DecodeCrowds is the reverse of [EncodeCrowds].
+// DecodeCrowds decodes a datagram of overload reports.
 func DecodeCrowds(payload []byte) ([]routing.OverloadReport, error) {
 	return decodeReports(payload, kindCrowds, func(m crowdMessage) routing.OverloadReport {
 		return routing.OverloadReport{Replica: m.Replica, Prompt: m.Prompt, Homes: m.Homes, Age: time.Duration(m.Age) * time.Millisecond}
--- a/protocol/gossip/digest_test.go
+++ b/protocol/gossip/digest_test.go
@@ -9,8 +9,8 @@
 	"hingewinch.org/hingewinch/state/feed"
 )
 
-// TestDigestsComeThroughAsTheyWere encodes and decodes digests and the parts that are asked for.
-func TestDigestsComeThroughAsTheyWere(t *testing.T) {
+// TestDigestRoundTrip encodes and decodes digests and bitmaps of requested parts.
+func TestDigestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := 1 << rapid.IntRange(3, 14).Draw(t, "parts")
 		want := feed.Digest{Revision: feed.Revision(rapid.Uint64().Draw(t, "revision")), Sums: make([]uint64, n)}
@@ -34,21 +34,21 @@
 	})
 }
 
-// TestDigestsOfAnyOtherSizeAreRejected holds that a peer can't make a daemon sum up its documents
-// by a number of parts that is none.
-func TestDigestsOfAnyOtherSizeAreRejected(t *testing.T) {
+// TestDigestsOfInvalidSizeAreRejected checks that a peer can't make a daemon compute checksums
+// for an invalid number of parts.
+func TestDigestsOfInvalidSizeAreRejected(t *testing.T) {
 	for _, n := range []int{0, 1, 4, 12, 1 << 15} {
 		payload, err := EncodeDigest(&feed.Digest{Sums: make([]uint64, n)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, err := DecodeDigest(payload); err == nil {
-			t.Errorf("a digest of %d parts is taken", n)
+			t.Errorf("a digest of %d parts was accepted", n)
 		}
 	}
 	for _, n := range []int{0, 3, 1 << 12} {
 		if _, err := DecodeParts(make([]byte, n)); err == nil {
-			t.Errorf("%d bytes of parts are taken", n)
+			t.Errorf("a bitmap of %d bytes was accepted", n)
 		}
 	}
 }
--- a/protocol/gossip/doc.go
+++ b/protocol/gossip/doc.go
@@ -1,18 +1,22 @@
-// Package gossip defines what daemons of the front end in production send each
-// other: heartbeats, one datagram each, and the documents that one daemon asks
-// another for. The codec is CBOR; every message is an array, so that the order of
-// the fields is the format. A fleet runs two builds during each replacement:
-// fields are neither moved nor removed (gossip_test.go holds the bytes).
+// Package gossip defines the messages that daemons of the production front end
+// exchange: heartbeats and reports, one datagram each, and the documents that one
+// daemon requests from another. The codec is CBOR. Every message is an array, so the
+// order of its fields is part of the format. During a rolling upgrade a fleet runs two
+// builds, so fields are neither moved nor removed; gossip_test.go checks the bytes.
 //
-// How the wire changes: a field is never added to a message that exists, since an array of another
-// length is not read by the build before. What is new goes into a kind of datagram of its own
-// (reports.go), which the build before drops, and whose loss must be harmless. A kind goes only
-// one build after nobody reads it any more; its number is not used again. What a field means more
-// exactly may be said by a tag of its value (position.go): who does not know the tag reads past it.
+// Rules for changes of the format:
+//   - No field is added to an existing message, because the previous build cannot
+//     decode an array of another length.
+//   - New data goes into a new kind of datagram (reports.go). The previous build
+//     drops it, so its loss must be harmless.
+//   - A kind is removed one build after its last reader, and its number is never
+//     reused.
+//   - The meaning of a field can be refined by a CBOR tag on its value (position.go),
+//     which a build that does not know the tag ignores.
 //
-// It owns no state. The types of the decisions carry no encoding; they are
-// converted here. What a peer sends is checked here: nothing is taken of a
-// message that is not whole.
+// The package has no state. The types of the routing and membership packages carry no
+// encoding; they are converted here. A message from a peer is validated and accepted or
+// rejected as a whole.
 //
 // # Usage
 //
@@ -20,5 +24,5 @@
 //	h, err := gossip.DecodeHeartbeat(payload)
 //	packed, err := gossip.EncodeDocuments(&d)  // compressed
 //	d, err := gossip.DecodeDocuments(packed)
-//	payload, err = gossip.EncodeDigest(&digest) // for a peer that can't be told what changed
+//	payload, err = gossip.EncodeDigest(&digest) // if the sender can't list what changed
 package gossip
--- a/protocol/gossip/documents.go
+++ b/protocol/gossip/documents.go
@@ -1,5 +1,5 @@
-// This file encodes the documents that one daemon sends another that asks for them.
-// They are compressed, because a daemon that has just started is sent everything.
+// This file encodes the documents that a daemon sends in response to a peer's request.
+// They are compressed, because a daemon that has just started receives all documents.
 
 package gossip
 
@@ -13,26 +13,28 @@
 	"hingewinch.org/hingewinch/state/feed"
 )
 
-// Documents answers a daemon that asks for the documents that changed.
+// Documents is the response to a request for the documents that changed.
 type Documents struct {
 	Items    []feed.Item
-	Era      feed.Era      // of all revisions
-	Revision feed.Revision // of the sender
-	Whole    bool          // Items is everything, not only what changed
+	Era      feed.Era      // era of all revisions
+	Revision feed.Revision // the sender's current revision
+	Whole    bool          // whether Items has all documents, not only changes
 }
 
 const (
-	// MaxDocumentsBytes bounds what is read and unpacked of a peer's answer: ninety
-	// times the 0.7 MB of 3,000 replicas.
+	// MaxDocumentsBytes limits the size of a peer's response, both compressed and
+	// uncompressed. It is ninety times the 0.7 MB that the documents of 3,000 replicas
+	// take.
 	MaxDocumentsBytes = 64 << 20
-	// compressionWindow is how far back, in bytes, what is alike is looked for; a compressor that is kept
-	// holds the window. mostWindow is what is unpacked: builds before this one send that.
+	// compressionWindow is the match window of the compressor. A pooled compressor keeps a window
+	// allocated. maxWindow is the largest window that is decompressed, which earlier builds use to
+	// compress.
 	compressionWindow = 128 << 10
-	mostWindow        = 1 << 20
+	maxWindow         = 1 << 20
 )
 
-// encoders and decoders are kept for the next answer: making their tables costs more than packing the
-// few documents of most answers.
+// encoders and decoders are pooled: allocating their tables costs more than compressing the few
+// documents of a typical response.
 var encoders, decoders sync.Pool
 
 func newEncoder() (*zstd.Encoder, error) {
@@ -41,7 +43,7 @@
 }
 
 func newDecoder() (*zstd.Decoder, error) {
-	return zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(MaxDocumentsBytes), zstd.WithDecoderMaxWindow(mostWindow))
+	return zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(MaxDocumentsBytes), zstd.WithDecoderMaxWindow(maxWindow))
 }
 
 type documentsMessage struct {
@@ -84,7 +86,7 @@
 	return encode(&m)
 }
 
-// DecodeDocuments is the reverse of [EncodeDocuments].
+// DecodeDocuments decompresses and decodes documents.
 func DecodeDocuments(packed []byte) (Documents, error) {
 	r, ok := decoders.Get().(*zstd.Decoder)
 	if !ok {
--- a/protocol/gossip/documents_bench_test.go
+++ b/protocol/gossip/documents_bench_test.go
@@ -7,7 +7,7 @@
 	"hingewinch.org/hingewinch/state/feed"
 )
 
-// BenchmarkDocuments packs and unpacks an answer of some documents.
+// BenchmarkDocuments encodes and decodes responses of different sizes.
 func BenchmarkDocuments(b *testing.B) {
 	for _, n := range []int{1, 100, 10000} {
 		d := Documents{Revision: 9}
--- a/protocol/gossip/documents_memory_test.go
+++ b/protocol/gossip/documents_memory_test.go
@@ -10,9 +10,9 @@
 	"hingewinch.org/hingewinch/state/feed"
 )
 
-// mostHeld is what a compressor and its counterpart may hold between two answers: a twenty-fifth of the
-// 25 MB that a daemon may need.
-const mostHeld = 1 << 20
+// maxRetainedBytes is how much memory a compressor and a decompressor may retain together between two
+// responses: a twenty-fifth of the 25 MB that a daemon may use.
+const maxRetainedBytes = 1 << 20
 
 func heapBytes() int64 {
 	var m runtime.MemStats
@@ -25,7 +25,7 @@
 func manyDocuments(n int) *Documents {
 	d := &Documents{Revision: 9}
 	for i := range n {
-		x := uint64(i+1) * 0x9e3779b97f4a7c15 // ids and addresses are not alike
+		x := uint64(i+1) * 0x9e3779b97f4a7c15 // makes ids and addresses dissimilar
 		d.Items = append(d.Items, feed.Item{
 			Key: fmt.Sprintf("servers/i-%010x", x>>24), Revision: feed.Revision(i),
 			Value: []byte(fmt.Sprintf(`{"service":"s%d","address":"10.%d.%d.%d:%d","zone":"z%d","slots":6,"state":"ready","sequence":%d,"born":17%d}`,
@@ -35,9 +35,9 @@
 	return d
 }
 
-// TestCompressorsHoldLittle guards against daemons that each keep megabytes for the next answer: a fleet
-// of hundreds on one machine ran out of memory.
-func TestCompressorsHoldLittle(t *testing.T) {
+// TestCompressorsRetainLittleMemory guards against pooled compressors that retain megabytes between
+// responses: a fleet of hundreds of daemons on one machine ran out of memory.
+func TestCompressorsRetainLittleMemory(t *testing.T) {
 	for _, n := range []int{1, 10000} {
 		plain, err := encodeDocuments(manyDocuments(n))
 		if err != nil {
@@ -58,10 +58,10 @@
 			t.Fatal(err)
 		}
 		packed = nil
-		held := heapBytes() - before
-		t.Logf("%d documents: %d bytes packed to %d, %d held", n, len(plain), size, held)
-		if held > mostHeld {
-			t.Errorf("%d documents: %d bytes are held between two answers, want %d at most", n, held, mostHeld)
+		retained := heapBytes() - before
+		t.Logf("%d documents: %d bytes compressed to %d, %d bytes retained", n, len(plain), size, retained)
+		if retained > maxRetainedBytes {
+			t.Errorf("%d documents: %d bytes are retained between two responses, want %d at most", n, retained, maxRetainedBytes)
 		}
 		runtime.KeepAlive(w)
 		runtime.KeepAlive(r)
@@ -69,15 +69,15 @@
 	}
 }
 
-// TestTheBuildBeforesWindowsAreUnpacked unpacks an answer whose window is the larger one of the build
-// before.
-func TestTheBuildBeforesWindowsAreUnpacked(t *testing.T) {
+// TestWindowOfPreviousBuildIsDecompressed decodes a response that was compressed with the larger window
+// of the previous build.
+func TestWindowOfPreviousBuildIsDecompressed(t *testing.T) {
 	d := manyDocuments(10000)
 	plain, err := encodeDocuments(d)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(mostWindow), zstd.WithLowerEncoderMem(true))
+	w, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(maxWindow), zstd.WithLowerEncoderMem(true))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/protocol/gossip/gossip_test.go
+++ b/protocol/gossip/gossip_test.go
@@ -17,8 +17,8 @@
 	"hingewinch.org/hingewinch/state/feed"
 )
 
-// TestHeartbeatsOfLargeFleetsFit fills a heartbeat with more than a datagram holds: it
-// still goes out, names some members and keeps the greatest loads.
+// TestHeartbeatsOfLargeFleetsFit encodes a heartbeat with more entries than fit a datagram:
+// it must be shortened to fit, with some members and the greatest loads left in it.
 func TestHeartbeatsOfLargeFleetsFit(t *testing.T) {
 	b := Heartbeat{Sender: membership.Member{Address: "10.0.0.1:7340", Domain: "some-domain"}}
 	for i := range 16 {
@@ -39,25 +39,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(got.Members) < leastMembers {
-		t.Fatalf("names %d members", len(got.Members))
+	if len(got.Members) < minMembers {
+		t.Fatalf("has %d members", len(got.Members))
 	}
 	if len(got.Loads) > 0 && got.Loads[0].Requests != 4499 {
 		t.Fatalf("greatest load is %d", got.Loads[0].Requests)
 	}
 }
 
-// TestForeignDatagramsAreRefused feeds what is no heartbeat.
-func TestForeignDatagramsAreRefused(t *testing.T) {
+// TestForeignDatagramsAreRejected decodes datagrams that are not heartbeats.
+func TestForeignDatagramsAreRejected(t *testing.T) {
 	for _, b := range [][]byte{nil, {0}, []byte("hello"), {0x87, 1, 2, 3}} {
 		if got, err := DecodeHeartbeat(b); err == nil {
-			t.Fatalf("%x was taken as a heartbeat of %s", b, got.Sender.Address)
+			t.Fatalf("%x was decoded as a heartbeat of %s", b, got.Sender.Address)
 		}
 	}
 }
 
-// TestHeartbeatsComeThroughAsTheyWere encodes and decodes a heartbeat with everything in it.
-func TestHeartbeatsComeThroughAsTheyWere(t *testing.T) {
+// TestHeartbeatRoundTrip encodes and decodes a heartbeat with all fields set, and checks that
+// truncated ones are rejected.
+func TestHeartbeatRoundTrip(t *testing.T) {
 	b := Heartbeat{
 		Sender: membership.Member{Address: "10.0.0.1:7340", Domain: "z1", Incarnation: 7, Heartbeats: 9, StoreUnreachable: true},
 		Members: []membership.Member{
@@ -81,14 +82,14 @@
 	}
 	for i := range payload {
 		if damaged, err := DecodeHeartbeat(payload[:i]); err == nil {
-			t.Errorf("a part of %d bytes was taken as %+v", i, damaged)
+			t.Errorf("the first %d bytes were decoded as %+v", i, damaged)
 		}
 	}
 }
 
-// TestDocumentsComeThroughAsTheyWere packs a large feed: it is whole, and much smaller
-// than what it holds.
-func TestDocumentsComeThroughAsTheyWere(t *testing.T) {
+// TestDocumentsRoundTrip encodes and decodes a large feed. The encoded form must be much
+// smaller than the documents, and a truncated one must be rejected.
+func TestDocumentsRoundTrip(t *testing.T) {
 	n := Documents{Revision: 9, Whole: true}
 	size := 0
 	for i := range 3000 {
@@ -105,19 +106,20 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, n) {
-		t.Error("news changed on the way")
+		t.Error("the decoded documents differ")
 	}
 	if len(packed) > size/3 {
-		t.Errorf("%d bytes of news for %d bytes of documents", len(packed), size)
+		t.Errorf("%d bytes for %d bytes of documents", len(packed), size)
 	}
 	if _, err := DecodeDocuments(packed[:len(packed)/2]); err == nil {
-		t.Error("half of the news was taken as whole")
+		t.Error("a truncated message was decoded")
 	}
 }
 
-// TestSilencesComeThroughAsTheyWere encodes and decodes reports. To a build that knows
-// heartbeats only they are no heartbeat, and the reverse.
-func TestSilencesComeThroughAsTheyWere(t *testing.T) {
+// TestSilencesRoundTrip encodes and decodes reports of silent replicas. They must not decode
+// as a heartbeat, which is all that an earlier build reads, and a heartbeat must not count as
+// reports.
+func TestSilencesRoundTrip(t *testing.T) {
 	var reports []routing.SilenceReport
 	for i := range MaxSilences {
 		reports = append(reports, routing.SilenceReport{Replica: routing.LoadKey(1<<31 + i), Reporter: routing.ReporterID(1<<31 + i), Age: time.Duration(2990+i%10) * time.Millisecond})
@@ -127,29 +129,29 @@
 		t.Fatal(err)
 	}
 	if len(payload) > MaxHeartbeatBytes || !IsSilences(payload) {
-		t.Fatalf("%d bytes, marked %t", len(payload), IsSilences(payload))
+		t.Fatalf("%d bytes, recognized: %t", len(payload), IsSilences(payload))
 	}
 	got, err := DecodeSilences(payload)
 	if err != nil || !slices.Equal(got, reports) {
 		t.Errorf("got %+v, %v", got, err)
 	}
 	if h, err := DecodeHeartbeat(payload); err == nil {
-		t.Errorf("taken as a heartbeat: %+v", h)
+		t.Errorf("decoded as a heartbeat: %+v", h)
 	}
 	heartbeat := goldenHeartbeat()
 	payload, err = EncodeHeartbeat(&heartbeat)
 	if err != nil || IsSilences(payload) {
-		t.Errorf("a heartbeat is marked as reports, %v", err)
+		t.Errorf("a heartbeat was recognized as reports, %v", err)
 	}
 	if _, err := EncodeSilences(append(reports, reports[0])); err == nil {
 		t.Error("more reports than fit were encoded")
 	}
 }
 
-// TestCrowdsComeThroughAsTheyWere encodes and decodes reports of crowded replicas. They are
-// taken neither for a heartbeat nor for reports of silence, as which an earlier build would
-// read them, nor the reverse.
-func TestCrowdsComeThroughAsTheyWere(t *testing.T) {
+// TestOverloadsRoundTrip encodes and decodes overload reports. They must not decode as a
+// heartbeat or as reports of silent replicas, which is what an earlier build reads, and
+// reports of silent replicas must not decode as overload reports.
+func TestOverloadsRoundTrip(t *testing.T) {
 	var reports []routing.OverloadReport
 	for i := range MaxCrowds {
 		reports = append(reports, routing.OverloadReport{
@@ -161,33 +163,33 @@
 		t.Fatal(err)
 	}
 	if len(payload) > MaxHeartbeatBytes || !IsCrowds(payload) || IsSilences(payload) {
-		t.Fatalf("%d bytes, marked %t and %t", len(payload), IsCrowds(payload), IsSilences(payload))
+		t.Fatalf("%d bytes, recognized as overloads: %t, as silences: %t", len(payload), IsCrowds(payload), IsSilences(payload))
 	}
 	got, err := DecodeCrowds(payload)
 	if err != nil || !slices.Equal(got, reports) {
 		t.Errorf("got %+v, %v", got, err)
 	}
 	if h, err := DecodeHeartbeat(payload); err == nil {
-		t.Errorf("taken as a heartbeat: %+v", h)
+		t.Errorf("decoded as a heartbeat: %+v", h)
 	}
 	if s, err := DecodeSilences(payload); err == nil {
-		t.Errorf("taken as reports of silence: %+v", s)
+		t.Errorf("decoded as reports of silent replicas: %+v", s)
 	}
 	silences, err := EncodeSilences([]routing.SilenceReport{{Replica: 5}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c, err := DecodeCrowds(silences); err == nil || IsCrowds(silences) {
-		t.Errorf("reports of silence are taken as %+v", c)
+		t.Errorf("reports of silent replicas were decoded as %+v", c)
 	}
 	if _, err := EncodeCrowds(append(reports, reports[0])); err == nil {
 		t.Error("more reports than fit were encoded")
 	}
 }
 
-// TestCrashesComeThroughAsTheyWere encodes and decodes reports of ends. Other decoders, as which
-// an earlier build would read them, do not take them.
-func TestCrashesComeThroughAsTheyWere(t *testing.T) {
+// TestCrashesRoundTrip encodes and decodes crash reports. They must not be recognized as another
+// message that an earlier build reads.
+func TestCrashesRoundTrip(t *testing.T) {
 	var reports []routing.CrashReport
 	for i := range MaxCrashes {
 		reports = append(reports, routing.CrashReport{
@@ -200,14 +202,14 @@
 		t.Fatal(err)
 	}
 	if len(payload) > MaxHeartbeatBytes || !IsCrashes(payload) || IsCrowds(payload) || IsSilences(payload) {
-		t.Fatalf("%d bytes, marked %t, %t and %t", len(payload), IsCrashes(payload), IsCrowds(payload), IsSilences(payload))
+		t.Fatalf("%d bytes, recognized as crashes: %t, as overloads: %t, as silences: %t", len(payload), IsCrashes(payload), IsCrowds(payload), IsSilences(payload))
 	}
 	got, err := DecodeCrashes(payload)
 	if err != nil || !slices.Equal(got, reports) {
 		t.Errorf("got %+v, %v", got, err)
 	}
 	if h, err := DecodeHeartbeat(payload); err == nil {
-		t.Errorf("taken as a heartbeat: %+v", h)
+		t.Errorf("decoded as a heartbeat: %+v", h)
 	}
 	if _, err := EncodeCrashes(append(reports, reports[0])); err == nil {
 		t.Error("more reports than fit were encoded")
@@ -217,7 +219,7 @@
 		t.Fatal(err)
 	}
 	if got, err := DecodeCrashes(old); err != nil || got[0].Age < 1000*time.Hour {
-		t.Errorf("an age that does not fit became %v, %v", got[0].Age, err)
+		t.Errorf("an age beyond the maximum was decoded as %v, %v", got[0].Age, err)
 	}
 }
 
@@ -235,8 +237,9 @@
 	}
 }
 
-// TestMessagesKeepTheirBytes holds one message of each kind between daemons.
-func TestMessagesKeepTheirBytes(t *testing.T) {
+// TestMessageEncodingIsStable compares the encoding of one message of each kind with the golden
+// file, because daemons of two builds exchange messages during an upgrade.
+func TestMessageEncodingIsStable(t *testing.T) {
 	var b strings.Builder
 	write := func(name string, payload []byte, err error) {
 		if err != nil {
@@ -281,8 +284,7 @@
 	golden.Compare(t, "messages.txt", b.String())
 }
 
-// TestOldMessagesAreRead decodes the golden messages: what another build sent is
-// understood, and compressed documents come through.
+// TestOldMessagesAreRead decodes the golden heartbeat, which stands for one of another build.
 func TestOldMessagesAreRead(t *testing.T) {
 	text, err := os.ReadFile(golden.File("messages.txt"))
 	if err != nil {
@@ -303,9 +305,9 @@
 	}
 }
 
-// TestLoansComeThroughWithoutGrowing encodes and decodes loans of any size: no more arrives than
-// was lent, and hardly less.
-func TestLoansComeThroughWithoutGrowing(t *testing.T) {
+// TestTransferRoundTrip encodes and decodes budget transfers of different sizes. The receiver must
+// never get more than was granted, and at most 0.0011 less.
+func TestTransferRoundTrip(t *testing.T) {
 	for i := range 1001 {
 		lent := routing.Retries(i) / 1000
 		payload, err := EncodeLoans([]Loan{{ID: 7, Lent: lent}})
--- a/protocol/gossip/heartbeat.go
+++ b/protocol/gossip/heartbeat.go
@@ -16,42 +16,42 @@
 	"hingewinch.org/hingewinch/state/feed"
 )
 
-// Heartbeat is the message that a daemon sends others several times a second.
+// Heartbeat is the message that a daemon sends to other daemons several times a second.
 type Heartbeat struct {
 	Sender    membership.Member
-	Stamp     coordination.Stamp    // of the time line
-	Members   []membership.Member   // some others that the sender believes live
-	Era       feed.Era              // of the store, in which the revision counts
-	Revision  feed.Revision         // newest document that the sender holds
-	Version   routing.ConfigVersion // of its configuration
-	FleetSize int                   // number of daemons, as the sender knows it
-	// Partial marks a short heartbeat between two others, sent when something must be
-	// known soon. It has no loads and no evidence, which stay as last received.
+	Stamp     coordination.Stamp    // hybrid logical time of the sender
+	Members   []membership.Member   // some of the other daemons that the sender assumes alive
+	Era       feed.Era              // store era to which Revision belongs
+	Revision  feed.Revision         // newest revision that the sender holds
+	Version   routing.ConfigVersion // version of the sender's configuration
+	FleetSize int                   // number of daemons known to the sender
+	// Partial marks a short heartbeat, sent between two regular ones for urgent changes. It
+	// has no loads and no evidence; the receiver keeps those of the last regular one.
 	Partial   bool
 	Loads     []routing.LoadCount     // the sender's own requests at replicas
-	Locations []routing.CacheLocation // prompts that replicas have read for it
-	Evidence  []routing.Evidence      // its own counts at replicas where requests failed
+	Locations []routing.CacheLocation // prompts that replicas have cached for the sender
+	Evidence  []routing.Evidence      // the sender's own counts for replicas with failed requests
 }
 
-// MaxHeartbeatBytes is the size of the largest datagram that is sent: what an
-// Ethernet frame carries, less the headers.
+// MaxHeartbeatBytes is the size of the largest datagram that is sent. It fits an
+// Ethernet frame together with the headers.
 const MaxHeartbeatBytes = 1400
 
 const (
-	// leastMembers and leastLocations are how many members and locations are left in a heartbeat that
-	// doesn't fit, before loads and evidence are cut.
-	leastMembers   = 4
-	leastLocations = 8
+	// minMembers and minLocations are how many members and locations a heartbeat that doesn't fit
+	// keeps until loads and evidence have been dropped too.
+	minMembers   = 4
+	minLocations = 8
 )
 
-// EncodeHeartbeat encodes a heartbeat. What does not fit a datagram is left out of h
-// too: first half of the members, which other heartbeats name, then locations, then
-// the smallest loads, which matter least, then evidence. The error says that even
-// then it doesn't fit, or that an address is not IP:PORT.
+// EncodeHeartbeat encodes a heartbeat. If it does not fit a datagram, EncodeHeartbeat
+// removes entries from h until it does: first members, which other heartbeats list too,
+// then locations, then the smallest loads, which matter least, then evidence. It returns
+// an error if the heartbeat still doesn't fit, or if an address is not IP:PORT.
 func EncodeHeartbeat(h *Heartbeat) ([]byte, error) {
 	slices.SortFunc(h.Loads, func(a, b routing.LoadCount) int { return int(b.Requests) - int(a.Requests) })
 	for {
-		payload, err := encodeWhole(h)
+		payload, err := encodeAll(h)
 		if err != nil || len(payload) <= MaxHeartbeatBytes {
 			return payload, err
 		}
@@ -61,12 +61,12 @@
 	}
 }
 
-// shorten leaves something out. It returns false if nothing is left to leave out.
+// shorten removes some entries. It returns false if there is nothing more to remove.
 func (h *Heartbeat) shorten() bool {
 	switch {
-	case len(h.Members) > leastMembers:
+	case len(h.Members) > minMembers:
 		h.Members = h.Members[:len(h.Members)/2]
-	case len(h.Locations) > leastLocations:
+	case len(h.Locations) > minLocations:
 		h.Locations = h.Locations[:len(h.Locations)/2]
 	case len(h.Loads) > 0:
 		h.Loads = h.Loads[:len(h.Loads)*3/4]
@@ -78,14 +78,14 @@
 	return true
 }
 
-// DecodeHeartbeat is the reverse of [EncodeHeartbeat].
+// DecodeHeartbeat decodes and validates a heartbeat.
 func DecodeHeartbeat(payload []byte) (Heartbeat, error) {
 	var m heartbeatMessage
 	if err := decode(payload, &m); err != nil {
 		return Heartbeat{}, err
 	}
 	if len(m.Members) == 0 {
-		return Heartbeat{}, eris.New("heartbeat without a sender")
+		return Heartbeat{}, eris.New("heartbeat has no sender")
 	}
 	h := Heartbeat{
 		Stamp: coordination.Stamp{Wall: m.Wall, Counter: m.Counter}, Era: m.Position.Era, Revision: m.Position.Revision, Version: m.Version,
@@ -107,8 +107,8 @@
 	return h, nil
 }
 
-// heartbeatMessage is a heartbeat on the wire. Domains are named once, members refer
-// to them by their place, and addresses are numbers: members are most of it.
+// heartbeatMessage is the wire form of a heartbeat. Members make up most of it, so their
+// addresses are binary, and each domain is listed once and referred to by its index.
 type heartbeatMessage struct {
 	_         struct{} `cbor:",toarray"`
 	Domains   []state.FailureDomain
@@ -127,23 +127,24 @@
 type memberMessage struct {
 	_           struct{} `cbor:",toarray"`
 	Address     []byte   // IP and port, as netip.AddrPort writes them
-	Domain      int      // place in the message's domains
+	Domain      int      // index into the message's domains
 	Incarnation membership.Incarnation
 	Heartbeats  uint64
 	State       memberState
 }
 
-// memberState holds a member's flags, and above them its age in units of ageUnit. An
-// earlier build leaves the age out and ignores it: to it, all is news of this moment.
+// memberState holds a member's flags in the low bits and its age, in units of ageUnit, above
+// them. Earlier builds send no age and ignore it; they treat all state as current.
 type memberState uint8
 
 const (
-	stateLeaving          memberState = 1 << iota // it is in a planned stop
-	stateStoreUnreachable                         // it can't read the store
+	stateLeaving          memberState = 1 << iota // in a graceful shutdown
+	stateStoreUnreachable                         // can't read the store
 
 	ageShift = 2
-	// ageUnit is a part of the time after which a domain counts as cut off that is
-	// small enough; maxAge is what fits the byte, and stands for all that is older.
+	// ageUnit is a sufficiently small fraction of the time after which a domain counts as
+	// cut off. maxAge is the greatest number of units that fits the byte; greater ages are
+	// clamped to it.
 	ageUnit = 100 * time.Millisecond
 	maxAge  = 63
 )
@@ -193,7 +194,8 @@
 	return routing.Evidence{Replica: m.Replica, Good: m.Good, Bad: m.Bad}
 }
 
-func encodeWhole(h *Heartbeat) ([]byte, error) {
+// encodeAll encodes a heartbeat with all its entries, whatever its size.
+func encodeAll(h *Heartbeat) ([]byte, error) {
 	m := heartbeatMessage{
 		Wall: h.Stamp.Wall, Counter: h.Stamp.Counter, Position: positionMessage{h.Era, h.Revision}, Version: h.Version,
 		FleetSize: h.FleetSize, Partial: h.Partial,
@@ -236,6 +238,7 @@
 	return nil
 }
 
+// member decodes the member with index i.
 func (m *heartbeatMessage) member(i int) (membership.Member, error) {
 	in := &m.Members[i]
 	var at netip.AddrPort
@@ -243,7 +246,7 @@
 		return membership.Member{}, eris.Wrap(err, "decode address of a member")
 	}
 	if in.Domain < 0 || in.Domain >= len(m.Domains) {
-		return membership.Member{}, eris.Errorf("member's domain %d of %d", in.Domain, len(m.Domains))
+		return membership.Member{}, eris.Errorf("member has domain index %d; the heartbeat lists %d domains", in.Domain, len(m.Domains))
 	}
 	return membership.Member{
 		Address: membership.Address(at.String()), Domain: m.Domains[in.Domain],
@@ -253,8 +256,8 @@
 	}, nil
 }
 
-// convert converts each element; a nil slice stays nil, which is encoded differently
-// from an empty one.
+// convert applies f to each element. A nil slice stays nil, because it is encoded
+// differently from an empty one.
 func convert[A, B any](in []A, f func(A) B) []B {
 	if in == nil {
 		return nil
--- a/protocol/gossip/leavings.go
+++ b/protocol/gossip/leavings.go
@@ -1,5 +1,5 @@
-// This file encodes reports of replicas that leave by their own word. A daemon of an earlier
-// build drops them, and goes by the entries of replicas.
+// This file encodes reports of replicas that announced their departure. A daemon of an earlier
+// build drops them and relies on the replicas' entries.
 
 package gossip
 
@@ -9,7 +9,7 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// MaxLeavings is how many reports fit a datagram with room to spare.
+// MaxLeavings is the number of reports that safely fit a datagram.
 const MaxLeavings = 100
 
 type leavingMessage struct {
@@ -25,10 +25,10 @@
 	})
 }
 
-// IsLeavings reports whether a datagram is meant for [DecodeLeavings].
+// IsLeavings reports whether a datagram holds departure reports.
 func IsLeavings(payload []byte) bool { return isReports(payload, kindLeavings) }
 
-// DecodeLeavings is the reverse of [EncodeLeavings].
+// DecodeLeavings decodes a datagram of departure reports.
 func DecodeLeavings(payload []byte) ([]routing.DepartureReport, error) {
 	return decodeReports(payload, kindLeavings, func(m leavingMessage) routing.DepartureReport {
 		return routing.DepartureReport{Replica: m.Replica, Age: time.Duration(m.Age) * time.Millisecond}
--- a/protocol/gossip/lives.go
+++ b/protocol/gossip/lives.go
@@ -1,5 +1,5 @@
-// This file encodes reports of replicas that are said to have ended and live. A daemon of an
-// earlier build drops them, and gives such a replica nothing for 10 s.
+// This file encodes reports that replicas reported as terminated are alive. A daemon of an
+// earlier build drops them and sends such a replica no requests for 10 s.
 
 package gossip
 
@@ -9,7 +9,7 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// MaxLives is how many reports fit a datagram with room to spare.
+// MaxLives is the number of reports that safely fit a datagram.
 const MaxLives = 80
 
 type lifeMessage struct {
@@ -26,10 +26,10 @@
 	})
 }
 
-// IsLives reports whether a datagram is meant for [DecodeLives].
+// IsLives reports whether a datagram holds liveness reports.
 func IsLives(payload []byte) bool { return isReports(payload, kindLives) }
 
-// DecodeLives is the reverse of [EncodeLives].
+// DecodeLives decodes a datagram of liveness reports.
 func DecodeLives(payload []byte) ([]routing.LivenessReport, error) {
 	return decodeReports(payload, kindLives, func(m lifeMessage) routing.LivenessReport {
 		return routing.LivenessReport{Replica: m.Replica, Since: time.Duration(m.Since) * time.Millisecond, Age: time.Duration(m.Age) * time.Millisecond}
--- a/protocol/gossip/position.go
+++ b/protocol/gossip/position.go
@@ -1,7 +1,7 @@
-// This file encodes positions: a revision, tagged with its era.
+// This file encodes positions: a revision, with its era as a CBOR tag.
 //
-// A tag says what a value means, and who does not know it reads the value alone. So the build before,
-// which knows no eras, reads revisions as it did, and nothing is added to a message.
+// A decoder that does not know the tag reads the value without it. The previous build, which has no
+// eras, therefore still decodes the revision, and no field is added to a message.
 
 package gossip
 
@@ -12,11 +12,11 @@
 	"hingewinch.org/hingewinch/state/feed"
 )
 
-// eraTag is the number of the tag of era 0; that of another era is higher by the era. It lies where
-// numbers are free for any use.
+// eraTag is the base of the tag numbers: the tag of an era is eraTag plus the era. It lies in the range
+// of tag numbers that are free for any use.
 const eraTag = 0x48570000
 
-// positionMessage is a position on the wire. In era 0 it is the revision without a tag.
+// positionMessage is the wire form of a position. In era 0 it is the revision without a tag.
 type positionMessage struct {
 	Era      feed.Era
 	Revision feed.Revision
@@ -30,7 +30,7 @@
 	return cbor.Marshal(cbor.Tag{Number: eraTag + uint64(p.Era), Content: uint64(p.Revision)})
 }
 
-// UnmarshalCBOR decodes it. A revision with another tag is taken without its era.
+// UnmarshalCBOR decodes a position. A revision with a tag that names no era is decoded in era 0.
 func (p *positionMessage) UnmarshalCBOR(payload []byte) error {
 	var revision uint64
 	if err := cbor.Unmarshal(payload, &revision); err != nil {
--- a/protocol/gossip/position_test.go
+++ b/protocol/gossip/position_test.go
@@ -9,9 +9,9 @@
 	"hingewinch.org/hingewinch/state/feed"
 )
 
-// TestPositionsComeThrough encodes positions, and reads them as the build before does, which knows
-// no eras: it finds the revision.
-func TestPositionsComeThrough(t *testing.T) {
+// TestPositionRoundTrip encodes and decodes positions, also as the previous build does, which has
+// no eras and must find the revision.
+func TestPositionRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := positionMessage{Era: feed.Era(rapid.Uint64Range(0, uint64(feed.MaxEra)).Draw(t, "era")), Revision: feed.Revision(rapid.Uint64().Draw(t, "revision"))}
 		payload, err := cbor.Marshal(want)
@@ -22,16 +22,16 @@
 		if err := cbor.Unmarshal(payload, &got); err != nil || got != want {
 			t.Fatalf("%v became %v, %v", want, got, err)
 		}
-		var before feed.Revision
-		if err := cbor.Unmarshal(payload, &before); err != nil || before != want.Revision {
-			t.Fatalf("the build before reads %v as %d, %v", want, before, err)
+		var withoutEra feed.Revision
+		if err := cbor.Unmarshal(payload, &withoutEra); err != nil || withoutEra != want.Revision {
+			t.Fatalf("the previous build decodes %v as %d, %v", want, withoutEra, err)
 		}
 	})
 }
 
-// TestTheBuildBeforeReadsMessagesWithAnEra decodes whole messages in the shapes that the build before
-// has.
-func TestTheBuildBeforeReadsMessagesWithAnEra(t *testing.T) {
+// TestPreviousBuildReadsMessagesWithEra decodes complete messages into the message types of the
+// previous build.
+func TestPreviousBuildReadsMessagesWithEra(t *testing.T) {
 	h := goldenHeartbeat()
 	h.Era = 7
 	payload, err := EncodeHeartbeat(&h)
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestOtherTagsAreNoEras reads revisions with tags of other uses.
-func TestOtherTagsAreNoEras(t *testing.T) {
+// TestOtherTagsAreIgnored decodes revisions whose tag is outside the range of eras.
+func TestOtherTagsAreIgnored(t *testing.T) {
 	for _, tag := range []uint64{100, eraTag, eraTag - 1, eraTag + uint64(feed.MaxEra) + 1, 1<<64 - 1} {
 		payload, err := cbor.Marshal(cbor.Tag{Number: tag, Content: uint64(5)})
 		if err != nil {
@@ -100,7 +100,8 @@
 	}
 }
 
-// FuzzPosition reads any bytes as a position: an error or a value that is encoded as it was meant.
+// FuzzPosition decodes arbitrary bytes as a position, which must fail or give a valid value that
+// round-trips.
 func FuzzPosition(f *testing.F) {
 	for _, p := range []positionMessage{{}, {Revision: 9}, {Era: 7, Revision: 9}, {Era: feed.MaxEra, Revision: 1 << 63}} {
 		payload, err := cbor.Marshal(p)
--- a/protocol/gossip/reports.go
+++ b/protocol/gossip/reports.go
@@ -1,6 +1,6 @@
-// This file holds what the datagrams that carry reports have in common. They stand beside
-// heartbeats, whose fields are fixed: a daemon of an earlier build drops what it does not
-// know.
+// This file has the encoding that all report datagrams share. Reports are separate from
+// heartbeats, whose fields are fixed: a daemon of an earlier build drops kinds of datagrams
+// that it does not know.
 
 package gossip
 
@@ -13,7 +13,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// reportKind marks what a datagram reports.
+// reportKind identifies the kind of reports in a datagram.
 type reportKind uint8
 
 const (
@@ -26,13 +26,13 @@
 	kindLoans    reportKind = 7
 )
 
-// kindNames are the names of the kinds for operators.
+// kindNames are the names of the kinds as shown to operators.
 var kindNames = map[reportKind]string{
 	kindSilences: "silences", kindCrowds: "crowds", kindCrashes: "crashes", kindLeavings: "leavings", kindLives: "lives",
 	kindLoanAsks: "loan_asks", kindLoans: "loans",
 }
 
-// Kinds returns the names of the kinds of reports that this build reads, in their order.
+// Kinds returns the names of the kinds of reports that this build reads, ordered by their numbers.
 func Kinds() []string {
 	var out []string
 	for _, kind := range slices.Sorted(maps.Keys(kindNames)) {
@@ -41,8 +41,8 @@
 	return out
 }
 
-// arrayOfTwo is the first byte of an encoded reportsMessage. A heartbeat, which is a longer
-// array, begins with another one. The kind, a small number, is the second.
+// arrayOfTwo is the first byte of an encoded reportsMessage; the second byte is the kind, a
+// small number. A heartbeat is a longer array and starts with another byte.
 const arrayOfTwo = 0x82
 
 type reportsMessage[M any] struct {
@@ -51,10 +51,10 @@
 	Reports []M
 }
 
-// encodeReports encodes up to a number of reports of a kind.
-func encodeReports[R, M any](kind reportKind, most int, reports []R, f func(R) M) ([]byte, error) {
-	if len(reports) > most {
-		return nil, eris.Errorf("%d reports do not fit a datagram; send %d at most", len(reports), most)
+// encodeReports encodes reports of a kind, at most limit of them.
+func encodeReports[R, M any](kind reportKind, limit int, reports []R, f func(R) M) ([]byte, error) {
+	if len(reports) > limit {
+		return nil, eris.Errorf("%d reports do not fit a datagram; send at most %d", len(reports), limit)
 	}
 	return encode(&reportsMessage[M]{Kind: kind, Reports: convert(reports, f)})
 }
@@ -64,7 +64,7 @@
 	return len(payload) > 1 && payload[0] == arrayOfTwo && payload[1] == byte(kind)
 }
 
-// decodeReports is the reverse of encodeReports.
+// decodeReports decodes a datagram of reports of a kind.
 func decodeReports[R, M any](payload []byte, kind reportKind, f func(M) R) ([]R, error) {
 	var m reportsMessage[M]
 	if err := decode(payload, &m); err != nil {
@@ -76,7 +76,8 @@
 	return convert(m.Reports, f), nil
 }
 
-// milliseconds is an age as reports carry it; one that is longer than that is cut, at 49 days.
+// milliseconds converts a duration to the 32-bit milliseconds of reports. It clamps at 0 and at
+// the maximum, 49 days.
 func milliseconds(d time.Duration) uint32 {
 	return uint32(min(max(0, d.Milliseconds()), math.MaxUint32))
 }
--- a/protocol/gossip/silences.go
+++ b/protocol/gossip/silences.go
@@ -1,5 +1,5 @@
-// This file encodes reports of silent replicas. A daemon of an earlier build drops them, and
-// finds silent replicas by its own requests.
+// This file encodes reports of silent replicas. A daemon of an earlier build drops them and
+// detects silent replicas only by its own requests.
 
 package gossip
 
@@ -9,7 +9,7 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// MaxSilences is how many reports fit a datagram with room to spare.
+// MaxSilences is the number of reports that safely fit a datagram.
 const MaxSilences = 80
 
 type silenceMessage struct {
@@ -26,10 +26,10 @@
 	})
 }
 
-// IsSilences reports whether a datagram is meant for [DecodeSilences].
+// IsSilences reports whether a datagram holds reports of silent replicas.
 func IsSilences(payload []byte) bool { return isReports(payload, kindSilences) }
 
-// DecodeSilences is the reverse of [EncodeSilences].
+// DecodeSilences decodes a datagram of reports of silent replicas.
 func DecodeSilences(payload []byte) ([]routing.SilenceReport, error) {
 	return decodeReports(payload, kindSilences, func(m silenceMessage) routing.SilenceReport {
 		return routing.SilenceReport{Replica: m.Replica, Reporter: m.Reporter, Age: time.Duration(m.Age) * time.Millisecond}
