--- a/internal/soak/plants_test.go
+++ b/internal/soak/plants_test.go
@@ -70,7 +70,7 @@
 	{name: "forgets after 10 s what replicas end under", promise: "BUDGET", file: "coordination/routing/crash.go",
 		text: "return len(s.crashes) >= crashesToQuarantine }", instead: "return len(s.crashes) >= crashesToQuarantine && time.Since(s.crashes[len(s.crashes)-1].at) < 10*time.Second }", quiet: longQuiet},
 	{name: "does not read for how long a replica asks for rest", promise: "BUDGET", subject: restSubject, file: "platform/statement.go",
-		text: "s.Rest = max(s.Rest, rest)", instead: "s.Rest = max(s.Rest, 0*rest)"},
+		text: "s.Backoff = max(s.Backoff, backoff)", instead: "s.Backoff = max(s.Backoff, 0*backoff)"},
 	{name: "forgets a rest when the entry goes", promise: "BUDGET", subject: restSubject, file: "daemon/routes/control.go",
 		text: "\tc.cache.Forget(", instead: "\tfor _, it := range changed {\n\t\tif id, ok := c.catalog.documents.ReplicaID(it.Key); ok && it.Deleted {\n\t\t\tc.backoffs.Lift(id, now)\n\t\t}\n\t}\n\tc.cache.Forget("},
 	{name: "sends to replicas at rest where nothing else is left", promise: "BUDGET", subject: restSubject, file: "coordination/routing/usable.go",
