--- a/daemon/routes/control_test.go
+++ b/daemon/routes/control_test.go
@@ -188,7 +188,7 @@
 	c.events = make(chan event, eventQueue)
 	sent := make(chan []byte, eventQueue)
 	c.heartbeats.send = func(_ membership.Address, payload []byte) {
-		if gossip.IsCrowds(payload) {
+		if gossip.IsOverloads(payload) {
 			sent <- payload
 		}
 	}
@@ -207,7 +207,7 @@
 	case <-time.After(10 * time.Second):
 		t.Fatal("no report was sent")
 	}
-	got, err := gossip.DecodeCrowds(payload)
+	got, err := gossip.DecodeOverloads(payload)
 	if err != nil || len(got) != 1 || got[0].Homes != report.Homes {
 		t.Errorf("sent %+v, %v", got, err)
 	}
@@ -237,7 +237,7 @@
 	if e, err := decodeDatagram(silences); err != nil || len(e.(silencesReceived).reports) != 1 {
 		t.Errorf("reports became %+v, %v", e, err)
 	}
-	crowds, err := gossip.EncodeCrowds([]routing.OverloadReport{{Replica: 5, Prompt: 6, Homes: 7}})
+	crowds, err := gossip.EncodeOverloads([]routing.OverloadReport{{Replica: 5, Prompt: 6, Homes: 7}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/daemon/routes/peers.go
+++ b/daemon/routes/peers.go
@@ -101,17 +101,17 @@
 	case gossip.IsSilences(payload):
 		reports, err := gossip.DecodeSilences(payload)
 		return silencesReceived{reports: reports}, err
-	case gossip.IsCrowds(payload):
-		reports, err := gossip.DecodeCrowds(payload)
+	case gossip.IsOverloads(payload):
+		reports, err := gossip.DecodeOverloads(payload)
 		return overloadsReceived{reports: reports}, err
 	case gossip.IsCrashes(payload):
 		reports, err := gossip.DecodeCrashes(payload)
 		return crashesReceived{reports: reports}, err
-	case gossip.IsLives(payload):
-		reports, err := gossip.DecodeLives(payload)
+	case gossip.IsLiveness(payload):
+		reports, err := gossip.DecodeLiveness(payload)
 		return livenessReceived{reports: reports}, err
-	case gossip.IsLeavings(payload):
-		reports, err := gossip.DecodeLeavings(payload)
+	case gossip.IsDepartures(payload):
+		reports, err := gossip.DecodeDepartures(payload)
 		return departuresReceived{reports: reports}, err
 	case gossip.IsLoanAsks(payload):
 		asks, err := gossip.DecodeLoanAsks(payload)
--- a/daemon/routes/reports.go
+++ b/daemon/routes/reports.go
@@ -79,7 +79,7 @@
 
 // sendOverloads forwards pending reports of overloaded replicas.
 func (c *control) sendOverloads(now time.Time) {
-	sendReportsToTargets(c, c.overloads.TakeReports(gossip.MaxCrowds, now), gossip.EncodeCrowds, now)
+	sendReportsToTargets(c, c.overloads.TakeReports(gossip.MaxOverloads, now), gossip.EncodeOverloads, now)
 }
 
 // receiveSilences processes a peer's reports of silent replicas.
@@ -117,7 +117,7 @@
 
 // sendLiveness forwards pending liveness reports.
 func (c *control) sendLiveness(now time.Time) {
-	sendReportsToTargets(c, c.health.TakeLivenessReports(gossip.MaxLives, now), gossip.EncodeLives, now)
+	sendReportsToTargets(c, c.health.TakeLivenessReports(gossip.MaxLiveness, now), gossip.EncodeLiveness, now)
 }
 
 // receiveLiveness processes a peer's liveness reports.
@@ -127,7 +127,7 @@
 
 // sendDepartures forwards pending reports of departures.
 func (c *control) sendDepartures(now time.Time) {
-	sendReportsToTargets(c, c.departures.TakeReports(gossip.MaxLeavings, now), gossip.EncodeLeavings, now)
+	sendReportsToTargets(c, c.departures.TakeReports(gossip.MaxDepartures, now), gossip.EncodeDepartures, now)
 }
 
 // receiveDepartures processes a peer's reports of departures.
@@ -182,7 +182,7 @@
 
 // sendKnownDepartures sends one datagram of departures, as sendKnownCrashes does for crashes.
 func (c *control) sendKnownDepartures(to []membership.Address, after routing.LoadKey, now time.Time) routing.LoadKey {
-	reports, last := c.departures.All(after, gossip.MaxLeavings, now)
-	sendReports(c, to, reports, gossip.EncodeLeavings)
+	reports, last := c.departures.All(after, gossip.MaxDepartures, now)
+	sendReports(c, to, reports, gossip.EncodeDepartures)
 	return last
 }
--- a/daemon/routes/statements_test.go
+++ b/daemon/routes/statements_test.go
@@ -67,7 +67,7 @@
 	here, there := newQuietControl(t), newQuietControl(t)
 	var sent [][]byte
 	here.heartbeats.send = func(_ membership.Address, payload []byte) {
-		if gossip.IsLeavings(payload) {
+		if gossip.IsDepartures(payload) {
 			sent = append(sent, payload)
 		}
 	}
--- a/internal/soak/plants_test.go
+++ b/internal/soak/plants_test.go
@@ -99,7 +99,7 @@
 		text: "d := c.feed.Digest(!q.knowsEras || q.after.Era == at.Era)", instead: "d := c.feed.Digest(true)", faults: restoresInSeries, plain: true,
 		also: []edit{{"state/feed/parts.go", "own := f.checksums(len(d.Sums), d.Era == f.era)", "own := f.checksums(len(d.Sums), true)"}}},
 	{name: "does not tell other daemons which replicas leave", promise: "DRAIN", file: "daemon/routes/peers.go",
-		text: "case gossip.IsLeavings(payload):", instead: "case gossip.IsLeavings(payload) && len(payload) == 0:"},
+		text: "case gossip.IsDepartures(payload):", instead: "case gossip.IsDepartures(payload) && len(payload) == 0:"},
 }
 
 // restartsInSeries kills one daemon after another, each once in ten seconds.
--- a/protocol/gossip/crowds.go
+++ b/protocol/gossip/crowds.go
@@ -9,10 +9,10 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// MaxCrowds is the number of reports that safely fit a datagram.
-const MaxCrowds = 60
+// MaxOverloads is the number of reports that safely fit a datagram.
+const MaxOverloads = 60
 
-type crowdMessage struct {
+type overloadMessage struct {
 	_       struct{} `cbor:",toarray"`
 	Replica routing.LoadKey
 	Prompt  routing.PromptKey
@@ -20,19 +20,19 @@
 	Age     uint32 // in milliseconds
 }
 
-// EncodeCrowds encodes up to [MaxCrowds] reports.
-func EncodeCrowds(reports []routing.OverloadReport) ([]byte, error) {
-	return encodeReports(kindCrowds, MaxCrowds, reports, func(r routing.OverloadReport) crowdMessage {
-		return crowdMessage{Replica: r.Replica, Prompt: r.Prompt, Homes: r.Homes, Age: milliseconds(r.Age)}
+// EncodeOverloads encodes up to [MaxOverloads] reports.
+func EncodeOverloads(reports []routing.OverloadReport) ([]byte, error) {
+	return encodeReports(kindOverloads, MaxOverloads, reports, func(r routing.OverloadReport) overloadMessage {
+		return overloadMessage{Replica: r.Replica, Prompt: r.Prompt, Homes: r.Homes, Age: milliseconds(r.Age)}
 	})
 }
 
-// IsCrowds reports whether a datagram holds overload reports.
-func IsCrowds(payload []byte) bool { return isReports(payload, kindCrowds) }
+// IsOverloads reports whether a datagram holds overload reports.
+func IsOverloads(payload []byte) bool { return isReports(payload, kindOverloads) }
 
-// DecodeCrowds decodes a datagram of overload reports.
-func DecodeCrowds(payload []byte) ([]routing.OverloadReport, error) {
-	return decodeReports(payload, kindCrowds, func(m crowdMessage) routing.OverloadReport {
+// DecodeOverloads decodes a datagram of overload reports.
+func DecodeOverloads(payload []byte) ([]routing.OverloadReport, error) {
+	return decodeReports(payload, kindOverloads, func(m overloadMessage) routing.OverloadReport {
 		return routing.OverloadReport{Replica: m.Replica, Prompt: m.Prompt, Homes: m.Homes, Age: time.Duration(m.Age) * time.Millisecond}
 	})
 }
--- a/protocol/gossip/gossip_test.go
+++ b/protocol/gossip/gossip_test.go
@@ -153,19 +153,19 @@
 // reports of silent replicas must not decode as overload reports.
 func TestOverloadsRoundTrip(t *testing.T) {
 	var reports []routing.OverloadReport
-	for i := range MaxCrowds {
+	for i := range MaxOverloads {
 		reports = append(reports, routing.OverloadReport{
 			Replica: routing.LoadKey(1<<31 + i), Prompt: routing.PromptKey(1<<31 + i), Homes: 1<<16 - 1, Age: time.Duration(1<<20+i) * time.Millisecond,
 		})
 	}
-	payload, err := EncodeCrowds(reports)
+	payload, err := EncodeOverloads(reports)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(payload) > MaxHeartbeatBytes || !IsCrowds(payload) || IsSilences(payload) {
-		t.Fatalf("%d bytes, recognized as overloads: %t, as silences: %t", len(payload), IsCrowds(payload), IsSilences(payload))
+	if len(payload) > MaxHeartbeatBytes || !IsOverloads(payload) || IsSilences(payload) {
+		t.Fatalf("%d bytes, recognized as overloads: %t, as silences: %t", len(payload), IsOverloads(payload), IsSilences(payload))
 	}
-	got, err := DecodeCrowds(payload)
+	got, err := DecodeOverloads(payload)
 	if err != nil || !slices.Equal(got, reports) {
 		t.Errorf("got %+v, %v", got, err)
 	}
@@ -179,10 +179,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c, err := DecodeCrowds(silences); err == nil || IsCrowds(silences) {
+	if c, err := DecodeOverloads(silences); err == nil || IsOverloads(silences) {
 		t.Errorf("reports of silent replicas were decoded as %+v", c)
 	}
-	if _, err := EncodeCrowds(append(reports, reports[0])); err == nil {
+	if _, err := EncodeOverloads(append(reports, reports[0])); err == nil {
 		t.Error("more reports than fit were encoded")
 	}
 }
@@ -201,8 +201,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(payload) > MaxHeartbeatBytes || !IsCrashes(payload) || IsCrowds(payload) || IsSilences(payload) {
-		t.Fatalf("%d bytes, recognized as crashes: %t, as overloads: %t, as silences: %t", len(payload), IsCrashes(payload), IsCrowds(payload), IsSilences(payload))
+	if len(payload) > MaxHeartbeatBytes || !IsCrashes(payload) || IsOverloads(payload) || IsSilences(payload) {
+		t.Fatalf("%d bytes, recognized as crashes: %t, as overloads: %t, as silences: %t", len(payload), IsCrashes(payload), IsOverloads(payload), IsSilences(payload))
 	}
 	got, err := DecodeCrashes(payload)
 	if err != nil || !slices.Equal(got, reports) {
@@ -262,13 +262,13 @@
 	write("documents", payload, err)
 	payload, err = EncodeSilences([]routing.SilenceReport{{Replica: 5, Reporter: 1 << 31, Age: 250 * time.Millisecond}})
 	write("silences", payload, err)
-	payload, err = EncodeCrowds([]routing.OverloadReport{{Replica: 5, Prompt: 1 << 31, Homes: 300, Age: 250 * time.Millisecond}})
+	payload, err = EncodeOverloads([]routing.OverloadReport{{Replica: 5, Prompt: 1 << 31, Homes: 300, Age: 250 * time.Millisecond}})
 	write("crowds", payload, err)
 	payload, err = EncodeCrashes([]routing.CrashReport{{Content: 1 << 40, Caller: 1 << 31, Replica: 5, Age: 250 * time.Millisecond}, {Content: 7, Clears: true}})
 	write("crashes", payload, err)
-	payload, err = EncodeLeavings([]routing.DepartureReport{{Replica: 5, Age: 250 * time.Millisecond}, {Replica: 1 << 31}})
+	payload, err = EncodeDepartures([]routing.DepartureReport{{Replica: 5, Age: 250 * time.Millisecond}, {Replica: 1 << 31}})
 	write("leavings", payload, err)
-	payload, err = EncodeLives([]routing.LivenessReport{{Replica: 5, Since: time.Hour, Age: 250 * time.Millisecond}})
+	payload, err = EncodeLiveness([]routing.LivenessReport{{Replica: 5, Since: time.Hour, Age: 250 * time.Millisecond}})
 	write("lives", payload, err)
 	payload, err = EncodeLoanAsks([]LoanAsk{{ID: 3, From: "10.0.0.1:1", Service: "s", Missing: 0.25}})
 	write("loan asks", payload, err)
--- a/protocol/gossip/leavings.go
+++ b/protocol/gossip/leavings.go
@@ -9,28 +9,28 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// MaxLeavings is the number of reports that safely fit a datagram.
-const MaxLeavings = 100
+// MaxDepartures is the number of reports that safely fit a datagram.
+const MaxDepartures = 100
 
-type leavingMessage struct {
+type departureMessage struct {
 	_       struct{} `cbor:",toarray"`
 	Replica routing.LoadKey
 	Age     uint32 // in milliseconds
 }
 
-// EncodeLeavings encodes up to [MaxLeavings] reports.
-func EncodeLeavings(reports []routing.DepartureReport) ([]byte, error) {
-	return encodeReports(kindLeavings, MaxLeavings, reports, func(r routing.DepartureReport) leavingMessage {
-		return leavingMessage{Replica: r.Replica, Age: milliseconds(r.Age)}
+// EncodeDepartures encodes up to [MaxDepartures] reports.
+func EncodeDepartures(reports []routing.DepartureReport) ([]byte, error) {
+	return encodeReports(kindDepartures, MaxDepartures, reports, func(r routing.DepartureReport) departureMessage {
+		return departureMessage{Replica: r.Replica, Age: milliseconds(r.Age)}
 	})
 }
 
-// IsLeavings reports whether a datagram holds departure reports.
-func IsLeavings(payload []byte) bool { return isReports(payload, kindLeavings) }
+// IsDepartures reports whether a datagram holds departure reports.
+func IsDepartures(payload []byte) bool { return isReports(payload, kindDepartures) }
 
-// DecodeLeavings decodes a datagram of departure reports.
-func DecodeLeavings(payload []byte) ([]routing.DepartureReport, error) {
-	return decodeReports(payload, kindLeavings, func(m leavingMessage) routing.DepartureReport {
+// DecodeDepartures decodes a datagram of departure reports.
+func DecodeDepartures(payload []byte) ([]routing.DepartureReport, error) {
+	return decodeReports(payload, kindDepartures, func(m departureMessage) routing.DepartureReport {
 		return routing.DepartureReport{Replica: m.Replica, Age: time.Duration(m.Age) * time.Millisecond}
 	})
 }
--- a/protocol/gossip/lives.go
+++ b/protocol/gossip/lives.go
@@ -9,29 +9,29 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// MaxLives is the number of reports that safely fit a datagram.
-const MaxLives = 80
+// MaxLiveness is the number of reports that safely fit a datagram.
+const MaxLiveness = 80
 
-type lifeMessage struct {
+type livenessMessage struct {
 	_       struct{} `cbor:",toarray"`
 	Replica routing.LoadKey
 	Since   uint32 // in milliseconds
 	Age     uint32 // in milliseconds
 }
 
-// EncodeLives encodes up to [MaxLives] reports.
-func EncodeLives(reports []routing.LivenessReport) ([]byte, error) {
-	return encodeReports(kindLives, MaxLives, reports, func(r routing.LivenessReport) lifeMessage {
-		return lifeMessage{Replica: r.Replica, Since: milliseconds(r.Since), Age: milliseconds(r.Age)}
+// EncodeLiveness encodes up to [MaxLiveness] reports.
+func EncodeLiveness(reports []routing.LivenessReport) ([]byte, error) {
+	return encodeReports(kindLiveness, MaxLiveness, reports, func(r routing.LivenessReport) livenessMessage {
+		return livenessMessage{Replica: r.Replica, Since: milliseconds(r.Since), Age: milliseconds(r.Age)}
 	})
 }
 
-// IsLives reports whether a datagram holds liveness reports.
-func IsLives(payload []byte) bool { return isReports(payload, kindLives) }
+// IsLiveness reports whether a datagram holds liveness reports.
+func IsLiveness(payload []byte) bool { return isReports(payload, kindLiveness) }
 
-// DecodeLives decodes a datagram of liveness reports.
-func DecodeLives(payload []byte) ([]routing.LivenessReport, error) {
-	return decodeReports(payload, kindLives, func(m lifeMessage) routing.LivenessReport {
+// DecodeLiveness decodes a datagram of liveness reports.
+func DecodeLiveness(payload []byte) ([]routing.LivenessReport, error) {
+	return decodeReports(payload, kindLiveness, func(m livenessMessage) routing.LivenessReport {
 		return routing.LivenessReport{Replica: m.Replica, Since: time.Duration(m.Since) * time.Millisecond, Age: time.Duration(m.Age) * time.Millisecond}
 	})
 }
--- a/protocol/gossip/reports.go
+++ b/protocol/gossip/reports.go
@@ -18,17 +18,17 @@
 
 const (
 	kindSilences reportKind = 1
-	kindCrowds   reportKind = 2
+	kindOverloads   reportKind = 2
 	kindCrashes  reportKind = 3
-	kindLeavings reportKind = 4
-	kindLives    reportKind = 5
+	kindDepartures reportKind = 4
+	kindLiveness    reportKind = 5
 	kindLoanAsks reportKind = 6
 	kindLoans    reportKind = 7
 )
 
 // kindNames are the names of the kinds as shown to operators.
 var kindNames = map[reportKind]string{
-	kindSilences: "silences", kindCrowds: "crowds", kindCrashes: "crashes", kindLeavings: "leavings", kindLives: "lives",
+	kindSilences: "silences", kindOverloads: "crowds", kindCrashes: "crashes", kindDepartures: "leavings", kindLiveness: "lives",
 	kindLoanAsks: "loan_asks", kindLoans: "loans",
 }
 
