--- a/daemon/routes/events.go
+++ b/daemon/routes/events.go
@@ -68,9 +68,9 @@
 		reply   chan<- routing.Retries
 	}
 	// transferRequestsReceived carries a peer's requests for budget transfers.
-	transferRequestsReceived struct{ requests []gossip.LoanAsk }
+	transferRequestsReceived struct{ requests []gossip.TransferRequest }
 	// transfersReceived carries a peer's budget transfers.
-	transfersReceived struct{ transfers []gossip.Loan }
+	transfersReceived struct{ transfers []gossip.TransferGrant }
 	// syncDue says that the delay before fetching documents from a peer has passed.
 	syncDue struct{}
 	// syncCompleted carries a peer's response to a request for documents, or the error.
--- a/daemon/routes/loans.go
+++ b/daemon/routes/loans.go
@@ -14,8 +14,8 @@
 
 // transfers is the state of the budget transfers that this daemon requested.
 type transfers struct {
-	last    gossip.LoanID
-	pending map[gossip.LoanID]pendingTransfer
+	last    gossip.TransferID
+	pending map[gossip.TransferID]pendingTransfer
 }
 
 // pendingTransfer is a requested transfer that has not arrived yet.
@@ -35,30 +35,30 @@
 	l := &c.transfers
 	l.last++
 	if l.pending == nil {
-		l.pending = make(map[gossip.LoanID]pendingTransfer)
+		l.pending = make(map[gossip.TransferID]pendingTransfer)
 	}
 	l.pending[l.last] = pendingTransfer{reply: w.reply, until: now.Add(routing.TransferTimeout)}
-	ask := gossip.LoanAsk{ID: l.last, From: c.roster.Self().Address, Service: w.service, Missing: w.missing}
-	sendReports(c, []membership.Address{lender}, []gossip.LoanAsk{ask}, gossip.EncodeLoanAsks)
+	ask := gossip.TransferRequest{ID: l.last, From: c.roster.Self().Address, Service: w.service, Requested: w.missing}
+	sendReports(c, []membership.Address{lender}, []gossip.TransferRequest{ask}, gossip.EncodeTransferRequests)
 }
 
 // grantTransfers responds to a peer's requests for budget transfers.
-func (c *control) grantTransfers(requests []gossip.LoanAsk, now time.Time) {
+func (c *control) grantTransfers(requests []gossip.TransferRequest, now time.Time) {
 	for _, a := range requests {
-		loan := gossip.Loan{ID: a.ID, Lent: c.budgets.GrantTransfer(a.Service, a.Missing, now)}
-		if loan.Lent > 0 {
+		loan := gossip.TransferGrant{ID: a.ID, Granted: c.budgets.GrantTransfer(a.Service, a.Requested, now)}
+		if loan.Granted > 0 {
 			c.log.metrics.TransfersGranted.Inc(1)
 		}
-		sendReports(c, []membership.Address{a.From}, []gossip.Loan{loan}, gossip.EncodeLoans)
+		sendReports(c, []membership.Address{a.From}, []gossip.TransferGrant{loan}, gossip.EncodeTransferGrants)
 	}
 }
 
 // receiveTransfers delivers transfers to their requesters. Duplicates are ignored.
-func (c *control) receiveTransfers(received []gossip.Loan) {
+func (c *control) receiveTransfers(received []gossip.TransferGrant) {
 	for _, t := range received {
 		if o, ok := c.transfers.pending[t.ID]; ok {
 			delete(c.transfers.pending, t.ID)
-			o.reply <- t.Lent
+			o.reply <- t.Granted
 		}
 	}
 }
--- a/daemon/routes/loans_test.go
+++ b/daemon/routes/loans_test.go
@@ -103,7 +103,7 @@
 	c.events = make(chan event, eventQueue)
 	var asked int
 	c.heartbeats.send = func(_ membership.Address, payload []byte) {
-		if gossip.IsLoanAsks(payload) {
+		if gossip.IsTransferRequests(payload) {
 			asked++
 		}
 	}
--- a/daemon/routes/peers.go
+++ b/daemon/routes/peers.go
@@ -113,11 +113,11 @@
 	case gossip.IsDepartures(payload):
 		reports, err := gossip.DecodeDepartures(payload)
 		return departuresReceived{reports: reports}, err
-	case gossip.IsLoanAsks(payload):
-		asks, err := gossip.DecodeLoanAsks(payload)
+	case gossip.IsTransferRequests(payload):
+		asks, err := gossip.DecodeTransferRequests(payload)
 		return transferRequestsReceived{requests: asks}, err
-	case gossip.IsLoans(payload):
-		loans, err := gossip.DecodeLoans(payload)
+	case gossip.IsTransferGrants(payload):
+		loans, err := gossip.DecodeTransferGrants(payload)
 		return transfersReceived{transfers: loans}, err
 	}
 	h, err := gossip.DecodeHeartbeat(payload)
--- a/protocol/gossip/gossip_test.go
+++ b/protocol/gossip/gossip_test.go
@@ -270,9 +270,9 @@
 	write("leavings", payload, err)
 	payload, err = EncodeLiveness([]routing.LivenessReport{{Replica: 5, Since: time.Hour, Age: 250 * time.Millisecond}})
 	write("lives", payload, err)
-	payload, err = EncodeLoanAsks([]LoanAsk{{ID: 3, From: "10.0.0.1:1", Service: "s", Missing: 0.25}})
+	payload, err = EncodeTransferRequests([]TransferRequest{{ID: 3, From: "10.0.0.1:1", Service: "s", Requested: 0.25}})
 	write("loan asks", payload, err)
-	payload, err = EncodeLoans([]Loan{{ID: 3, Lent: 0.25}})
+	payload, err = EncodeTransferGrants([]TransferGrant{{ID: 3, Granted: 0.25}})
 	write("loans", payload, err)
 	payload, err = EncodeDigest(&feed.Digest{Revision: 9, Sums: []uint64{1, 0, 1 << 63, 0, 0, 0, 0, 7}})
 	write("digest", payload, err)
@@ -309,23 +309,23 @@
 // never get more than was granted, and at most 0.0011 less.
 func TestTransferRoundTrip(t *testing.T) {
 	for i := range 1001 {
-		lent := routing.Retries(i) / 1000
-		payload, err := EncodeLoans([]Loan{{ID: 7, Lent: lent}})
-		if err != nil || !IsLoans(payload) || IsLoanAsks(payload) {
+		granted := routing.Retries(i) / 1000
+		payload, err := EncodeTransferGrants([]TransferGrant{{ID: 7, Granted: granted}})
+		if err != nil || !IsTransferGrants(payload) || IsTransferRequests(payload) {
 			t.Fatal(err)
 		}
-		got, err := DecodeLoans(payload)
-		if err != nil || got[0].ID != 7 || got[0].Lent > lent+1e-9 || got[0].Lent < lent-0.0011 {
-			t.Fatalf("lent %v, got %v, %v", lent, got, err)
+		got, err := DecodeTransferGrants(payload)
+		if err != nil || got[0].ID != 7 || got[0].Granted > granted+1e-9 || got[0].Granted < granted-0.0011 {
+			t.Fatalf("granted %v, got %v, %v", granted, got, err)
 		}
 	}
-	ask := LoanAsk{ID: 7, From: "10.0.0.1:1", Service: "s", Missing: 0.1234}
-	payload, err := EncodeLoanAsks([]LoanAsk{ask})
-	if err != nil || !IsLoanAsks(payload) {
+	request := TransferRequest{ID: 7, From: "10.0.0.1:1", Service: "s", Requested: 0.1234}
+	payload, err := EncodeTransferRequests([]TransferRequest{request})
+	if err != nil || !IsTransferRequests(payload) {
 		t.Fatal(err)
 	}
-	got, err := DecodeLoanAsks(payload)
-	if err != nil || got[0].Missing < ask.Missing || got[0].Missing > ask.Missing+0.0011 || got[0].From != ask.From || got[0].Service != ask.Service {
+	got, err := DecodeTransferRequests(payload)
+	if err != nil || got[0].Requested < request.Requested || got[0].Requested > request.Requested+0.0011 || got[0].From != request.From || got[0].Service != request.Service {
 		t.Fatalf("got %v, %v", got, err)
 	}
 }
--- a/protocol/gossip/loans.go
+++ b/protocol/gossip/loans.go
@@ -8,78 +8,78 @@
 	"hingewinch.org/hingewinch/coordination/routing"
 )
 
-// LoanID identifies a request for a budget transfer. The requesting daemon assigns it.
-type LoanID uint32
-
-// LoanAsk requests a transfer of retry budget for a service.
-type LoanAsk struct {
-	ID      LoanID
-	From    membership.Address // the requesting daemon
-	Service routing.ServiceName
-	Missing routing.Retries
+// TransferID identifies a request for a budget transfer. The requesting daemon assigns it.
+type TransferID uint32
+
+// TransferRequest requests a transfer of retry budget for a service.
+type TransferRequest struct {
+	ID        TransferID
+	From      membership.Address // the requesting daemon
+	Service   routing.ServiceName
+	Requested routing.Retries
 }
 
-// Loan is the response to a [LoanAsk].
-type Loan struct {
-	ID   LoanID
-	Lent routing.Retries
+// TransferGrant is the response to a [TransferRequest].
+type TransferGrant struct {
+	ID      TransferID
+	Granted routing.Retries
 }
 
-// MaxLoans is the number of requests, or of responses, that fit a datagram.
-const MaxLoans = 4
+// MaxTransfers is the number of requests, or of responses, that fit a datagram.
+const MaxTransfers = 4
 
-// loanUnit is the unit in which budget transfers are encoded, as a fraction of a retry.
-const loanUnit = 1.0 / 1000
+// transferUnit is the unit in which budget transfers are encoded, as a fraction of a retry.
+const transferUnit = 1.0 / 1000
 
-type loanAskMessage struct {
-	_       struct{} `cbor:",toarray"`
-	ID      LoanID
-	From    membership.Address
-	Service routing.ServiceName
-	Missing uint16 // in loanUnit
+type transferRequestMessage struct {
+	_         struct{} `cbor:",toarray"`
+	ID        TransferID
+	From      membership.Address
+	Service   routing.ServiceName
+	Requested uint16 // in transferUnit
 }
 
-type loanMessage struct {
-	_    struct{} `cbor:",toarray"`
-	ID   LoanID
-	Lent uint16 // in loanUnit
+type transferGrantMessage struct {
+	_       struct{} `cbor:",toarray"`
+	ID      TransferID
+	Granted uint16 // in transferUnit
 }
 
-// loanUnits converts at most one retry to units. It rounds down, so that the receiver never gets
+// transferUnits converts at most one retry to units. It rounds down, so that the receiver never gets
 // more than was granted.
-func loanUnits(r routing.Retries) uint16 { return uint16(min(1, max(0, r)) / loanUnit) }
+func transferUnits(r routing.Retries) uint16 { return uint16(min(1, max(0, r)) / transferUnit) }
 
-// EncodeLoanAsks encodes up to [MaxLoans] requests for transfers. The requested amounts are rounded
+// EncodeTransferRequests encodes up to [MaxTransfers] requests for transfers. The requested amounts are rounded
 // up.
-func EncodeLoanAsks(asks []LoanAsk) ([]byte, error) {
-	return encodeReports(kindLoanAsks, MaxLoans, asks, func(a LoanAsk) loanAskMessage {
-		return loanAskMessage{ID: a.ID, From: a.From, Service: a.Service, Missing: min(1/loanUnit, loanUnits(a.Missing)+1)}
+func EncodeTransferRequests(requests []TransferRequest) ([]byte, error) {
+	return encodeReports(kindTransferRequests, MaxTransfers, requests, func(r TransferRequest) transferRequestMessage {
+		return transferRequestMessage{ID: r.ID, From: r.From, Service: r.Service, Requested: min(1/transferUnit, transferUnits(r.Requested)+1)}
 	})
 }
 
-// IsLoanAsks reports whether a datagram holds requests for transfers.
-func IsLoanAsks(payload []byte) bool { return isReports(payload, kindLoanAsks) }
+// IsTransferRequests reports whether a datagram holds requests for transfers.
+func IsTransferRequests(payload []byte) bool { return isReports(payload, kindTransferRequests) }
 
-// DecodeLoanAsks decodes a datagram of requests for transfers.
-func DecodeLoanAsks(payload []byte) ([]LoanAsk, error) {
-	return decodeReports(payload, kindLoanAsks, func(m loanAskMessage) LoanAsk {
-		return LoanAsk{ID: m.ID, From: m.From, Service: m.Service, Missing: routing.Retries(m.Missing) * loanUnit}
+// DecodeTransferRequests decodes a datagram of requests for transfers.
+func DecodeTransferRequests(payload []byte) ([]TransferRequest, error) {
+	return decodeReports(payload, kindTransferRequests, func(m transferRequestMessage) TransferRequest {
+		return TransferRequest{ID: m.ID, From: m.From, Service: m.Service, Requested: routing.Retries(m.Requested) * transferUnit}
 	})
 }
 
-// EncodeLoans encodes up to [MaxLoans] granted transfers.
-func EncodeLoans(loans []Loan) ([]byte, error) {
-	return encodeReports(kindLoans, MaxLoans, loans, func(l Loan) loanMessage {
-		return loanMessage{ID: l.ID, Lent: loanUnits(l.Lent)}
+// EncodeTransferGrants encodes up to [MaxTransfers] granted transfers.
+func EncodeTransferGrants(grants []TransferGrant) ([]byte, error) {
+	return encodeReports(kindTransferGrants, MaxTransfers, grants, func(g TransferGrant) transferGrantMessage {
+		return transferGrantMessage{ID: g.ID, Granted: transferUnits(g.Granted)}
 	})
 }
 
-// IsLoans reports whether a datagram holds granted transfers.
-func IsLoans(payload []byte) bool { return isReports(payload, kindLoans) }
+// IsTransferGrants reports whether a datagram holds granted transfers.
+func IsTransferGrants(payload []byte) bool { return isReports(payload, kindTransferGrants) }
 
-// DecodeLoans decodes a datagram of granted transfers.
-func DecodeLoans(payload []byte) ([]Loan, error) {
-	return decodeReports(payload, kindLoans, func(m loanMessage) Loan {
-		return Loan{ID: m.ID, Lent: min(1, routing.Retries(m.Lent)*loanUnit)}
+// DecodeTransferGrants decodes a datagram of granted transfers.
+func DecodeTransferGrants(payload []byte) ([]TransferGrant, error) {
+	return decodeReports(payload, kindTransferGrants, func(m transferGrantMessage) TransferGrant {
+		return TransferGrant{ID: m.ID, Granted: min(1, routing.Retries(m.Granted)*transferUnit)}
 	})
 }
--- a/protocol/gossip/reports.go
+++ b/protocol/gossip/reports.go
@@ -17,19 +17,19 @@
 type reportKind uint8
 
 const (
-	kindSilences reportKind = 1
-	kindOverloads   reportKind = 2
-	kindCrashes  reportKind = 3
-	kindDepartures reportKind = 4
-	kindLiveness    reportKind = 5
-	kindLoanAsks reportKind = 6
-	kindLoans    reportKind = 7
+	kindSilences         reportKind = 1
+	kindOverloads        reportKind = 2
+	kindCrashes          reportKind = 3
+	kindDepartures       reportKind = 4
+	kindLiveness         reportKind = 5
+	kindTransferRequests reportKind = 6
+	kindTransferGrants   reportKind = 7
 )
 
 // kindNames are the names of the kinds as shown to operators.
 var kindNames = map[reportKind]string{
 	kindSilences: "silences", kindOverloads: "crowds", kindCrashes: "crashes", kindDepartures: "leavings", kindLiveness: "lives",
-	kindLoanAsks: "loan_asks", kindLoans: "loans",
+	kindTransferRequests: "loan_asks", kindTransferGrants: "loans",
 }
 
 // Kinds returns the names of the kinds of reports that this build reads, ordered by their numbers.
