--- a/daemon/routes/restored_test.go
+++ b/daemon/routes/restored_test.go
@@ -310,7 +310,7 @@
 	return c, nil
 }
 
-func (s *restoringStore) Forget() {}
+func (s *restoringStore) CloseIdleConnections() {}
 
 // TestPagesOfTwoErasAreNoList guards against lists that mix documents from before and after a restore,
 // and against changes of a new era that a watch started in the old one returns.
--- a/daemon/routes/store.go
+++ b/daemon/routes/store.go
@@ -23,8 +23,8 @@
 	List(ctx context.Context, after string, t transport.Timeouts) (feed.Page, error)
 	// Watch waits for changes after a revision. Its timeouts include the wait.
 	Watch(ctx context.Context, after feed.Revision, wait time.Duration, t transport.Timeouts) (feed.Changes, error)
-	// Forget closes connections that may be dead.
-	Forget()
+	// CloseIdleConnections closes connections that may be dead.
+	CloseIdleConnections()
 }
 
 const (
@@ -247,7 +247,7 @@
 		r.listed = false
 		return
 	}
-	r.store.Forget()
+	r.store.CloseIdleConnections()
 	if r.backoff == 0 {
 		r.backoff = firstBackoff
 		r.control.post(ctx, storeReachabilityChanged{lost: true, err: err})
--- a/daemon/routes/store_test.go
+++ b/daemon/routes/store_test.go
@@ -48,7 +48,7 @@
 	return feed.Changes{}, ctx.Err()
 }
 
-func (s *rejectingStore) Forget() {}
+func (s *rejectingStore) CloseIdleConnections() {}
 
 // TestListGoesOnWhereItWasTurnedAway lists 12 pages from a store that rejects calls. A
 // list that starts over after each rejection would never complete.
