--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -161,7 +161,7 @@
 	}
 	begun := time.Now()
 	body, err := io.ReadAll(resp.Body)
-	a := Answer{At: time.Now(), Begun: begun, Status: resp.StatusCode, Seal: standin.Sealed(resp.Header), Body: string(body), Whole: err == nil, Err: err}
+	a := Answer{At: time.Now(), Begun: begun, Status: resp.StatusCode, Seal: standin.SealOf(resp.Header), Body: string(body), Whole: err == nil, Err: err}
 	a.Reason = resp.Header.Get(protocol.HeaderReason)
 	a.Held = a.Reason == string(coordination.ReasonHeldBack)
 	c.site.ledger.Answered(q.ID, a)
--- a/internal/soak/evacuate.go
+++ b/internal/soak/evacuate.go
@@ -64,7 +64,7 @@
 		}
 	}
 	s.ledger.TakesBack(domain, from, time.Now())
-	s.store.TakeBack(domain)
+	s.store.ReturnToService(domain)
 }
 
 // chill turns a replica cold. known is when daemons could know first.
--- a/internal/soak/exchange.go
+++ b/internal/soak/exchange.go
@@ -30,7 +30,7 @@
 // serve answers one request. It returns false if the connection ends.
 func (x *exchange) serve(req *http.Request, body string) bool {
 	now := time.Now()
-	arrival := Arrival{Replica: x.ID, Service: x.Service, At: now, Deadline: now.Add(x.head.Left)}
+	arrival := Arrival{Replica: x.ID, Service: x.Service, At: now, Deadline: now.Add(x.head.Remaining)}
 	if x.head.Expected != x.ID {
 		return x.write(standin.Misdirected(x.id, x.ID))
 	}
@@ -71,17 +71,17 @@
 
 // says is what the replica says of itself in an answer that is about to go out, its load left
 // out.
-func (x *exchange) says() standin.Says {
+func (x *exchange) says() standin.SelfReport {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.leaving {
 		x.ledger.SaysThatItLeaves(x.id, x.ID)
 	}
-	return standin.Says{Leaving: x.leaving}
+	return standin.SelfReport{Leaving: x.leaving}
 }
 
 // saysLoad is the same with the load.
-func (x *exchange) saysLoad() standin.Says {
+func (x *exchange) saysLoad() standin.SelfReport {
 	says := x.says()
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -143,14 +143,14 @@
 	switch {
 	case x.drawn(x.behaviour.Fail):
 		x.end(500)
-		return x.write(standin.Answer(500, x.id, x.ID, "failed", x.says()))
+		return x.write(standin.Response(500, x.id, x.ID, "failed", x.says()))
 	case x.drawn(x.behaviour.Hang):
 		x.work(hangTime)
 		x.end(0)
 		return false
 	case x.drawn(x.behaviour.Break):
 		x.end(200)
-		whole := standin.Answer(200, x.id, x.ID, plainBody(x.id, x.ID), x.says())
+		whole := standin.Response(200, x.id, x.ID, plainBody(x.id, x.ID), x.says())
 		_, _ = x.conn.Write([]byte(whole[:len(whole)*2/3]))
 		return false
 	case x.drawn(x.behaviour.Lose):
@@ -159,7 +159,7 @@
 		return false
 	}
 	x.end(200)
-	whole := standin.Answer(200, x.id, x.ID, plainBody(x.id, x.ID), x.says())
+	whole := standin.Response(200, x.id, x.ID, plainBody(x.id, x.ID), x.says())
 	if x.drawn(x.behaviour.Surplus) {
 		if rand.IntN(2) == 0 {
 			whole += whole
@@ -174,10 +174,10 @@
 // stream answers with events, from the one after the caller's last. It returns false
 // if the connection ends.
 func (x *exchange) stream() bool {
-	from := x.head.LastEvent
+	from := x.head.LastEventID
 	if x.drawn(x.behaviour.Fail) {
 		x.end(500)
-		return x.write(standin.Answer(500, x.id, x.ID, "failed", x.says()))
+		return x.write(standin.Response(500, x.id, x.ID, "failed", x.says()))
 	}
 	fault := x.streamFault()
 	head := standin.StreamHead(x.id, x.ID, x.saysLoad())
--- a/internal/soak/resting.go
+++ b/internal/soak/resting.go
@@ -112,9 +112,9 @@
 	switch {
 	case x.behaviour.Rest == 0:
 	case rand.IntN(unreadableOneIn) == 0:
-		says.Rest = []string{"-1", "NaN", "soon", "Fri, 31 Dec 1999 23:59:59 GMT"}[rand.IntN(4)]
+		says.Backoff = []string{"-1", "NaN", "soon", "Fri, 31 Dec 1999 23:59:59 GMT"}[rand.IntN(4)]
 	default:
-		says.Rest = strconv.FormatFloat(x.behaviour.Rest.Seconds(), 'f', -1, 64)
+		says.Backoff = strconv.FormatFloat(x.behaviour.Rest.Seconds(), 'f', -1, 64)
 		x.ledger.AsksForRest(x.id, x.ID, x.behaviour.Rest, now)
 	}
 	return x.write(standin.NotRun(x.id, says))
--- a/internal/soak/restore.go
+++ b/internal/soak/restore.go
@@ -46,7 +46,7 @@
 
 type datedCopy struct {
 	at    time.Time
-	store *standin.StoreCopy
+	store *standin.StoreBackup
 }
 
 // keepCopies copies the store over and over.
@@ -54,7 +54,7 @@
 	for s.ctx.Err() == nil {
 		now := time.Now()
 		s.mu.Lock()
-		s.copies.add(datedCopy{now, s.store.Copy()})
+		s.copies.add(datedCopy{now, s.store.Backup()})
 		s.mu.Unlock()
 		pause(s.ctx, copyInterval)
 	}
@@ -68,7 +68,7 @@
 }
 
 // of returns the newest copy of at least an age, or the oldest one.
-func (c *copies) of(age time.Duration, now time.Time) *standin.StoreCopy {
+func (c *copies) of(age time.Duration, now time.Time) *standin.StoreBackup {
 	found := c.list[0]
 	for _, d := range c.list {
 		if now.Sub(d.at) >= age {
@@ -115,13 +115,13 @@
 func (s *injector) rewrite() {
 	s.mu.Lock()
 	c := s.config()
-	s.store.PutConfigAgain(&c)
+	s.store.RestoreConfig(&c)
 	for domain, emptied := range s.emptied {
 		switch isEvacuated := s.store.IsEvacuated(domain); {
 		case emptied && !isEvacuated:
 			s.store.Evacuate(domain)
 		case !emptied && isEvacuated:
-			s.store.TakeBack(domain)
+			s.store.ReturnToService(domain)
 		}
 	}
 	var gone []string
@@ -131,7 +131,7 @@
 		}
 	}
 	for _, r := range s.entries {
-		s.store.PutReplicaAgain(r)
+		s.store.RestoreReplica(r)
 	}
 	s.mu.Unlock()
 	if len(gone) == 0 {
--- a/internal/soak/restore_test.go
+++ b/internal/soak/restore_test.go
@@ -126,7 +126,7 @@
 	var c copies
 	for i := range 100 {
 		s.store.Put("k", []byte{byte(i)})
-		c.add(datedCopy{at(float64(i) / 4), s.store.Copy()})
+		c.add(datedCopy{at(float64(i) / 4), s.store.Backup()})
 	}
 	if first := c.list[0].at; at(99.0/4).Sub(first) > oldestCopy {
 		t.Errorf("the oldest copy is of %v", first)
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -250,7 +250,7 @@
 	s.written[r.ID]++
 	e := standin.Replica{
 		ID: r.ID, Service: r.Service, Address: p.link.Address(), Domain: p.domain, Slots: r.slots, ColdMS: r.coldLeft(time.Now()).Milliseconds(),
-		Born: r.born.UnixMilli(), Sequence: s.written[r.ID], Draining: draining,
+		StartTime: r.born.UnixMilli(), Sequence: s.written[r.ID], Draining: draining,
 	}
 	s.entries[r.ID] = e
 	s.store.PutReplica(e)
