--- a/internal/soak/plants_test.go
+++ b/internal/soak/plants_test.go
@@ -69,7 +69,7 @@
 		text: "return ok && now.Sub(at) < h.terminatedHold", instead: "return ok && now.Sub(at) < 0", plain: true, crashing: 4, callers: 3, faults: storeAwayFromTheStart},
 	{name: "forgets after 10 s what replicas end under", promise: "BUDGET", file: "coordination/routing/crash.go",
 		text: "return len(s.crashes) >= crashesToQuarantine }", instead: "return len(s.crashes) >= crashesToQuarantine && time.Since(s.crashes[len(s.crashes)-1].at) < 10*time.Second }", quiet: longQuiet},
-	{name: "does not read for how long a replica asks for rest", promise: "BUDGET", subject: restSubject, file: "platform/statement.go",
+	{name: "does not read for how long a replica asks for rest", promise: "BUDGET", subject: restSubject, file: "platform/selfreport.go",
 		text: "s.Backoff = max(s.Backoff, backoff)", instead: "s.Backoff = max(s.Backoff, 0*backoff)"},
 	{name: "forgets a rest when the entry goes", promise: "BUDGET", subject: restSubject, file: "daemon/routes/control.go",
 		text: "\tc.cache.Forget(", instead: "\tfor _, it := range changed {\n\t\tif id, ok := c.catalog.documents.ReplicaID(it.Key); ok && it.Deleted {\n\t\t\tc.backoffs.Lift(id, now)\n\t\t}\n\t}\n\tc.cache.Forget("},
