--- a/protocol/gossip/heartbeat.go
+++ b/protocol/gossip/heartbeat.go
@@ -38,14 +38,14 @@
 const MaxHeartbeatBytes = 1400
 
 const (
-	// minMembers and minLocations are how many members and locations a heartbeat that doesn't fit
-	// keeps until loads and evidence have been dropped too.
+	// A heartbeat that doesn't fit loses loads and evidence only when it has no more than minMembers
+	// members and minLocations locations left.
 	minMembers   = 4
 	minLocations = 8
 )
 
 // EncodeHeartbeat encodes a heartbeat. If it does not fit a datagram, EncodeHeartbeat
-// removes entries from h until it does: first members, which other heartbeats list too,
+// removes entries from h until it does: first half of the members, which other heartbeats list too,
 // then locations, then the smallest loads, which matter least, then evidence. It returns
 // an error if the heartbeat still doesn't fit, or if an address is not IP:PORT.
 func EncodeHeartbeat(h *Heartbeat) ([]byte, error) {
