--- a/daemon/routes/peers.go
+++ b/daemon/routes/peers.go
@@ -101,23 +101,23 @@
 	case gossip.IsSilences(payload):
 		reports, err := gossip.DecodeSilences(payload)
 		return silencesReceived{reports: reports}, err
-	case gossip.IsCrowds(payload):
-		reports, err := gossip.DecodeCrowds(payload)
+	case gossip.IsOverloads(payload):
+		reports, err := gossip.DecodeOverloads(payload)
 		return overloadsReceived{reports: reports}, err
 	case gossip.IsCrashes(payload):
 		reports, err := gossip.DecodeCrashes(payload)
 		return crashesReceived{reports: reports}, err
-	case gossip.IsLives(payload):
-		reports, err := gossip.DecodeLives(payload)
+	case gossip.IsLiveness(payload):
+		reports, err := gossip.DecodeLiveness(payload)
 		return livenessReceived{reports: reports}, err
-	case gossip.IsLeavings(payload):
-		reports, err := gossip.DecodeLeavings(payload)
+	case gossip.IsDepartures(payload):
+		reports, err := gossip.DecodeDepartures(payload)
 		return departuresReceived{reports: reports}, err
-	case gossip.IsLoanAsks(payload):
-		asks, err := gossip.DecodeLoanAsks(payload)
+	case gossip.IsTransferRequests(payload):
+		asks, err := gossip.DecodeTransferRequests(payload)
 		return transferRequestsReceived{requests: asks}, err
-	case gossip.IsLoans(payload):
-		loans, err := gossip.DecodeLoans(payload)
+	case gossip.IsTransferGrants(payload):
+		loans, err := gossip.DecodeTransferGrants(payload)
 		return transfersReceived{transfers: loans}, err
 	}
 	h, err := gossip.DecodeHeartbeat(payload)
--- a/internal/soak/plants_test.go
+++ b/internal/soak/plants_test.go
@@ -69,8 +69,8 @@
 		text: "return ok && now.Sub(at) < h.terminatedHold", instead: "return ok && now.Sub(at) < 0", plain: true, crashing: 4, callers: 3, faults: storeAwayFromTheStart},
 	{name: "forgets after 10 s what replicas end under", promise: "BUDGET", file: "coordination/routing/crash.go",
 		text: "return len(s.crashes) >= crashesToQuarantine }", instead: "return len(s.crashes) >= crashesToQuarantine && time.Since(s.crashes[len(s.crashes)-1].at) < 10*time.Second }", quiet: longQuiet},
-	{name: "does not read for how long a replica asks for rest", promise: "BUDGET", subject: restSubject, file: "platform/statement.go",
-		text: "s.Backoff = max(s.Backoff, rest)", instead: "s.Backoff = max(s.Backoff, 0*rest)"},
+	{name: "does not read for how long a replica asks for rest", promise: "BUDGET", subject: restSubject, file: "platform/selfreport.go",
+		text: "s.Backoff = max(s.Backoff, backoff)", instead: "s.Backoff = max(s.Backoff, 0*backoff)"},
 	{name: "forgets a rest when the entry goes", promise: "BUDGET", subject: restSubject, file: "daemon/routes/control.go",
 		text: "\tc.cache.Forget(", instead: "\tfor _, it := range changed {\n\t\tif id, ok := c.catalog.documents.ReplicaID(it.Key); ok && it.Deleted {\n\t\t\tc.backoffs.Lift(id, now)\n\t\t}\n\t}\n\tc.cache.Forget("},
 	{name: "sends to replicas at rest where nothing else is left", promise: "BUDGET", subject: restSubject, file: "coordination/routing/usable.go",
@@ -99,7 +99,7 @@
 		text: "d := c.feed.Digest(!q.knowsEras || q.after.Era == at.Era)", instead: "d := c.feed.Digest(true)", faults: restoresInSeries, plain: true,
 		also: []edit{{"state/feed/parts.go", "own := f.checksums(len(d.Sums), d.Era == f.era)", "own := f.checksums(len(d.Sums), true)"}}},
 	{name: "does not tell other daemons which replicas leave", promise: "DRAIN", file: "daemon/routes/peers.go",
-		text: "case gossip.IsLeavings(payload):", instead: "case gossip.IsLeavings(payload) && len(payload) == 0:"},
+		text: "case gossip.IsDepartures(payload):", instead: "case gossip.IsDepartures(payload) && len(payload) == 0:"},
 }
 
 // restartsInSeries kills one daemon after another, each once in ten seconds.
--- a/protocol/gossip/gossip_test.go
+++ b/protocol/gossip/gossip_test.go
@@ -17,8 +17,8 @@
 	"hingewinch.org/hingewinch/state/feed"
 )
 
-// TestHeartbeatsOfLargeFleetsFit fills a heartbeat with more than a datagram holds: it
-// still goes out, names some members and keeps the greatest loads.
+// TestHeartbeatsOfLargeFleetsFit encodes a heartbeat with more entries than fit a datagram:
+// it must be shortened to fit, with some members and the greatest loads left in it.
 func TestHeartbeatsOfLargeFleetsFit(t *testing.T) {
 	b := Heartbeat{Sender: membership.Member{Address: "10.0.0.1:7340", Domain: "some-domain"}}
 	for i := range 16 {
@@ -39,25 +39,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(got.Members) < leastMembers {
-		t.Fatalf("names %d members", len(got.Members))
+	if len(got.Members) < minMembers {
+		t.Fatalf("has %d members", len(got.Members))
 	}
 	if len(got.Loads) > 0 && got.Loads[0].Requests != 4499 {
 		t.Fatalf("greatest load is %d", got.Loads[0].Requests)
 	}
 }
 
-// TestForeignDatagramsAreRefused feeds what is no heartbeat.
-func TestForeignDatagramsAreRefused(t *testing.T) {
+// TestForeignDatagramsAreRejected decodes datagrams that are not heartbeats.
+func TestForeignDatagramsAreRejected(t *testing.T) {
 	for _, b := range [][]byte{nil, {0}, []byte("hello"), {0x87, 1, 2, 3}} {
 		if got, err := DecodeHeartbeat(b); err == nil {
-			t.Fatalf("%x was taken as a heartbeat of %s", b, got.Sender.Address)
+			t.Fatalf("%x was decoded as a heartbeat of %s", b, got.Sender.Address)
 		}
 	}
 }
 
-// TestHeartbeatsComeThroughAsTheyWere encodes and decodes a heartbeat with everything in it.
-func TestHeartbeatsComeThroughAsTheyWere(t *testing.T) {
+// TestHeartbeatRoundTrip encodes and decodes a heartbeat with all fields set, and checks that
+// truncated ones are rejected.
+func TestHeartbeatRoundTrip(t *testing.T) {
 	b := Heartbeat{
 		Sender: membership.Member{Address: "10.0.0.1:7340", Domain: "z1", Incarnation: 7, Heartbeats: 9, StoreUnreachable: true},
 		Members: []membership.Member{
@@ -81,14 +82,14 @@
 	}
 	for i := range payload {
 		if damaged, err := DecodeHeartbeat(payload[:i]); err == nil {
-			t.Errorf("a part of %d bytes was taken as %+v", i, damaged)
+			t.Errorf("the first %d bytes were decoded as %+v", i, damaged)
 		}
 	}
 }
 
-// TestDocumentsComeThroughAsTheyWere packs a large feed: it is whole, and much smaller
-// than what it holds.
-func TestDocumentsComeThroughAsTheyWere(t *testing.T) {
+// TestDocumentsRoundTrip encodes and decodes a large feed. The encoded form must be much
+// smaller than the documents, and a truncated one must be rejected.
+func TestDocumentsRoundTrip(t *testing.T) {
 	n := Documents{Revision: 9, Whole: true}
 	size := 0
 	for i := range 3000 {
@@ -105,19 +106,20 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, n) {
-		t.Error("news changed on the way")
+		t.Error("the decoded documents differ")
 	}
 	if len(packed) > size/3 {
-		t.Errorf("%d bytes of news for %d bytes of documents", len(packed), size)
+		t.Errorf("%d bytes for %d bytes of documents", len(packed), size)
 	}
 	if _, err := DecodeDocuments(packed[:len(packed)/2]); err == nil {
-		t.Error("half of the news was taken as whole")
+		t.Error("a truncated message was decoded")
 	}
 }
 
-// TestSilencesComeThroughAsTheyWere encodes and decodes reports. To a build that knows
-// heartbeats only they are no heartbeat, and the reverse.
-func TestSilencesComeThroughAsTheyWere(t *testing.T) {
+// TestSilencesRoundTrip encodes and decodes reports of silent replicas. They must not decode
+// as a heartbeat, which is all that an earlier build reads, and a heartbeat must not count as
+// reports.
+func TestSilencesRoundTrip(t *testing.T) {
 	var reports []routing.SilenceReport
 	for i := range MaxSilences {
 		reports = append(reports, routing.SilenceReport{Replica: routing.LoadKey(1<<31 + i), Reporter: routing.ReporterID(1<<31 + i), Age: time.Duration(2990+i%10) * time.Millisecond})
@@ -127,67 +129,67 @@
 		t.Fatal(err)
 	}
 	if len(payload) > MaxHeartbeatBytes || !IsSilences(payload) {
-		t.Fatalf("%d bytes, marked %t", len(payload), IsSilences(payload))
+		t.Fatalf("%d bytes, recognized: %t", len(payload), IsSilences(payload))
 	}
 	got, err := DecodeSilences(payload)
 	if err != nil || !slices.Equal(got, reports) {
 		t.Errorf("got %+v, %v", got, err)
 	}
 	if h, err := DecodeHeartbeat(payload); err == nil {
-		t.Errorf("taken as a heartbeat: %+v", h)
+		t.Errorf("decoded as a heartbeat: %+v", h)
 	}
 	heartbeat := goldenHeartbeat()
 	payload, err = EncodeHeartbeat(&heartbeat)
 	if err != nil || IsSilences(payload) {
-		t.Errorf("a heartbeat is marked as reports, %v", err)
+		t.Errorf("a heartbeat was recognized as reports, %v", err)
 	}
 	if _, err := EncodeSilences(append(reports, reports[0])); err == nil {
 		t.Error("more reports than fit were encoded")
 	}
 }
 
-// TestCrowdsComeThroughAsTheyWere encodes and decodes reports of crowded replicas. They are
-// taken neither for a heartbeat nor for reports of silence, as which an earlier build would
-// read them, nor the reverse.
-func TestCrowdsComeThroughAsTheyWere(t *testing.T) {
+// TestOverloadsRoundTrip encodes and decodes overload reports. They must not decode as a
+// heartbeat or as reports of silent replicas, which is what an earlier build reads, and
+// reports of silent replicas must not decode as overload reports.
+func TestOverloadsRoundTrip(t *testing.T) {
 	var reports []routing.OverloadReport
-	for i := range MaxCrowds {
+	for i := range MaxOverloads {
 		reports = append(reports, routing.OverloadReport{
 			Replica: routing.LoadKey(1<<31 + i), Prompt: routing.PromptKey(1<<31 + i), Homes: 1<<16 - 1, Age: time.Duration(1<<20+i) * time.Millisecond,
 		})
 	}
-	payload, err := EncodeCrowds(reports)
+	payload, err := EncodeOverloads(reports)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(payload) > MaxHeartbeatBytes || !IsCrowds(payload) || IsSilences(payload) {
-		t.Fatalf("%d bytes, marked %t and %t", len(payload), IsCrowds(payload), IsSilences(payload))
+	if len(payload) > MaxHeartbeatBytes || !IsOverloads(payload) || IsSilences(payload) {
+		t.Fatalf("%d bytes, recognized as overloads: %t, as silences: %t", len(payload), IsOverloads(payload), IsSilences(payload))
 	}
-	got, err := DecodeCrowds(payload)
+	got, err := DecodeOverloads(payload)
 	if err != nil || !slices.Equal(got, reports) {
 		t.Errorf("got %+v, %v", got, err)
 	}
 	if h, err := DecodeHeartbeat(payload); err == nil {
-		t.Errorf("taken as a heartbeat: %+v", h)
+		t.Errorf("decoded as a heartbeat: %+v", h)
 	}
 	if s, err := DecodeSilences(payload); err == nil {
-		t.Errorf("taken as reports of silence: %+v", s)
+		t.Errorf("decoded as reports of silent replicas: %+v", s)
 	}
 	silences, err := EncodeSilences([]routing.SilenceReport{{Replica: 5}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c, err := DecodeCrowds(silences); err == nil || IsCrowds(silences) {
-		t.Errorf("reports of silence are taken as %+v", c)
+	if c, err := DecodeOverloads(silences); err == nil || IsOverloads(silences) {
+		t.Errorf("reports of silent replicas were decoded as %+v", c)
 	}
-	if _, err := EncodeCrowds(append(reports, reports[0])); err == nil {
+	if _, err := EncodeOverloads(append(reports, reports[0])); err == nil {
 		t.Error("more reports than fit were encoded")
 	}
 }
 
-// TestCrashesComeThroughAsTheyWere encodes and decodes reports of ends. Other decoders, as which
-// an earlier build would read them, do not take them.
-func TestCrashesComeThroughAsTheyWere(t *testing.T) {
+// TestCrashesRoundTrip encodes and decodes crash reports. They must not be recognized as another
+// message that an earlier build reads.
+func TestCrashesRoundTrip(t *testing.T) {
 	var reports []routing.CrashReport
 	for i := range MaxCrashes {
 		reports = append(reports, routing.CrashReport{
@@ -199,15 +201,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(payload) > MaxHeartbeatBytes || !IsCrashes(payload) || IsCrowds(payload) || IsSilences(payload) {
-		t.Fatalf("%d bytes, marked %t, %t and %t", len(payload), IsCrashes(payload), IsCrowds(payload), IsSilences(payload))
+	if len(payload) > MaxHeartbeatBytes || !IsCrashes(payload) || IsOverloads(payload) || IsSilences(payload) {
+		t.Fatalf("%d bytes, recognized as crashes: %t, as overloads: %t, as silences: %t", len(payload), IsCrashes(payload), IsOverloads(payload), IsSilences(payload))
 	}
 	got, err := DecodeCrashes(payload)
 	if err != nil || !slices.Equal(got, reports) {
 		t.Errorf("got %+v, %v", got, err)
 	}
 	if h, err := DecodeHeartbeat(payload); err == nil {
-		t.Errorf("taken as a heartbeat: %+v", h)
+		t.Errorf("decoded as a heartbeat: %+v", h)
 	}
 	if _, err := EncodeCrashes(append(reports, reports[0])); err == nil {
 		t.Error("more reports than fit were encoded")
@@ -217,7 +219,7 @@
 		t.Fatal(err)
 	}
 	if got, err := DecodeCrashes(old); err != nil || got[0].Age < 1000*time.Hour {
-		t.Errorf("an age that does not fit became %v, %v", got[0].Age, err)
+		t.Errorf("an age beyond the maximum was decoded as %v, %v", got[0].Age, err)
 	}
 }
 
@@ -235,8 +237,9 @@
 	}
 }
 
-// TestMessagesKeepTheirBytes holds one message of each kind between daemons.
-func TestMessagesKeepTheirBytes(t *testing.T) {
+// TestMessageEncodingIsStable compares the encoding of one message of each kind with the golden
+// file, because daemons of two builds exchange messages during an upgrade.
+func TestMessageEncodingIsStable(t *testing.T) {
 	var b strings.Builder
 	write := func(name string, payload []byte, err error) {
 		if err != nil {
@@ -259,17 +262,17 @@
 	write("documents", payload, err)
 	payload, err = EncodeSilences([]routing.SilenceReport{{Replica: 5, Reporter: 1 << 31, Age: 250 * time.Millisecond}})
 	write("silences", payload, err)
-	payload, err = EncodeCrowds([]routing.OverloadReport{{Replica: 5, Prompt: 1 << 31, Homes: 300, Age: 250 * time.Millisecond}})
+	payload, err = EncodeOverloads([]routing.OverloadReport{{Replica: 5, Prompt: 1 << 31, Homes: 300, Age: 250 * time.Millisecond}})
 	write("crowds", payload, err)
 	payload, err = EncodeCrashes([]routing.CrashReport{{Content: 1 << 40, Caller: 1 << 31, Replica: 5, Age: 250 * time.Millisecond}, {Content: 7, Clears: true}})
 	write("crashes", payload, err)
-	payload, err = EncodeLeavings([]routing.DepartureReport{{Replica: 5, Age: 250 * time.Millisecond}, {Replica: 1 << 31}})
+	payload, err = EncodeDepartures([]routing.DepartureReport{{Replica: 5, Age: 250 * time.Millisecond}, {Replica: 1 << 31}})
 	write("leavings", payload, err)
-	payload, err = EncodeLives([]routing.LivenessReport{{Replica: 5, Since: time.Hour, Age: 250 * time.Millisecond}})
+	payload, err = EncodeLiveness([]routing.LivenessReport{{Replica: 5, Since: time.Hour, Age: 250 * time.Millisecond}})
 	write("lives", payload, err)
-	payload, err = EncodeLoanAsks([]LoanAsk{{ID: 3, From: "10.0.0.1:1", Service: "s", Missing: 0.25}})
+	payload, err = EncodeTransferRequests([]TransferRequest{{ID: 3, From: "10.0.0.1:1", Service: "s", Requested: 0.25}})
 	write("loan asks", payload, err)
-	payload, err = EncodeLoans([]Loan{{ID: 3, Lent: 0.25}})
+	payload, err = EncodeTransferGrants([]TransferGrant{{ID: 3, Granted: 0.25}})
 	write("loans", payload, err)
 	payload, err = EncodeDigest(&feed.Digest{Revision: 9, Sums: []uint64{1, 0, 1 << 63, 0, 0, 0, 0, 7}})
 	write("digest", payload, err)
@@ -281,8 +284,7 @@
 	golden.Compare(t, "messages.txt", b.String())
 }
 
-// TestOldMessagesAreRead decodes the golden messages: what another build sent is
-// understood, and compressed documents come through.
+// TestOldMessagesAreRead decodes the golden heartbeat, which stands for one of another build.
 func TestOldMessagesAreRead(t *testing.T) {
 	text, err := os.ReadFile(golden.File("messages.txt"))
 	if err != nil {
@@ -303,27 +305,27 @@
 	}
 }
 
-// TestLoansComeThroughWithoutGrowing encodes and decodes loans of any size: no more arrives than
-// was lent, and hardly less.
-func TestLoansComeThroughWithoutGrowing(t *testing.T) {
+// TestTransferRoundTrip encodes and decodes budget transfers of different sizes. The receiver must
+// never get more than was granted, and at most 0.0011 less.
+func TestTransferRoundTrip(t *testing.T) {
 	for i := range 1001 {
-		lent := routing.Retries(i) / 1000
-		payload, err := EncodeLoans([]Loan{{ID: 7, Lent: lent}})
-		if err != nil || !IsLoans(payload) || IsLoanAsks(payload) {
+		granted := routing.Retries(i) / 1000
+		payload, err := EncodeTransferGrants([]TransferGrant{{ID: 7, Granted: granted}})
+		if err != nil || !IsTransferGrants(payload) || IsTransferRequests(payload) {
 			t.Fatal(err)
 		}
-		got, err := DecodeLoans(payload)
-		if err != nil || got[0].ID != 7 || got[0].Lent > lent+1e-9 || got[0].Lent < lent-0.0011 {
-			t.Fatalf("lent %v, got %v, %v", lent, got, err)
+		got, err := DecodeTransferGrants(payload)
+		if err != nil || got[0].ID != 7 || got[0].Granted > granted+1e-9 || got[0].Granted < granted-0.0011 {
+			t.Fatalf("granted %v, got %v, %v", granted, got, err)
 		}
 	}
-	ask := LoanAsk{ID: 7, From: "10.0.0.1:1", Service: "s", Missing: 0.1234}
-	payload, err := EncodeLoanAsks([]LoanAsk{ask})
-	if err != nil || !IsLoanAsks(payload) {
+	request := TransferRequest{ID: 7, From: "10.0.0.1:1", Service: "s", Requested: 0.1234}
+	payload, err := EncodeTransferRequests([]TransferRequest{request})
+	if err != nil || !IsTransferRequests(payload) {
 		t.Fatal(err)
 	}
-	got, err := DecodeLoanAsks(payload)
-	if err != nil || got[0].Missing < ask.Missing || got[0].Missing > ask.Missing+0.0011 || got[0].From != ask.From || got[0].Service != ask.Service {
+	got, err := DecodeTransferRequests(payload)
+	if err != nil || got[0].Requested < request.Requested || got[0].Requested > request.Requested+0.0011 || got[0].From != request.From || got[0].Service != request.Service {
 		t.Fatalf("got %v, %v", got, err)
 	}
 }
