--- a/cmd/hingectl/daemons.go
+++ b/cmd/hingectl/daemons.go
@@ -1,4 +1,4 @@
-// This file holds the commands that ask daemons on their operators' listeners.
+// This file implements the commands that query daemons on their operator listeners.
 
 package main
 
@@ -22,80 +22,82 @@
 const operatorTimeout = 5 * time.Second
 
 type daemonOptions struct {
-	Daemons []string `short:"d" long:"daemon" value-name:"HOST:PORT" required:"yes" description:"operators' address of a daemon; may be given several times"`
+	Daemons []string `short:"d" long:"daemon" value-name:"HOST:PORT" required:"yes" description:"operator address of a daemon; may be repeated"`
 }
 
-// ask gets JSON from one daemon.
-func ask(address, path string, into any) error {
-	return call(address, http.MethodGet, path, func(resp *http.Response) error {
+// fetchJSON sends a GET request to a daemon's operator address and decodes the JSON response into into.
+func fetchJSON(address, path string, into any) error {
+	return do(address, http.MethodGet, path, func(resp *http.Response) error {
 		if resp.StatusCode != http.StatusOK {
-			return eris.Errorf("daemon %s answered status %d", address, resp.StatusCode)
+			return eris.Errorf("daemon %s responded with status %d", address, resp.StatusCode)
 		}
-		return eris.Wrap(json.NewDecoder(resp.Body).Decode(into), "read the daemon's answer")
+		return eris.Wrap(json.NewDecoder(resp.Body).Decode(into), "decode the daemon's response")
 	})
 }
 
-// call calls the operators' address of a daemon and hands the answer to read.
-func call(address, method, path string, read func(*http.Response) error) error {
+// do sends a request to a daemon's operator address and passes the response to handle.
+func do(address, method, path string, handle func(*http.Response) error) error {
 	ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, nil)
 	if err != nil {
-		return eris.Wrap(err, "build request; check the address")
+		return eris.Wrap(err, "build request; check the daemon's address")
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return eris.Wrapf(err, "daemon %s can't be reached; check the address and that it runs", address)
+		return eris.Wrapf(err, "daemon %s can't be reached; check its address and that it is running", address)
 	}
 	defer resp.Body.Close()
-	return read(resp)
+	return handle(resp)
 }
 
-// askAll asks every daemon, prints which could not be asked, and fails if any.
-func (o *daemonOptions) askAll(one func(address string) error) error {
+// forEach calls query for every daemon and prints the errors to standard error. It returns an error if
+// any call failed.
+func (o *daemonOptions) forEach(query func(address string) error) error {
 	var failed error
 	for _, address := range o.Daemons {
-		if err := one(address); err != nil {
+		if err := query(address); err != nil {
 			fmt.Fprintln(os.Stderr, err)
-			failed = eris.New("not all daemons could be asked")
+			failed = eris.New("the command failed for at least one daemon")
 		}
 	}
 	return failed
 }
 
-func table() *tabwriter.Writer { return tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0) }
+// newTable returns a writer that aligns tab-separated columns on standard output.
+func newTable() *tabwriter.Writer { return tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0) }
 
 type statusCommand struct{ daemonOptions }
 
-// Execute prints a line for each daemon.
+// Execute prints one line per daemon.
 func (c *statusCommand) Execute([]string) error {
-	w := table()
+	w := newTable()
 	defer w.Flush()
 	fmt.Fprintln(w, "DAEMON\tDOMAIN\tCONFIG\tLIST\tLIST AGE\tREQUESTS\tSTREAMS\tSTATE")
-	return c.askAll(func(address string) error {
+	return c.forEach(func(address string) error {
 		var a gateway.StatusAnswer
-		if err := ask(address, gateway.PathStatus, &a); err != nil {
+		if err := fetchJSON(address, gateway.PathStatus, &a); err != nil {
 			return err
 		}
-		st := "serving"
+		stage := "serving"
 		if a.Draining {
-			st = "stopping"
+			stage = "stopping"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%dms\t%d\t%d\t%s\n", a.Daemon, a.Domain, a.Config, a.List, a.ListAgeMS, a.Requests, a.OpenStreams, st)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%dms\t%d\t%d\t%s\n", a.Daemon, a.Domain, a.Config, a.List, a.ListAgeMS, a.Requests, a.OpenStreams, stage)
 		return nil
 	})
 }
 
 type enginesCommand struct{ daemonOptions }
 
-// Execute prints a line for each upstream.
+// Execute prints one line per upstream that a daemon knows.
 func (c *enginesCommand) Execute([]string) error {
-	w := table()
+	w := newTable()
 	defer w.Flush()
 	fmt.Fprintln(w, "POOL\tUPSTREAM\tDOMAIN\tADDRESS\tGATE\tLOAD")
-	return c.askAll(func(address string) error {
+	return c.forEach(func(address string) error {
 		var list []gateway.EngineAnswer
-		if err := ask(address, gateway.PathEngines, &list); err != nil {
+		if err := fetchJSON(address, gateway.PathEngines, &list); err != nil {
 			return err
 		}
 		for _, e := range list {
@@ -114,16 +116,16 @@
 	} `positional-args:"yes"`
 }
 
-// Execute prints where each chat goes, by each daemon.
+// Execute prints, for each daemon and chat, the upstream that the daemon would choose.
 func (c *chatsCommand) Execute([]string) error {
-	w := table()
+	w := newTable()
 	defer w.Flush()
 	fmt.Fprintln(w, "DAEMON\tCHAT\tUPSTREAM\tADDRESS")
-	return c.askAll(func(address string) error {
+	return c.forEach(func(address string) error {
 		for _, chat := range c.Args.Chats {
 			q := url.Values{"workspace": {c.Workspace}, "model": {c.Model}, "chat": {chat}}
 			var a gateway.PlaceAnswer
-			if err := ask(address, gateway.PathPlace+"?"+q.Encode(), &a); err != nil {
+			if err := fetchJSON(address, gateway.PathPlace+"?"+q.Encode(), &a); err != nil {
 				return err
 			}
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", address, chat, a.Upstream, a.Address)
@@ -134,30 +136,30 @@
 
 type timelineCommand struct {
 	daemonOptions
-	JSON bool     `long:"json" description:"print one JSON object a line"`
-	From []string `long:"from" value-name:"FILE" description:"merge a time line that was saved with --json, as of a daemon that has ended"`
+	JSON bool     `long:"json" description:"print one JSON object per line"`
+	From []string `long:"from" value-name:"FILE" description:"also merge a timeline saved with --json, such as that of a terminated daemon"`
 }
 
-// Execute merges the daemons' rings.
+// Execute prints the merged event timelines of the daemons and of saved files.
 func (c *timelineCommand) Execute([]string) error {
-	var rings [][]coordination.TimelineEvent
-	failed := c.askAll(func(address string) error {
+	var timelines [][]coordination.TimelineEvent
+	failed := c.forEach(func(address string) error {
 		var events []coordination.TimelineEvent
-		if err := ask(address, transport.PathTimeline, &events); err != nil {
+		if err := fetchJSON(address, transport.PathTimeline, &events); err != nil {
 			return err
 		}
-		rings = append(rings, events)
+		timelines = append(timelines, events)
 		return nil
 	})
 	for _, file := range c.From {
-		events, err := savedTimeline(file)
+		events, err := readTimeline(file)
 		if err != nil {
 			return err
 		}
-		rings = append(rings, events)
+		timelines = append(timelines, events)
 	}
 	enc := json.NewEncoder(os.Stdout)
-	for _, e := range coordination.MergeTimelines(rings...) {
+	for _, e := range coordination.MergeTimelines(timelines...) {
 		if c.JSON {
 			_ = enc.Encode(e)
 			continue
@@ -167,18 +169,18 @@
 	return failed
 }
 
-// savedTimeline reads what timeline --json printed.
-func savedTimeline(file string) ([]coordination.TimelineEvent, error) {
+// readTimeline reads a file written by timeline --json.
+func readTimeline(file string) ([]coordination.TimelineEvent, error) {
 	f, err := os.Open(file)
 	if err != nil {
-		return nil, eris.Wrap(err, "read saved time line; check the path")
+		return nil, eris.Wrap(err, "read saved timeline; check the path")
 	}
 	defer f.Close()
 	var events []coordination.TimelineEvent
 	for dec := json.NewDecoder(f); dec.More(); {
 		var e coordination.TimelineEvent
 		if err := dec.Decode(&e); err != nil {
-			return nil, eris.Wrapf(err, "read saved time line %s; save it with --json", file)
+			return nil, eris.Wrapf(err, "decode saved timeline %s; it must have been written with --json", file)
 		}
 		events = append(events, e)
 	}
--- a/cmd/hingectl/files.go
+++ b/cmd/hingectl/files.go
@@ -1,4 +1,4 @@
-// This file holds the commands that work on files: check, diff and key.
+// This file implements the commands that need no daemon: check, diff and key.
 
 package main
 
@@ -21,7 +21,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute checks the file.
+// Execute validates the file and prints a summary.
 func (c *checkCommand) Execute([]string) error {
 	cfg, err := readConfig(c.Args.File)
 	if err != nil {
@@ -35,7 +35,7 @@
 func readConfig(file string) (*state.Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return nil, eris.Wrap(err, "read configuration; check the path and rights")
+		return nil, eris.Wrap(err, "read configuration file; check its path and permissions")
 	}
 	return state.ParseConfig(file, text)
 }
@@ -47,7 +47,8 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute prints one line for each entry that is added, removed or changed.
+// Execute prints one line for each configuration entry that was added, removed or changed. It returns
+// an error if daemons would reject the new file because its version is not higher.
 func (c *diffCommand) Execute([]string) error {
 	before, err := readConfig(c.Args.Old)
 	if err != nil {
@@ -57,17 +58,17 @@
 	if err != nil {
 		return err
 	}
-	for _, line := range diffEntries(entries(before), entries(after)) {
+	for _, line := range diffEntries(flatten(before), flatten(after)) {
 		fmt.Println(line)
 	}
 	if after.Head().Compare(before.Head()) <= 0 {
-		return eris.Errorf("version %d would not be taken: it is not newer than %d; write a higher version", after.Version, before.Version)
+		return eris.Errorf("version %d would be rejected: it is not newer than version %d; use a higher version", after.Version, before.Version)
 	}
 	return nil
 }
 
-// entries flattens a configuration into named entries.
-func entries(c *state.Config) map[string]any {
+// flatten returns the entries of a configuration, keyed by kind and name.
+func flatten(c *state.Config) map[string]any {
 	out := map[string]any{"version": c.Version, "routing": c.Routing, "once": c.Once}
 	for _, r := range c.Regions {
 		out["region "+string(r.Name)] = r
@@ -87,19 +88,21 @@
 	return out
 }
 
+// diffEntries returns one sorted line per difference: + for added entries, ~ for changed ones and - for
+// removed ones.
 func diffEntries(before, after map[string]any) []string {
 	var lines []string
-	for name, v := range after {
-		old, had := before[name]
+	for name, entry := range after {
+		old, existed := before[name]
 		switch {
-		case !had:
-			lines = append(lines, fmt.Sprintf("+ %s: %+v", name, v))
-		case !reflect.DeepEqual(old, v):
-			lines = append(lines, fmt.Sprintf("~ %s: %+v -> %+v", name, old, v))
+		case !existed:
+			lines = append(lines, fmt.Sprintf("+ %s: %+v", name, entry))
+		case !reflect.DeepEqual(old, entry):
+			lines = append(lines, fmt.Sprintf("~ %s: %+v -> %+v", name, old, entry))
 		}
 	}
 	for name := range before {
-		if _, has := after[name]; !has {
+		if _, kept := after[name]; !kept {
 			lines = append(lines, "- "+name)
 		}
 	}
@@ -115,13 +118,14 @@
 
 const newKeyBytes = 24
 
-// Execute prints a key and the hash that goes into the file.
+// Execute prints the hash of the key for the configuration file. Without an argument it first generates
+// and prints a new key.
 func (c *keyCommand) Execute([]string) error {
 	key := c.Args.Key
 	if key == "" {
 		b := make([]byte, newKeyBytes)
 		if _, err := rand.Read(b); err != nil {
-			return eris.Wrap(err, "read random bytes")
+			return eris.Wrap(err, "generate key: read random bytes")
 		}
 		key = "hw-" + base64.RawURLEncoding.EncodeToString(b)
 		fmt.Println("key: ", key)
--- a/cmd/hingectl/held.go
+++ b/cmd/hingectl/held.go
@@ -1,4 +1,4 @@
-// This file holds the commands on requests that are held back because replicas end under them.
+// This file implements the commands for quarantined requests, which have crashed replicas.
 
 package main
 
@@ -17,19 +17,19 @@
 
 type routerHeldCommand struct{ daemonOptions }
 
-// Execute prints a line for each content that is held back.
+// Execute prints one line per quarantined request content.
 func (c *routerHeldCommand) Execute([]string) error {
-	w := table()
+	w := newTable()
 	defer w.Flush()
-	fmt.Fprintln(w, "CONTENT\tWORKSPACE\tLAST END\tREFUSED HERE\tREPLICAS THAT ENDED")
-	return c.askAll(func(address string) error {
+	fmt.Fprintln(w, "CONTENT\tWORKSPACE\tLAST CRASH\tREFUSED HERE\tCRASHED REPLICAS")
+	return c.forEach(func(address string) error {
 		var list []routes.HeldAnswer
-		if err := ask(address, routes.PathHeld, &list); err != nil {
+		if err := fetchJSON(address, routes.PathHeld, &list); err != nil {
 			return err
 		}
 		for _, h := range list {
-			ended := time.Duration(h.CrashedMS) * time.Millisecond
-			fmt.Fprintf(w, "%s\t%s\t%s ago\t%d\t%s\n", h.Content, h.Workspace, ended.Round(time.Second), h.Refused, strings.Join(h.Replicas, ","))
+			sinceCrash := time.Duration(h.CrashedMS) * time.Millisecond
+			fmt.Fprintf(w, "%s\t%s\t%s ago\t%d\t%s\n", h.Content, h.Workspace, sinceCrash.Round(time.Second), h.Refused, strings.Join(h.Replicas, ","))
 		}
 		return nil
 	})
@@ -38,32 +38,33 @@
 type routerReleaseCommand struct {
 	daemonOptions
 	Args struct {
-		Content string `positional-arg-name:"CONTENT" required:"yes" description:"as 'held' and the log show it"`
+		Content string `positional-arg-name:"CONTENT" required:"yes" description:"as shown by 'held' and in the log"`
 	} `positional-args:"yes"`
 }
 
-// Execute lets a content be sent again. One daemon is enough: it passes that on.
+// Execute releases a content from quarantine. Naming one daemon is enough, because it forwards the
+// release to the others.
 func (c *routerReleaseCommand) Execute([]string) error {
-	return c.askAll(func(address string) error { return release(address, c.Args.Content) })
+	return c.forEach(func(address string) error { return release(address, c.Args.Content) })
 }
 
-// release asks one daemon to release a content.
+// release asks a daemon to release a content from quarantine.
 func release(address, content string) error {
-	return order(address, routes.PathRelease+"?content="+url.QueryEscape(content))
+	return post(address, routes.PathRelease+"?content="+url.QueryEscape(content))
 }
 
-// mostExplanation bounds what is read of a refusal, in bytes.
-const mostExplanation = 500
+// maxErrorBody limits how many bytes of an error response are read.
+const maxErrorBody = 500
 
-// order asks one daemon to do something. The error gives its explanation.
-func order(address, path string) error {
-	return call(address, http.MethodPost, path, func(resp *http.Response) error {
+// post sends a command to a daemon. If the daemon refuses it, the error contains the response body.
+func post(address, path string) error {
+	return do(address, http.MethodPost, path, func(resp *http.Response) error {
 		if resp.StatusCode == http.StatusNoContent {
 			return nil
 		}
-		text, err := io.ReadAll(io.LimitReader(resp.Body, mostExplanation))
+		text, err := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
 		if err != nil {
-			return eris.Wrapf(err, "daemon %s answered status %d", address, resp.StatusCode)
+			return eris.Wrapf(err, "daemon %s responded with status %d", address, resp.StatusCode)
 		}
 		return eris.Errorf("daemon %s: %s", address, strings.TrimSpace(string(text)))
 	})
--- a/cmd/hingectl/main.go
+++ b/cmd/hingectl/main.go
@@ -1,4 +1,5 @@
-// Command hingectl is the operators' tool.
+// Command hingectl is the command-line tool for operators. It inspects and controls daemons, checks
+// configuration files and sends requests.
 //
 // # Usage
 //
@@ -14,9 +15,9 @@
 //	hingectl once     --gateway URL --key KEY --service S --path /passes BODY
 //	hingectl key      [KEY]
 //
-// Exit codes: 0 done; 1 a file is not valid, a request was refused or a daemon
-// could not be reached; 2 the command line is wrong; 3 a request may have run
-// and its end is not known.
+// Exit codes: 0 success; 1 a file is invalid, a request was refused or a daemon
+// could not be reached; 2 the command line is invalid; 3 a request may have run
+// and its outcome is unknown.
 package main
 
 import (
@@ -37,20 +38,20 @@
 )
 
 type options struct {
-	Version  func()          `long:"version" description:"print the version and end"`
-	Check    checkCommand    `command:"check" description:"check a configuration file as a whole"`
-	Diff     diffCommand     `command:"diff" description:"show what a new configuration file changes"`
+	Version  func()          `long:"version" description:"print the version and exit"`
+	Check    checkCommand    `command:"check" description:"validate a configuration file"`
+	Diff     diffCommand     `command:"diff" description:"show the changes between two configuration files"`
 	Status   statusCommand   `command:"status" description:"show the state of daemons"`
-	Engines  enginesCommand  `command:"engines" description:"show the upstreams that a daemon chooses from"`
-	Chats    chatsCommand    `command:"chats" description:"show where chats go now"`
-	Timeline timelineCommand `command:"timeline" description:"show the merged time line of daemons"`
-	Router   routerCommand   `command:"router" description:"ask daemons that route by host and path"`
-	Chat     chatCommand     `command:"chat" description:"send one chat and print the answer as it comes"`
-	Once     onceCommand     `command:"once" description:"send one request that must not be repeated, safely"`
-	Key      keyCommand      `command:"key" description:"make an API key, or hash one, for the configuration file"`
+	Engines  enginesCommand  `command:"engines" description:"show the upstreams known to each daemon"`
+	Chats    chatsCommand    `command:"chats" description:"show the upstream each chat is routed to"`
+	Timeline timelineCommand `command:"timeline" description:"show the merged event timeline of several daemons"`
+	Router   routerCommand   `command:"router" description:"commands for daemons that route by host and path"`
+	Chat     chatCommand     `command:"chat" description:"send one chat request and stream the response"`
+	Once     onceCommand     `command:"once" description:"send one request that must run at most once"`
+	Key      keyCommand      `command:"key" description:"generate an API key, or hash an existing one, for the configuration file"`
 }
 
-// exitError carries an exit code through go-flags.
+// exitError is an error with the exit code for it. go-flags returns it unchanged from Execute.
 type exitError struct {
 	code int
 	err  error
@@ -71,18 +72,18 @@
 	if err == nil {
 		return 0
 	}
-	var fe *flags.Error
-	if errors.As(err, &fe) && fe.Type == flags.ErrHelp {
+	var flagsErr *flags.Error
+	if errors.As(err, &flagsErr) && flagsErr.Type == flags.ErrHelp {
 		fmt.Println(err)
 		return 0
 	}
 	fmt.Fprintln(os.Stderr, err)
-	var xe *exitError
+	var exitErr *exitError
 	switch {
-	case errors.As(err, &fe):
+	case errors.As(err, &flagsErr):
 		return exitUsage
-	case errors.As(err, &xe):
-		return xe.code
+	case errors.As(err, &exitErr):
+		return exitErr.code
 	}
 	return exitFailed
 }
--- a/cmd/hingectl/requests.go
+++ b/cmd/hingectl/requests.go
@@ -1,4 +1,4 @@
-// This file holds the commands that send requests as a caller: chat and once.
+// This file implements the commands that send requests as a caller: chat and once.
 
 package main
 
@@ -21,12 +21,13 @@
 )
 
 type callerOptions struct {
-	Gateways []string      `short:"g" long:"gateway" value-name:"URL" required:"yes" description:"base URL of a daemon or the balancer; more are tried in turn"`
+	Gateways []string      `short:"g" long:"gateway" value-name:"URL" required:"yes" description:"base URL of a daemon or load balancer; may be repeated to name alternatives"`
 	Key      string        `short:"k" long:"key" env:"HINGEWINCH_KEY" required:"yes" description:"API key of the workspace"`
-	Timeout  time.Duration `long:"timeout" default:"60s" description:"time for the whole command"`
+	Timeout  time.Duration `long:"timeout" default:"60s" description:"timeout of the whole command"`
 }
 
-func (o *callerOptions) request(ctx context.Context, base, method, path string, body []byte) (*http.Request, error) {
+// newRequest returns an authenticated JSON request to a gateway.
+func (o *callerOptions) newRequest(ctx context.Context, base, method, path string, body []byte) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, method, strings.TrimSuffix(base, "/")+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, eris.Wrap(err, "build request; check the gateway URL")
@@ -38,24 +39,27 @@
 
 type chatCommand struct {
 	callerOptions
-	Model  string `short:"m" long:"model" required:"yes" description:"model to ask"`
-	ChatID string `long:"chat" description:"id of the chat, for cache reuse over turns"`
+	Model  string `short:"m" long:"model" required:"yes" description:"name of the model"`
+	ChatID string `long:"chat" description:"chat id, so that later turns can reuse the cache"`
 	Args   struct {
 		Text []string `positional-arg-name:"TEXT" required:"1"`
 	} `positional-args:"yes"`
 }
 
+// textMessage is a chat message with text content.
 type textMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
+// textChat is the body of a chat request.
 type textChat struct {
 	Model    string        `json:"model"`
 	Stream   bool          `json:"stream"`
 	Messages []textMessage `json:"messages"`
 }
 
+// textChunk is an event of a streamed response.
 type textChunk struct {
 	Choices []struct {
 		Delta textMessage `json:"delta"`
@@ -63,15 +67,15 @@
 	Error *protocol.ErrorDetail `json:"error"`
 }
 
-// Execute streams the answer to standard output.
+// Execute sends the chat request and streams the response to standard output.
 func (c *chatCommand) Execute([]string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
 	body, err := json.Marshal(textChat{Model: c.Model, Stream: true, Messages: []textMessage{{"user", strings.Join(c.Args.Text, " ")}}})
 	if err != nil {
-		return eris.Wrap(err, "encode chat")
+		return eris.Wrap(err, "encode chat request")
 	}
-	req, err := c.request(ctx, c.Gateways[0], http.MethodPost, protocol.PathChat, body)
+	req, err := c.newRequest(ctx, c.Gateways[0], http.MethodPost, protocol.PathChat, body)
 	if err != nil {
 		return err
 	}
@@ -80,21 +84,22 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return eris.Wrap(err, "send chat; check the gateway URL")
+		return eris.Wrap(err, "send chat request; check the gateway URL")
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return refusal(resp)
+		return responseError(resp)
 	}
 	return printStream(resp.Body)
 }
 
+// printStream prints the text of a streamed response as it arrives.
 func printStream(r io.Reader) error {
 	events := protocol.NewEventReader(r)
 	for {
 		ev, err := events.Read()
 		if err != nil {
-			return eris.Wrap(err, "answer broke off; send the chat again")
+			return eris.Wrap(err, "the response ended before it was complete; send the chat again")
 		}
 		if ev.IsEnd() {
 			fmt.Println()
@@ -102,7 +107,7 @@
 		}
 		var chunk textChunk
 		if err := json.Unmarshal(ev.Data, &chunk); err != nil {
-			return eris.Wrap(err, "read a chunk of the answer")
+			return eris.Wrap(err, "decode a chunk of the response")
 		}
 		if chunk.Error != nil {
 			return eris.New(chunk.Error.Message)
@@ -113,8 +118,8 @@
 	}
 }
 
-// refusal turns an error answer into an error with its exit code.
-func refusal(resp *http.Response) error {
+// responseError converts an error response into an error with an exit code.
+func responseError(resp *http.Response) error {
 	var body protocol.ErrorBody
 	_ = json.NewDecoder(io.LimitReader(resp.Body, 1<<20)).Decode(&body)
 	outcome := resp.Header.Get(protocol.HeaderOutcome)
@@ -128,89 +133,90 @@
 type onceCommand struct {
 	callerOptions
 	Service string `short:"s" long:"service" required:"yes" description:"service to call"`
-	Path    string `short:"p" long:"path" required:"yes" description:"path at the service"`
+	Path    string `short:"p" long:"path" required:"yes" description:"request path at the service"`
 	Method  string `long:"method" default:"POST" description:"HTTP method"`
 	Args    struct {
 		Body string `positional-arg-name:"BODY"`
 	} `positional-args:"yes"`
 }
 
-// onceRepeats is how often the command repeats a request whose end it doesn't
-// know, always with the same ticket.
-const onceRepeats = 5
+// maxAttempts is how often the once command sends a request while its outcome is
+// unknown, always with the same ticket.
+const maxAttempts = 5
 
-// Execute takes a ticket and sends the request with it. While the end is not
-// known the request is repeated with the same ticket, which can't run it a
+// Execute obtains a ticket and sends the request with it. While the outcome is
+// unknown, it repeats the request with the same ticket, which can't run it a
 // second time.
 func (c *onceCommand) Execute([]string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
-	ticket, err := c.ticket(ctx)
+	ticket, err := c.fetchTicket(ctx)
 	if err != nil {
 		return err
 	}
-	var last error
-	for n := range onceRepeats {
+	var lastErr error
+	for n := range maxAttempts {
 		done, err := c.attempt(ctx, c.Gateways[n%len(c.Gateways)], ticket)
 		if done {
 			return err
 		}
-		last = err
+		lastErr = err
 		select {
 		case <-ctx.Done():
-			return &exitError{code: exitUnknown, err: last}
+			return &exitError{code: exitUnknown, err: lastErr}
 		case <-time.After(time.Second):
 		}
 	}
-	return last
+	return lastErr
 }
 
-func (c *onceCommand) ticket(ctx context.Context) (string, error) {
+// fetchTicket obtains a ticket from the first gateway that issues one.
+func (c *onceCommand) fetchTicket(ctx context.Context) (string, error) {
 	body, err := json.Marshal(map[string]string{"service": c.Service})
 	if err != nil {
 		return "", eris.Wrap(err, "encode ticket request")
 	}
-	var last error
+	var lastErr error
 	for _, g := range c.Gateways {
-		req, err := c.request(ctx, g, http.MethodPost, gateway.PathTickets, body)
+		req, err := c.newRequest(ctx, g, http.MethodPost, gateway.PathTickets, body)
 		if err != nil {
 			return "", err
 		}
 		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
-			last = eris.Wrap(err, "take a ticket; check the gateway URL")
+			lastErr = eris.Wrap(err, "get a ticket; check the gateway URL")
 			continue
 		}
 		defer resp.Body.Close()
 		if resp.StatusCode != http.StatusOK {
-			last = refusal(resp)
+			lastErr = responseError(resp)
 			continue
 		}
 		var a gateway.TicketAnswer
 		err = json.NewDecoder(resp.Body).Decode(&a)
-		return a.Ticket, eris.Wrap(err, "read ticket")
+		return a.Ticket, eris.Wrap(err, "decode ticket response")
 	}
-	return "", last
+	return "", lastErr
 }
 
-// attempt sends the request once; done is false if it may be sent again.
+// attempt sends the request once. done is false if the request may be sent again.
 func (c *onceCommand) attempt(ctx context.Context, base, ticket string) (done bool, err error) {
-	req, err := c.request(ctx, base, c.Method, gateway.PathServices+c.Service+c.Path, []byte(c.Args.Body))
+	req, err := c.newRequest(ctx, base, c.Method, gateway.PathServices+c.Service+c.Path, []byte(c.Args.Body))
 	if err != nil {
 		return true, err
 	}
 	req.Header.Set(protocol.HeaderIdempotencyKey, ticket)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return false, &exitError{code: exitUnknown, err: eris.Wrap(err, "no answer; its end is not known")}
+		return false, &exitError{code: exitUnknown, err: eris.Wrap(err, "no response; the outcome of the request is unknown")}
 	}
 	defer resp.Body.Close()
 	if resp.Header.Get(protocol.HeaderOutcome) != "" {
-		err := refusal(resp)
-		var xe *exitError
-		return errors.As(err, &xe) && resp.StatusCode < http.StatusInternalServerError, err
+		err := responseError(resp)
+		var exitErr *exitError
+		return errors.As(err, &exitErr) && resp.StatusCode < http.StatusInternalServerError, err
 	}
 	_, err = io.Copy(os.Stdout, resp.Body)
 	fmt.Println()
-	return true, eris.Wrap(err, "read answer")
+	return true, eris.Wrap(err, "read response")
 }
--- a/cmd/hingectl/router.go
+++ b/cmd/hingectl/router.go
@@ -1,4 +1,4 @@
-// This file holds the commands that ask daemons that route by host and path.
+// This file implements the commands for daemons that route by host and path.
 
 package main
 
@@ -11,30 +11,30 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// routerCommand groups the commands.
+// routerCommand groups the subcommands of router.
 type routerCommand struct {
-	Status   routerStatusCommand   `command:"status" description:"show what each daemon knows, and how old it is"`
-	Members  routerMembersCommand  `command:"members" description:"show the daemons that a daemon knows"`
-	Replicas routerReplicasCommand `command:"replicas" description:"show the replicas, and why some get no requests"`
-	Held     routerHeldCommand     `command:"held" description:"show the requests that are held back because replicas end under them"`
-	Lift     routerLiftCommand     `command:"lift" description:"end the rest that a replica asked the named daemons for"`
-	Release  routerReleaseCommand  `command:"release" description:"let a request that is held back be sent again"`
+	Status   routerStatusCommand   `command:"status" description:"show the state of each daemon and how recent it is"`
+	Members  routerMembersCommand  `command:"members" description:"show the daemons known to each daemon"`
+	Replicas routerReplicasCommand `command:"replicas" description:"show the replicas and why some get no requests"`
+	Held     routerHeldCommand     `command:"held" description:"show quarantined requests, which crashed replicas"`
+	Lift     routerLiftCommand     `command:"lift" description:"end the backoff that a replica requested from the named daemons"`
+	Release  routerReleaseCommand  `command:"release" description:"release a request from quarantine"`
 }
 
 type routerStatusCommand struct{ daemonOptions }
 
-// Execute prints a line for each daemon.
+// Execute prints one line per daemon.
 func (c *routerStatusCommand) Execute([]string) error {
-	w := table()
+	w := newTable()
 	defer w.Flush()
 	fmt.Fprintln(w, "DAEMON\tDOMAIN\tREADY\tCONFIG\tERA\tREVISION\tCHANGED\tSTORE\tREADS\tDAEMONS\tREPLICAS\tCOLD\tEVACUATED\tUP\tBUILD\tREADS")
-	return c.askAll(func(address string) error {
+	return c.forEach(func(address string) error {
 		var a routes.StatusAnswer
-		if err := ask(address, routes.PathStatus, &a); err != nil {
+		if err := fetchJSON(address, routes.PathStatus, &a); err != nil {
 			return err
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\t%t\t%d\t%d\t%d\t%s\t%dms\t%s\t%s\n", a.Daemon, a.Domain, readiness(&a), a.Version, a.Era, a.Revision,
-			age(a.ChangedMS), storeState(a.StoreUnreachable), a.ReadsStore, a.Daemons, a.Replicas, a.Cold, domains(a.Evacuated), a.UptimeMS, a.Build, strings.Join(a.Reads, ","))
+			formatAge(a.ChangedMS), storeState(a.StoreUnreachable), a.ReadsStore, a.Daemons, a.Replicas, a.Cold, formatDomains(a.Evacuated), a.UptimeMS, a.Build, strings.Join(a.Reads, ","))
 		return nil
 	})
 }
@@ -49,8 +49,8 @@
 	return "no"
 }
 
-// domains lists failure domains, or says that there are none.
-func domains(list []state.FailureDomain) string {
+// formatDomains returns a comma-separated list of failure domains, or "none".
+func formatDomains(list []state.FailureDomain) string {
 	if len(list) == 0 {
 		return "none"
 	}
@@ -61,15 +61,16 @@
 	return strings.Join(names, ",")
 }
 
-func age(ms int64) string {
+// formatAge formats an age in milliseconds; a negative age means that the event never happened.
+func formatAge(ms int64) string {
 	if ms < 0 {
 		return "never"
 	}
 	return fmt.Sprintf("%dms", ms)
 }
 
-func storeState(lost bool) string {
-	if lost {
+func storeState(unreachable bool) string {
+	if unreachable {
 		return "lost"
 	}
 	return "ok"
@@ -77,14 +78,14 @@
 
 type routerMembersCommand struct{ daemonOptions }
 
-// Execute prints a line for each daemon that is known.
+// Execute prints one line for each daemon that the queried daemons know.
 func (c *routerMembersCommand) Execute([]string) error {
-	w := table()
+	w := newTable()
 	defer w.Flush()
 	fmt.Fprintln(w, "ADDRESS\tDOMAIN\tINCARNATION\tLEAVING")
-	return c.askAll(func(address string) error {
+	return c.forEach(func(address string) error {
 		var list []routes.MemberAnswer
-		if err := ask(address, routes.PathMembers, &list); err != nil {
+		if err := fetchJSON(address, routes.PathMembers, &list); err != nil {
 			return err
 		}
 		for _, m := range list {
@@ -96,17 +97,17 @@
 
 type routerReplicasCommand struct {
 	daemonOptions
-	Ejected bool `long:"passed-over" description:"only those that get no requests"`
+	Ejected bool `long:"passed-over" description:"show only replicas that get no requests"`
 }
 
-// Execute prints a line for each replica.
+// Execute prints one line per replica.
 func (c *routerReplicasCommand) Execute([]string) error {
-	w := table()
+	w := newTable()
 	defer w.Flush()
-	fmt.Fprintln(w, "SERVICE\tREPLICA\tDOMAIN\tADDRESS\tSTATE\tLOAD\tFAILED\tCOLD\tREST\tASKED BY\tEJECTED")
-	return c.askAll(func(address string) error {
+	fmt.Fprintln(w, "SERVICE\tREPLICA\tDOMAIN\tADDRESS\tSTATE\tLOAD\tFAILED\tCOLD\tBACKOFF\tREQUESTED BY\tEJECTED")
+	return c.forEach(func(address string) error {
 		var list []routes.ReplicaAnswer
-		if err := ask(address, routes.PathReplicas, &list); err != nil {
+		if err := fetchJSON(address, routes.PathReplicas, &list); err != nil {
 			return err
 		}
 		for _, r := range list {
@@ -122,13 +123,14 @@
 type routerLiftCommand struct {
 	daemonOptions
 	Args struct {
-		Replica string `positional-arg-name:"REPLICA" required:"yes" description:"as 'replicas' and the log show it"`
+		Replica string `positional-arg-name:"REPLICA" required:"yes" description:"as shown by 'replicas' and in the log"`
 	} `positional-args:"yes"`
 }
 
-// Execute ends the rest of a replica at each daemon that is named: others were asked for theirs.
+// Execute ends the backoff of a replica at each named daemon. A replica requests a backoff from each
+// daemon separately, so other daemons keep theirs.
 func (c *routerLiftCommand) Execute([]string) error {
-	return c.askAll(func(address string) error {
-		return order(address, routes.PathLift+"?replica="+url.QueryEscape(c.Args.Replica))
+	return c.forEach(func(address string) error {
+		return post(address, routes.PathLift+"?replica="+url.QueryEscape(c.Args.Replica))
 	})
 }
