--- a/cmd/hingesoak/main.go
+++ b/cmd/hingesoak/main.go
@@ -1,6 +1,6 @@
-// Command hingesoak runs real daemons as processes on this machine, injects
-// faults drawn from a seed, and checks the promises of docs/PROMISES.md
-// while they run. It is no part of the product.
+// Command hingesoak is a soak test. It runs real daemons as processes on this
+// machine, injects faults generated from a seed, and checks the guarantees of
+// docs/PROMISES.md while they run. It is not part of the product.
 //
 // # Usage
 //
@@ -10,8 +10,8 @@
 //	hingesoak --daemon target/hingewinchd --steady --daemons 87 --seed 1
 //	hingesoak --daemon target/hingewinchd --seeds internal/soak/testdata/seeds.txt
 //
-// It ends with 1 if a promise was broken; the directory of that run is kept, with
-// its report, its faults and the daemons' logs.
+// It exits with 1 if a guarantee was violated or a run could not be completed. The directory
+// of a run with violations is kept, with its report, its faults and the daemons' logs.
 package main
 
 import (
@@ -36,31 +36,31 @@
 
 // Exit codes.
 const (
-	exitBroken = 1
+	exitFailed = 1
 	exitUsage  = 2
 )
 
 type options struct {
-	Daemon   string        `long:"daemon" default:"target/hingewinchd" description:"program of the daemon"`
-	Previous string        `long:"previous" description:"program of the last build; daemons are upgraded from it, and back, while the run goes on"`
-	Seed     []uint64      `long:"seed" description:"play this seed; may be given several times"`
-	Seeds    string        `long:"seeds" description:"play the seeds of a file, one a line, each with its cause"`
-	Runs     int           `long:"runs" default:"1" description:"how many fresh seeds to play when none is named"`
-	AtOnce   int           `long:"at-once" default:"1" description:"how many runs at a time"`
-	Trouble  time.Duration `long:"trouble" default:"18s" description:"time in which faults begin"`
-	Quiet    time.Duration `long:"quiet" default:"9s" description:"time after the last fault"`
-	Daemons  int           `long:"daemons" default:"10" description:"most daemons of a run"`
-	Rate     float64       `long:"faults" default:"1.2" description:"faults a second"`
-	Evacuate float64       `long:"evacuations" default:"0.15" description:"evacuations of failure domains a second; with 0 replicas are never cold, as for seeds kept from before"`
-	Crashing int           `long:"crashing" default:"1" description:"requests that crash the replicas that run them; with 0 there are none, as for seeds kept from before"`
-	Foreign  float64       `long:"foreign" default:"0.15" description:"how often another writer writes among the replicas' entries, a second; with 0 never, as for seeds kept from before"`
-	Rests    float64       `long:"rests" default:"0.3" description:"how often replicas turn all away and ask for rest, a second; with 0 never, as for seeds kept from before"`
-	Leavings float64       `long:"leavings" default:"0.15" description:"how often a replica leaves and says so in its answers only, a second; with 0 never, as for seeds kept from before"`
-	Ends     float64       `long:"false-ends" default:"0.1" description:"how often daemons are told of ends of replicas that live, a second; with 0 never, as for seeds kept from before"`
-	Restores float64       `long:"restores" default:"0.1" description:"how often the store comes back from a copy of itself, a second; with 0 never, as for seeds kept from before"`
-	Steady   bool          `long:"steady" description:"no faults at daemons, replicas and the store; prompts that get hot, before exactly --daemons daemons"`
-	Dir      string        `long:"dir" description:"where runs are kept (default: a temporary directory)"`
-	Keep     bool          `long:"keep" description:"keep the directories of runs that broke nothing, too"`
+	Daemon            string        `long:"daemon" default:"target/hingewinchd" description:"path of the daemon's executable"`
+	Previous          string        `long:"previous" description:"executable of the previous build; daemons are upgraded from it, and downgraded again, during the run"`
+	Seed              []uint64      `long:"seed" description:"run this seed; may be repeated"`
+	Seeds             string        `long:"seeds" description:"run the seeds of a file: one per line, followed by the reason why it is listed"`
+	Runs              int           `long:"runs" default:"1" description:"number of random seeds to run if none is given"`
+	AtOnce            int           `long:"at-once" default:"1" description:"maximum number of concurrent runs"`
+	Trouble           time.Duration `long:"trouble" default:"18s" description:"period in which faults start"`
+	Quiet             time.Duration `long:"quiet" default:"9s" description:"period after the last fault"`
+	Daemons           int           `long:"daemons" default:"10" description:"maximum number of daemons in a run"`
+	FaultRate         float64       `long:"faults" default:"1.2" description:"faults per second"`
+	Evacuations       float64       `long:"evacuations" default:"0.15" description:"failure domain evacuations per second; with 0, replicas are never cold either; use 0 for seeds recorded before this option existed"`
+	Crashing          int           `long:"crashing" default:"1" description:"number of requests that crash the replicas that run them; use 0 for seeds recorded before this option existed"`
+	Foreign           float64       `long:"foreign" default:"0.15" description:"writes per second by a foreign writer among the replicas' entries; use 0 for seeds recorded before this option existed"`
+	Backoffs          float64       `long:"rests" default:"0.3" description:"times per second that replicas refuse all requests and request a backoff; use 0 for seeds recorded before this option existed"`
+	Departures        float64       `long:"leavings" default:"0.15" description:"times per second that a replica departs and announces it only in its responses; use 0 for seeds recorded before this option existed"`
+	FalseTerminations float64       `long:"false-ends" default:"0.1" description:"false reports per second to daemons that a live replica has terminated; use 0 for seeds recorded before this option existed"`
+	Restores          float64       `long:"restores" default:"0.1" description:"times per second that the store is restored from a backup; use 0 for seeds recorded before this option existed"`
+	Steady            bool          `long:"steady" description:"inject no faults into daemons, replicas and the store; run exactly --daemons daemons with prompts that become hot"`
+	Dir               string        `long:"dir" description:"directory of the runs (default: a temporary directory)"`
+	Keep              bool          `long:"keep" description:"also keep the directories of runs without violations"`
 }
 
 func main() { os.Exit(run()) }
@@ -68,8 +68,8 @@
 func run() int {
 	var o options
 	if _, err := flags.Parse(&o); err != nil {
-		var fe *flags.Error
-		if errors.As(err, &fe) && fe.Type == flags.ErrHelp {
+		var flagsErr *flags.Error
+		if errors.As(err, &flagsErr) && flagsErr.Type == flags.ErrHelp {
 			return 0
 		}
 		return exitUsage
@@ -87,10 +87,10 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	return o.playAll(ctx, seeds)
+	return o.runAll(ctx, seeds)
 }
 
-// seeds returns the seeds that are named, or fresh ones.
+// seeds returns the seeds given on the command line, or random ones if there are none.
 func (o *options) seeds() ([]uint64, error) {
 	seeds := o.Seed
 	if o.Seeds != "" {
@@ -108,7 +108,7 @@
 	return seeds, nil
 }
 
-// readSeeds reads lines of a seed and its cause; # begins a comment.
+// readSeeds reads a seed file. Each line has a seed and the reason why it is listed; # begins a comment.
 func readSeeds(file string) ([]uint64, error) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -123,32 +123,33 @@
 		}
 		seed, err := strconv.ParseUint(word, 10, 64)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %q is no seed; write a number and the cause", file, word)
+			return nil, fmt.Errorf("%s: %q is not a seed; write a number, followed by the reason", file, word)
 		}
 		seeds = append(seeds, seed)
 	}
 	return seeds, nil
 }
 
-func (o *options) playAll(ctx context.Context, seeds []uint64) int {
+// runAll runs the seeds, up to AtOnce of them at a time, and returns the exit code.
+func (o *options) runAll(ctx context.Context, seeds []uint64) int {
 	queue := make(chan uint64)
 	var (
-		wg     sync.WaitGroup
-		mu     sync.Mutex
-		broken []uint64
-		failed int
+		wg         sync.WaitGroup
+		mu         sync.Mutex
+		violated   []uint64
+		incomplete int
 	)
 	for range max(1, o.AtOnce) {
 		wg.Go(func() {
 			for seed := range queue {
-				report, err := o.play(ctx, seed)
+				report, err := o.runSeed(ctx, seed)
 				mu.Lock()
 				switch {
 				case err != nil:
-					failed++
-					fmt.Printf("seed %d: not played: %v\n", seed, err)
+					incomplete++
+					fmt.Printf("seed %d: run not completed: %v\n", seed, err)
 				case len(report.Violations) > 0:
-					broken = append(broken, seed)
+					violated = append(violated, seed)
 				}
 				mu.Unlock()
 			}
@@ -162,21 +163,21 @@
 	}
 	close(queue)
 	wg.Wait()
-	fmt.Printf("%d seeds, %d broke a promise, %d were not played\n", len(seeds), len(broken), failed)
-	if len(broken) > 0 || failed > 0 {
-		fmt.Println("broken:", broken, "kept in", o.Dir)
-		return exitBroken
+	fmt.Printf("%d seeds, %d with violations, %d not completed\n", len(seeds), len(violated), incomplete)
+	if len(violated) > 0 || incomplete > 0 {
+		fmt.Println("seeds with violations:", violated, "kept in", o.Dir)
+		return exitFailed
 	}
 	return 0
 }
 
-// play plays one seed and prints a line on it, and one for each broken promise.
-func (o *options) play(ctx context.Context, seed uint64) (*soak.Report, error) {
+// runSeed runs one seed and prints a summary, followed by the first violations, one per line.
+func (o *options) runSeed(ctx context.Context, seed uint64) (*soak.Report, error) {
 	shape := soak.DefaultShape()
-	shape.Trouble, shape.Quiet, shape.MostDaemons, shape.FaultsPerSec = o.Trouble, o.Quiet, o.Daemons, o.Rate
-	shape.EvacuationsPerSec, shape.Crashing, shape.ForeignPerSec = o.Evacuate, o.Crashing, o.Foreign
-	shape.RestsPerSec, shape.LeavingsPerSec = o.Rests, o.Leavings
-	shape.FalseEndsPerSec, shape.RestoresPerSec, shape.Upgrades = o.Ends, o.Restores, o.Previous != ""
+	shape.Trouble, shape.Quiet, shape.MostDaemons, shape.FaultsPerSec = o.Trouble, o.Quiet, o.Daemons, o.FaultRate
+	shape.EvacuationsPerSec, shape.Crashing, shape.ForeignPerSec = o.Evacuations, o.Crashing, o.Foreign
+	shape.RestsPerSec, shape.LeavingsPerSec = o.Backoffs, o.Departures
+	shape.FalseEndsPerSec, shape.RestoresPerSec, shape.Upgrades = o.FalseTerminations, o.Restores, o.Previous != ""
 	plan := soak.NewPlan(seed, shape)
 	if o.Steady {
 		plan = soak.NewSteadyPlan(seed, o.Daemons, shape)
@@ -186,12 +187,12 @@
 	if err != nil {
 		return nil, err
 	}
-	fmt.Printf("seed %d: %d daemons, %d faults, %d requests, %.3f served, %.3f at the end, %.3f at crowded replicas, %d replicas ended by requests, %d rests, %d left by answers, %d violations\n",
+	fmt.Printf("seed %d: %d daemons, %d faults, %d requests, %.3f served, %.3f at the end, %.3f at overloaded replicas, %d replicas crashed by requests, %d backoffs, %d departures announced in responses, %d violations\n",
 		seed, plan.Daemons, len(plan.Faults), report.Requests, report.Share, report.QuietShare, report.Crowded, report.Ended, report.Rests, report.Leavers, len(report.Violations))
 	for i, v := range report.Violations {
-		const shown = 12
-		if i == shown {
-			fmt.Printf("  and %d more in %s\n", len(report.Violations)-shown, dir)
+		const maxShown = 12
+		if i == maxShown {
+			fmt.Printf("  and %d more in %s\n", len(report.Violations)-maxShown, dir)
 			break
 		}
 		fmt.Printf("  %s %s %s: %s\n", v.At.UTC().Format("15:04:05.000"), v.Promise, v.Subject, v.Detail)
--- a/cmd/hingestandin/chats.go
+++ b/cmd/hingestandin/chats.go
@@ -1,5 +1,5 @@
-// This file plays the chats of the load: callers that return after pauses by any daemon,
-// and check each answer word by word.
+// This file implements the chat load: callers that send the turns of a chat, with pauses, to any daemon
+// and compare each response with the expected text.
 
 package main
 
@@ -23,20 +23,22 @@
 	Content string `json:"content"`
 }
 
-type answer struct {
+// completion is a received response: its text, the number of cached prompt tokens that it reports and
+// the upstream that produced it.
+type completion struct {
 	text     string
 	cached   int
 	upstream string
 }
 
-// chat plays one caller who comes back after pauses, each time by any daemon.
+// chat simulates one caller: it sends the turns of a chat with pauses between them, each to any daemon.
 func (c *loadCommand) chat(t *tally, i int) {
 	messages := []message{{"system", "You answer disputes about parking tickets. " + strings.Repeat("Rule. ", 40)}}
-	known := 0 // tokens that an engine has seen in this chat
+	reusable := 0 // tokens of this chat that an engine has processed
 	for turn := range c.Turns {
 		question := fmt.Sprintf("chat %d turn %d: where is my refund?", i, turn)
 		messages = append(messages, message{"user", question})
-		a, ok := c.turn(t, messages, i)
+		resp, ok := c.turn(t, messages, i)
 		if !ok {
 			t.mu.Lock()
 			t.failed++
@@ -44,12 +46,12 @@
 			return
 		}
 		t.mu.Lock()
-		t.work[a.upstream]++
-		t.reusable += known
-		t.reused += min(a.cached, known)
+		t.work[resp.upstream]++
+		t.reusable += reusable
+		t.reused += min(resp.cached, reusable)
 		t.mu.Unlock()
-		messages = append(messages, message{"assistant", a.text})
-		known = chatTokens(messages)
+		messages = append(messages, message{"assistant", resp.text})
+		reusable = chatTokens(messages)
 		time.Sleep(time.Duration(rand.Int64N(int64(2 * c.Pause))))
 	}
 	t.mu.Lock()
@@ -57,6 +59,7 @@
 	t.mu.Unlock()
 }
 
+// chatTokens returns the number of tokens of a chat, as the fake engine counts them.
 func chatTokens(messages []message) int {
 	n := 0
 	for _, m := range messages {
@@ -66,33 +69,34 @@
 	return n
 }
 
-// turn sends one turn until it is answered or the time is over. A refusal is no
-// failure: it says when to come back.
-func (c *loadCommand) turn(t *tally, messages []message, i int) (answer, bool) {
+// turn sends one turn until it succeeds or Patience runs out. A refusal is not a
+// failure: turn retries after the time in Retry-After. A response with the wrong text is
+// counted and not retried.
+func (c *loadCommand) turn(t *tally, messages []message, i int) (completion, bool) {
 	body, _ := json.Marshal(map[string]any{"model": c.Model, "stream": true, "messages": messages})
 	last, _ := json.Marshal(messages[len(messages)-1].Content)
 	want := strings.Join(standin.Answer(string(last), c.Words), "")
 	for end := time.Now().Add(c.Patience); time.Now().Before(end); {
-		a, retry, err := c.ask(body)
+		resp, retryAfter, err := c.sendChat(body)
 		switch {
 		case err != nil:
-			t.problem(err.Error())
-		case a.text != want:
+			t.addProblem(err.Error())
+		case resp.text != want:
 			t.mu.Lock()
-			t.cut++
+			t.mismatched++
 			t.mu.Unlock()
-			return a, false
+			return resp, false
 		default:
-			return a, true
+			return resp, true
 		}
-		time.Sleep(retry)
+		time.Sleep(retryAfter)
 	}
-	return answer{}, false
+	return completion{}, false
 }
 
-// post sends to a daemon that is ready, as a balancer would choose it.
+// post sends a request to a ready daemon, as a load balancer would.
 func (c *loadCommand) post(path string, body []byte, key string) (*http.Response, error) {
-	g := c.ready()
+	g := c.readyGateway()
 	req, err := http.NewRequest(http.MethodPost, g+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -103,12 +107,13 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, fmt.Errorf("no answer from a daemon")
+		return nil, fmt.Errorf("no response from a daemon")
 	}
 	return resp, nil
 }
 
-func (c *loadCommand) ready() string {
+// readyGateway returns a random daemon that reports ready, or the first one if none is found in 20 attempts.
+func (c *loadCommand) readyGateway() string {
 	for range 20 {
 		g := c.Gateways[rand.IntN(len(c.Gateways))]
 		resp, err := http.Get(g + gateway.PathReady)
@@ -123,33 +128,35 @@
 	return c.Gateways[0]
 }
 
-func (c *loadCommand) ask(body []byte) (answer, time.Duration, error) {
+// sendChat sends a chat request once. If it fails, the duration is how long to wait before a retry.
+func (c *loadCommand) sendChat(body []byte) (completion, time.Duration, error) {
 	resp, err := c.post(protocol.PathChat, body, "")
 	if err != nil {
-		return answer{}, time.Second, err
+		return completion{}, time.Second, err
 	}
 	defer resp.Body.Close()
-	retry, _ := strconv.Atoi(resp.Header.Get(protocol.HeaderRetryAfter))
+	retryAfter, _ := strconv.Atoi(resp.Header.Get(protocol.HeaderRetryAfter))
 	if resp.StatusCode != http.StatusOK {
-		return answer{}, time.Duration(retry) * time.Second, fmt.Errorf("status %d %s %s", resp.StatusCode, resp.Header.Get(protocol.HeaderOutcome), resp.Header.Get(protocol.HeaderReason))
+		return completion{}, time.Duration(retryAfter) * time.Second, fmt.Errorf("status %d %s %s", resp.StatusCode, resp.Header.Get(protocol.HeaderOutcome), resp.Header.Get(protocol.HeaderReason))
 	}
-	a := answer{upstream: resp.Header.Get(protocol.HeaderUpstream)}
+	out := completion{upstream: resp.Header.Get(protocol.HeaderUpstream)}
 	events := protocol.NewEventReader(resp.Body)
 	for {
 		ev, err := events.Read()
 		if err != nil {
-			return a, time.Second, fmt.Errorf("stream ended: %w", err)
+			return out, time.Second, fmt.Errorf("stream ended: %w", err)
 		}
 		if ev.IsEnd() {
-			return a, 0, nil
+			return out, 0, nil
 		}
-		if err := a.add(ev.Data); err != nil {
-			return a, time.Second, err
+		if err := out.add(ev.Data); err != nil {
+			return out, time.Second, err
 		}
 	}
 }
 
-func (a *answer) add(data []byte) error {
+// add appends the text of a streamed chunk and counts the cached tokens that it reports.
+func (c *completion) add(data []byte) error {
 	var chunk struct {
 		Choices []struct {
 			Delta message `json:"delta"`
@@ -168,8 +175,8 @@
 		return fmt.Errorf("stream ended with error %s %s", chunk.Error.Outcome, chunk.Error.Code)
 	}
 	for _, choice := range chunk.Choices {
-		a.text += choice.Delta.Content
+		c.text += choice.Delta.Content
 	}
-	a.cached += chunk.Usage.Details.Cached
+	c.cached += chunk.Usage.Details.Cached
 	return nil
 }
--- a/cmd/hingestandin/load.go
+++ b/cmd/hingestandin/load.go
@@ -1,5 +1,5 @@
-// This file runs the load: callers whose chats return (chats.go), and callers whose
-// requests must not be repeated and are all the same sent twice. It judges what they saw.
+// This file generates the load: callers that hold chats (chats.go) and callers that send a request twice
+// with one ticket, which must run only once. It then evaluates their results.
 
 package main
 
@@ -19,7 +19,7 @@
 
 type loadCommand struct {
 	Gateways []string      `long:"gateway" required:"yes" description:"base URL of a daemon"`
-	Services []string      `long:"services" description:"base URL of a service replica, to count runs"`
+	Services []string      `long:"services" description:"base URL of a service replica, to count the requests that it ran"`
 	Key      string        `long:"key" required:"yes"`
 	Model    string        `long:"model" default:"casework"`
 	Service  string        `long:"service" default:"gate"`
@@ -29,28 +29,28 @@
 	Parallel int           `long:"parallel" default:"20"`
 	Pause    time.Duration `long:"pause" default:"400ms" description:"mean pause between turns"`
 	Words    int           `long:"words" default:"12"`
-	Patience time.Duration `long:"patience" default:"20s" description:"how long a caller tries"`
+	Patience time.Duration `long:"patience" default:"20s" description:"how long a caller retries"`
 }
 
-// tally is what the callers saw.
+// tally collects the results of all callers.
 type tally struct {
-	mu       sync.Mutex
-	answered int
-	failed   int
-	cut      int
-	reusable int
-	reused   int
-	work     map[string]int
-	problems map[string]int
+	mu         sync.Mutex
+	answered   int            // chats whose turns all succeeded
+	failed     int            // chats and ticket requests that did not succeed in time
+	mismatched int            // responses with the wrong text
+	reusable   int            // prompt tokens that could have been cached
+	reused     int            // prompt tokens that were cached
+	work       map[string]int // chat turns by upstream
+	problems   map[string]int // number of errors by message
 }
 
-func (t *tally) problem(kind string) {
+func (t *tally) addProblem(message string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.problems[kind]++
+	t.problems[message]++
 }
 
-// Execute runs the load and prints the closing line.
+// Execute runs the load and prints a summary. It returns an error if any check failed.
 func (c *loadCommand) Execute([]string) error {
 	t := &tally{work: make(map[string]int), problems: make(map[string]int)}
 	slots := make(chan struct{}, c.Parallel)
@@ -77,31 +77,32 @@
 	if err != nil {
 		return err
 	}
-	for kind, n := range t.problems {
-		fmt.Fprintf(os.Stderr, "load: seen and overcome: %s, %d times\n", kind, n)
+	for message, n := range t.problems {
+		fmt.Fprintf(os.Stderr, "load: error during the run: %s (%d times)\n", message, n)
 	}
 	reuse := float64(t.reused) / float64(max(t.reusable, 1))
 	fmt.Printf("demo: chats=%d answered=%d failed=%d cut=%d once_runs_max=%d reuse=%.2f skew=%.2f\n",
-		c.Chats, t.answered, t.failed, t.cut, runs, reuse, skew(t.work))
-	if t.answered != c.Chats || t.failed > 0 || t.cut > 0 || runs != 1 {
-		return fmt.Errorf("load: not all held")
+		c.Chats, t.answered, t.failed, t.mismatched, runs, reuse, skew(t.work))
+	if t.answered != c.Chats || t.failed > 0 || t.mismatched > 0 || runs != 1 {
+		return fmt.Errorf("load: at least one check failed; see the summary")
 	}
 	return nil
 }
 
-// skew is the largest share of the work over the mean of the engines seen.
+// skew returns the ratio of the largest number of turns of an engine to the mean over all engines that were used.
 func skew(work map[string]int) float64 {
-	sum, most := 0, 0
+	sum, largest := 0, 0
 	for _, n := range work {
 		sum += n
-		most = max(most, n)
+		largest = max(largest, n)
 	}
 	if sum == 0 {
 		return 0
 	}
-	return float64(most) * float64(len(work)) / float64(sum)
+	return float64(largest) * float64(len(work)) / float64(sum)
 }
 
+// maxRuns returns how often the request that ran most often was run by all service replicas together.
 func (c *loadCommand) maxRuns() (int, error) {
 	total := make(map[string]int)
 	for _, url := range c.Services {
@@ -119,18 +120,18 @@
 			total[k] += n
 		}
 	}
-	most := 0
+	largest := 0
 	for _, n := range total {
-		most = max(most, n)
+		largest = max(largest, n)
 	}
-	return most, nil
+	return largest, nil
 }
 
-// once takes a ticket, sends a request and sends it again by another daemon, as
-// a caller does who lost the first answer.
+// once obtains a ticket and sends a request with it twice, each time to any daemon, like
+// a caller that lost the first response.
 func (c *loadCommand) once(t *tally, i int) {
 	body := fmt.Appendf(nil, `{"pass": %d}`, i)
-	ticket, ok := c.ticket(t)
+	ticket, ok := c.fetchTicket(t)
 	if !ok {
 		t.mu.Lock()
 		t.failed++
@@ -140,29 +141,30 @@
 	for range 2 {
 		resp, err := c.post(gateway.PathServices+c.Service+"/passes", body, ticket)
 		if err != nil {
-			t.problem(err.Error())
+			t.addProblem(err.Error())
 			continue
 		}
 		if outcome := resp.Header.Get(protocol.HeaderOutcome); outcome != "" {
-			t.problem("request with a ticket refused: " + outcome + " " + resp.Header.Get(protocol.HeaderReason))
+			t.addProblem("request with a ticket refused: " + outcome + " " + resp.Header.Get(protocol.HeaderReason))
 		}
 		_, _ = io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
 	}
 }
 
-func (c *loadCommand) ticket(t *tally) (string, bool) {
+// fetchTicket obtains a ticket, retrying until Patience runs out.
+func (c *loadCommand) fetchTicket(t *tally) (string, bool) {
 	for end := time.Now().Add(c.Patience); time.Now().Before(end); time.Sleep(time.Second) {
 		resp, err := c.post(gateway.PathTickets, fmt.Appendf(nil, `{"service": %q}`, c.Service), "")
 		if err != nil {
-			t.problem(err.Error())
+			t.addProblem(err.Error())
 			continue
 		}
-		var a gateway.TicketAnswer
-		err = json.NewDecoder(resp.Body).Decode(&a)
+		var answer gateway.TicketAnswer
+		err = json.NewDecoder(resp.Body).Decode(&answer)
 		resp.Body.Close()
-		if err == nil && a.Ticket != "" {
-			return a.Ticket, true
+		if err == nil && answer.Ticket != "" {
+			return answer.Ticket, true
 		}
 	}
 	return "", false
--- a/cmd/hingestandin/main.go
+++ b/cmd/hingestandin/main.go
@@ -1,5 +1,5 @@
-// Command hingestandin plays, for the demo, the systems that hingewinch meets
-// and the callers that use it. It is no part of the product.
+// Command hingestandin runs, for the demo, fakes of the systems that hingewinch
+// interacts with, and a load generator. It is not part of the product.
 //
 // # Usage
 //
@@ -25,10 +25,10 @@
 
 type options struct {
 	Ports    portsCommand    `command:"ports" description:"print free ports"`
-	Platform platformCommand `command:"platform" description:"publish two files, read again when they change"`
-	Engine   engineCommand   `command:"engine" description:"play a model engine"`
-	Service  serviceCommand  `command:"service" description:"play a plain service"`
-	Load     loadCommand     `command:"load" description:"play callers and check what they get"`
+	Platform platformCommand `command:"platform" description:"run a fake platform that publishes two files and reloads them when they change"`
+	Engine   engineCommand   `command:"engine" description:"run a fake model engine"`
+	Service  serviceCommand  `command:"service" description:"run a fake plain service"`
+	Load     loadCommand     `command:"load" description:"generate load and check the responses"`
 }
 
 func main() {
@@ -44,7 +44,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute holds all ports until all are found, so that none is given twice.
+// Execute keeps all ports open until all are found, so that none is printed twice.
 func (c *portsCommand) Execute([]string) error {
 	for range c.Args.N {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -71,29 +71,31 @@
 	Members string `long:"members" required:"yes"`
 }
 
-const fileInterval = 100 * time.Millisecond
+// pollInterval is how often the published files are checked for changes.
+const pollInterval = 100 * time.Millisecond
 
-// Execute publishes the files.
+// Execute serves a fake platform that publishes the files.
 func (c *platformCommand) Execute([]string) error {
 	p := standin.NewPlatform()
-	go follow(c.Config, func(text []byte) { p.Publish(protocol.PathConfig, text) })
-	go follow(c.Members, func(text []byte) { p.Publish(protocol.PathMembers, text) })
+	go publishChanges(c.Config, func(text []byte) { p.Publish(protocol.PathConfig, text) })
+	go publishChanges(c.Members, func(text []byte) { p.Publish(protocol.PathMembers, text) })
 	return c.serve(p)
 }
 
-// follow publishes a file whenever its time of change does.
-func follow(file string, publish func([]byte)) {
-	var seen time.Time
-	for ; ; time.Sleep(fileInterval) {
+// publishChanges publishes a file whenever its modification time changes. It ignores an empty file,
+// which may still be in the process of being written.
+func publishChanges(file string, publish func([]byte)) {
+	var published time.Time
+	for ; ; time.Sleep(pollInterval) {
 		info, err := os.Stat(file)
-		if err != nil || info.ModTime().Equal(seen) {
+		if err != nil || info.ModTime().Equal(published) {
 			continue
 		}
 		text, err := os.ReadFile(file)
 		if err != nil || len(text) == 0 {
 			continue
 		}
-		seen = info.ModTime()
+		published = info.ModTime()
 		publish(text)
 	}
 }
@@ -106,7 +108,7 @@
 	ReportLag time.Duration `long:"report-lag" default:"500ms"`
 }
 
-// Execute plays an engine.
+// Execute serves a fake engine.
 func (c *engineCommand) Execute([]string) error {
 	return c.serve(standin.NewEngine(standin.EngineOptions{
 		ID: c.ID, TokenTime: c.TokenTime, AnswerWords: c.Words, ReportLag: c.ReportLag,
@@ -116,5 +118,5 @@
 
 type serviceCommand struct{ listenOptions }
 
-// Execute plays a service.
+// Execute serves a fake service.
 func (c *serviceCommand) Execute([]string) error { return c.serve(standin.NewService()) }
--- a/cmd/hingewinchd/main.go
+++ b/cmd/hingewinchd/main.go
@@ -5,13 +5,13 @@
 //	hingewinchd --settings /etc/hingewinch/hingewinchd.yaml
 //	hingewinchd --front routes
 //
-// The first serves the OpenAI protocol. The second serves routes by host and
-// path on the users' machines; its settings file is the one that the variable
-// HINGEWINCH_SETTINGS names, unless --settings is given.
+// The first form serves the OpenAI protocol. The second routes requests by host and
+// path on the users' VMs; its settings file is named by the environment variable
+// HINGEWINCH_SETTINGS, unless --settings is given.
 //
-// SIGTERM or SIGINT begins a planned stop, which ends when the last request in
-// flight has its answer. Exit codes: 0 after a planned stop, 1 when a server
-// failed, 2 when the settings or the command line are wrong.
+// SIGTERM or SIGINT starts a graceful shutdown, which waits for the requests in
+// flight. Exit codes: 0 after a graceful shutdown, 1 if a server failed, 2 if the
+// settings or the command line are invalid.
 package main
 
 import (
@@ -36,17 +36,17 @@
 	exitUsage  = 2
 )
 
-// settingsVariable names the settings file where no option does.
+// settingsVariable is the environment variable that names the settings file if --settings is not given.
 const settingsVariable = "HINGEWINCH_SETTINGS"
 
-// frontRoutes is the front end that routes by host and path.
+// frontRoutes is the value of --front for the front end that routes by host and path.
 const frontRoutes = "routes"
 
 type options struct {
 	Settings string `short:"s" long:"settings" value-name:"FILE" description:"settings file of this daemon (YAML)"`
-	Front    string `long:"front" choice:"openai" choice:"routes" default:"openai" description:"what callers speak"`
-	Check    bool   `long:"check" description:"check the settings file and end"`
-	Version  bool   `long:"version" description:"print the version and end"`
+	Front    string `long:"front" choice:"openai" choice:"routes" default:"openai" description:"front end: OpenAI protocol, or routes by host and path"`
+	Check    bool   `long:"check" description:"check the settings file and exit"`
+	Version  bool   `long:"version" description:"print the version and exit"`
 }
 
 func main() { os.Exit(run()) }
@@ -54,8 +54,8 @@
 func run() int {
 	var o options
 	if _, err := flags.Parse(&o); err != nil {
-		var fe *flags.Error
-		if errors.As(err, &fe) && fe.Type == flags.ErrHelp {
+		var flagsErr *flags.Error
+		if errors.As(err, &flagsErr) && flagsErr.Type == flags.ErrHelp {
 			return 0
 		}
 		return exitUsage
--- a/cmd/hingewinchd/routes.go
+++ b/cmd/hingewinchd/routes.go
@@ -24,22 +24,22 @@
 	if check {
 		return 0
 	}
-	d, err := routes.New(settings, usersPlatform(settings), os.Stdout)
+	d, err := routes.New(settings, newPlatform(settings), os.Stdout)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitFailed
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	go reload(ctx, d, file, settings)
+	go checkSettingsOnSIGHUP(ctx, d, file, settings)
 	if err := d.Run(ctx); err != nil {
 		return exitFailed
 	}
 	return 0
 }
 
-// usersPlatform returns the implementation of the users' platform.
-func usersPlatform(s *routes.Settings) routes.Platform {
+// newPlatform returns the implementation of the users' platform that the daemon uses.
+func newPlatform(s *routes.Settings) routes.Platform {
 	return routes.Platform{
 		Store: platform.NewStore(s.Store), HistoryGone: platform.ErrHistoryGone,
 		Documents: platform.Documents{}, Codec: platform.Codec{}, ReadyPath: platform.PathReady,
@@ -51,17 +51,17 @@
 	}
 }
 
-// reload checks the settings file after each SIGHUP. Addresses and identity
-// can't change while requests are served; a file that differs takes effect at
-// the next start, and the log says so.
-func reload(ctx context.Context, d *routes.Daemon, file string, running *routes.Settings) {
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
+// checkSettingsOnSIGHUP loads the settings file on each SIGHUP and logs whether it is valid and has changed.
+// Addresses and identity can't change while requests are served, so changed settings
+// take effect only at the next start.
+func checkSettingsOnSIGHUP(ctx context.Context, d *routes.Daemon, file string, running *routes.Settings) {
+	sighup := make(chan os.Signal, 1)
+	signal.Notify(sighup, syscall.SIGHUP)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hangups:
+		case <-sighup:
 			s, err := routes.LoadSettings(file)
 			d.Log.Reloaded(err == nil && !reflect.DeepEqual(s, running), err)
 		}
