--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,12 +1,12 @@
-// Package golden compares text with files that hold a published form: messages
-// between daemons, names that scrapers read, rules that must not change by accident.
+// Package golden compares text with golden files. They record published formats, such as messages
+// between daemons and the names of metrics, and rules that must not change by accident.
 //
 // # Usage
 //
 //	golden.Compare(t, "metrics.txt", got)
 //
-// compares with testdata/golden/metrics.txt of the package under test. The flag
-// -update-golden writes the file; it is for a form that is new or meant to change.
+// compares got with testdata/golden/metrics.txt of the package under test. The flag
+// -update-golden writes the file; use it only for a format that is new or changes on purpose.
 package golden
 
 import (
@@ -17,12 +17,12 @@
 	"testing"
 )
 
-var update = flag.Bool("update-golden", false, "write the golden files; only for a form that is new or meant to change")
+var update = flag.Bool("update-golden", false, "write the golden files; only for a format that is new or changes on purpose")
 
 // File returns the path of a golden file.
 func File(name string) string { return filepath.Join("testdata", "golden", name) }
 
-// Compare fails the test with the first line that differs from the file's.
+// Compare fails the test if got differs from the golden file, and reports the first difference.
 func Compare(t *testing.T, name, got string) {
 	t.Helper()
 	file := File(name)
--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -1,5 +1,6 @@
-// Package layout holds the direction of imports: each layer knows those below it,
-// and the two front ends know nothing of each other.
+// Package layout tests the dependencies between packages: each layer imports only its own packages and
+// those of lower layers, and the two front ends do not import each other. It also tests which clocks
+// packages use.
 package layout
 
 import (
@@ -16,67 +17,67 @@
 
 const module = "hingewinch.org/hingewinch/"
 
-// layers are the top folders from the bottom to the top. A package imports only
-// from its own layer and those below.
+// layers are the top-level folders, from the lowest layer to the highest. A package imports
+// only from its own layer and lower ones.
 var layers = []string{"state", "coordination", "protocol", "transport", "platform", "daemon", "cmd"}
 
-// forbidden are imports that the layers alone would allow.
-var forbidden = []struct{ from, to, why string }{
-	{"coordination/routing", "coordination/fleet", "the front ends' decisions are apart"},
-	{"coordination/membership", "coordination/fleet", "the front ends' decisions are apart"},
-	{"coordination/fleet", "coordination/routing", "the front ends' decisions are apart"},
-	{"coordination/fleet", "coordination/membership", "the front ends' decisions are apart"},
-	{"transport/relay", "transport/gateway", "the front ends' transports are apart"},
-	{"transport/gateway", "transport/relay", "the front ends' transports are apart"},
-	{"daemon/routes", "daemon/openai", "each daemon is wired by itself"},
-	{"daemon/routes", "transport/gateway", "each daemon is wired by itself"},
-	{"daemon/routes", "coordination/fleet", "each daemon is wired by itself"},
-	{"daemon/openai", "daemon/routes", "each daemon is wired by itself"},
-	{"daemon/openai", "transport/relay", "each daemon is wired by itself"},
-	{"daemon", "platform", "only commands know which platform there is"},
-	{"coordination", "net", "decisions do no I/O"},
-	{"coordination", "os", "decisions do no I/O"},
+// forbidden lists imports that are not allowed although the layers permit them.
+var forbidden = []struct{ from, to, reason string }{
+	{"coordination/routing", "coordination/fleet", "the front ends share no decision logic"},
+	{"coordination/membership", "coordination/fleet", "the front ends share no decision logic"},
+	{"coordination/fleet", "coordination/routing", "the front ends share no decision logic"},
+	{"coordination/fleet", "coordination/membership", "the front ends share no decision logic"},
+	{"transport/relay", "transport/gateway", "the front ends share no transport code"},
+	{"transport/gateway", "transport/relay", "the front ends share no transport code"},
+	{"daemon/routes", "daemon/openai", "the daemons are assembled independently"},
+	{"daemon/routes", "transport/gateway", "the daemons are assembled independently"},
+	{"daemon/routes", "coordination/fleet", "the daemons are assembled independently"},
+	{"daemon/openai", "daemon/routes", "the daemons are assembled independently"},
+	{"daemon/openai", "transport/relay", "the daemons are assembled independently"},
+	{"daemon", "platform", "only commands select the platform"},
+	{"coordination", "net", "decision logic does no I/O"},
+	{"coordination", "os", "decision logic does no I/O"},
 }
 
-func TestImportsPointDown(t *testing.T) {
-	files := 0
+func TestImportsFollowLayers(t *testing.T) {
+	packages := 0
 	for from, imports := range productImports(t) {
-		files++
+		packages++
 		level := layerOf(from)
 		if level < 0 {
-			t.Errorf("%s stands in no layer; add its folder to this test", from)
+			t.Errorf("%s belongs to no layer; add its folder to layers", from)
 		}
 		for _, to := range imports {
 			if l := layerOf(to); l > level {
-				t.Errorf("%s imports %s, a layer above it", from, to)
+				t.Errorf("%s imports %s, which is in a higher layer", from, to)
 			}
 			for _, f := range forbidden {
-				if below(from, f.from) && below(to, f.to) {
-					t.Errorf("%s imports %s: %s", from, to, f.why)
+				if isWithin(from, f.from) && isWithin(to, f.to) {
+					t.Errorf("%s imports %s: %s", from, to, f.reason)
 				}
 			}
 		}
 	}
-	if files < 20 {
-		t.Errorf("only %d packages were looked at", files)
+	if packages < 20 {
+		t.Errorf("only %d packages were checked, want at least 20", packages)
 	}
 }
 
-// layerOf returns the place of a package's layer; below 0 for a package of none.
+// layerOf returns the index of a package's layer, or -1 if it belongs to none.
 func layerOf(pkg string) int {
 	for i, l := range layers {
-		if below(pkg, l) {
+		if isWithin(pkg, l) {
 			return i
 		}
 	}
 	return -1
 }
 
-// below reports whether a package is a folder or stands below it.
-func below(pkg, folder string) bool { return pkg == folder || strings.HasPrefix(pkg, folder+"/") }
+// isWithin reports whether a package is in a folder or one of its subfolders.
+func isWithin(pkg, folder string) bool { return pkg == folder || strings.HasPrefix(pkg, folder+"/") }
 
-// productImports returns the imports of the product's packages, without those of
-// tests, by folder; imports of this module begin at its root.
+// productImports returns the imports of the product's packages, by folder, without those of
+// tests. Imports from this module are relative to its root.
 func productImports(t *testing.T) map[string][]string {
 	t.Helper()
 	root := filepath.Join("..", "..")
@@ -85,12 +86,12 @@
 		if err != nil {
 			return err
 		}
-		inside, err := filepath.Rel(root, path)
+		rel, err := filepath.Rel(root, path)
 		if err != nil {
 			return err
 		}
 		if d.IsDir() {
-			if inside != "." && strings.HasPrefix(d.Name(), ".") || inside == "internal" || inside == "target" || inside == "journal" || inside == filepath.Join("platform", "standin") {
+			if rel != "." && strings.HasPrefix(d.Name(), ".") || rel == "internal" || rel == "target" || rel == "journal" || rel == filepath.Join("platform", "standin") {
 				return filepath.SkipDir
 			}
 			return nil
@@ -102,7 +103,7 @@
 		if err != nil {
 			return err
 		}
-		folder := filepath.ToSlash(filepath.Dir(inside))
+		folder := filepath.ToSlash(filepath.Dir(rel))
 		for _, i := range f.Imports {
 			name, err := strconv.Unquote(i.Path.Value)
 			if err != nil {
@@ -118,19 +119,19 @@
 	return out
 }
 
-// TestAgesGoByTheClockThatCountsSuspensions reads the sources of the front end in production:
-// ages and deadlines go by transport/clock. The time of day, and the runtime's clock for the
-// runtime's own waits, stand where they are named here.
-func TestAgesGoByTheClockThatCountsSuspensions(t *testing.T) {
+// TestAgesUseSuspensionAwareClock checks the sources of the production front end: ages and deadlines
+// must use transport/clock, which also counts the time in which the VM is suspended. The runtime's clock is
+// allowed only in the listed places, for the time of day and for waits of the runtime itself.
+func TestAgesUseSuspensionAwareClock(t *testing.T) {
 	allowed := map[string]int{
-		"daemon/routes/daemon.go": 1, // the number of the incarnation
-		"daemon/routes/run.go":    1, // the grace of a planned stop, which the runtime waits for
+		"daemon/routes/daemon.go": 1, // the incarnation number
+		"daemon/routes/run.go":    1, // the grace period of a graceful shutdown, for which the runtime waits
 	}
 	runtimeClock := regexp.MustCompile(`time\.(Now|Since|Until)\(`)
 	for _, folder := range []string{"transport/relay", "daemon/routes", "platform"} {
 		files, err := filepath.Glob(filepath.Join("..", "..", filepath.FromSlash(folder), "*.go"))
 		if err != nil || len(files) == 0 {
-			t.Fatal("no sources in", folder, err)
+			t.Fatal("no source files in", folder, err)
 		}
 		for _, file := range files {
 			if strings.HasSuffix(file, "_test.go") {
@@ -148,16 +149,16 @@
 	}
 }
 
-// timeOfDay finds what asks a time for the time of day.
+// timeOfDay matches calls that convert a time to a Unix time.
 var timeOfDay = regexp.MustCompile(`\.Unix(Nano|Micro|Milli)?\(\)`)
 
-// TestDecisionsGoByTheSteadyClock holds that no decision hangs on the time of day, which may jump by
-// seconds and back: a window of retries would forget what was spent.
-func TestDecisionsGoByTheSteadyClock(t *testing.T) {
+// TestDecisionsUseMonotonicClock checks that no decision depends on the time of day, which can jump by
+// seconds in either direction: a window of the retry budget would then forget the retries it counted.
+func TestDecisionsUseMonotonicClock(t *testing.T) {
 	for _, folder := range []string{"coordination/routing", "coordination/membership"} {
 		files, err := filepath.Glob(filepath.Join("..", "..", folder, "*.go"))
 		if err != nil || len(files) == 0 {
-			t.Fatal(folder, err)
+			t.Fatal("no source files in", folder, err)
 		}
 		for _, file := range files {
 			source, err := os.ReadFile(file)
@@ -165,7 +166,7 @@
 				t.Fatal(err)
 			}
 			if !strings.HasSuffix(file, "_test.go") && timeOfDay.Match(source) {
-				t.Errorf("%s asks for the time of day; take differences of times", file)
+				t.Errorf("%s uses the time of day; use differences between times", file)
 			}
 		}
 	}
--- a/internal/spec/spec.go
+++ b/internal/spec/spec.go
@@ -1,11 +1,11 @@
-// Package spec runs the ginkgo cases of a package with fixed seeds, so that each run
-// has the same verdict.
+// Package spec runs the ginkgo specs of a package with fixed seeds, so that every run
+// has the same result.
 //
 // # Usage
 //
 //	func TestSuite(t *testing.T) { spec.Run(t, "routing") }
 //
-// A package that uses rapid fixes its seed too; the flag -rapid.seed on the command
+// A package that uses rapid also fixes rapid's seed. The flag -rapid.seed on the command
 // line still takes precedence:
 //
 //	func init() { spec.FixRapid() }
@@ -19,10 +19,10 @@
 	"github.com/onsi/gomega"
 )
 
-// seed is that of all random draws of tests.
+// seed is the random seed of ginkgo.
 const seed = 1
 
-// Run runs the cases of the package under test.
+// Run runs the specs of the package under test.
 func Run(t *testing.T, name string) {
 	t.Helper()
 	gomega.RegisterFailHandler(ginkgo.Fail)
@@ -31,9 +31,9 @@
 	ginkgo.RunSpecs(t, name, suite, reporter)
 }
 
-// FixRapid fixes the seed of rapid. It is called before the flags are parsed.
+// FixRapid fixes the seed of rapid. It must be called before the flags are parsed.
 func FixRapid() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
-		panic("rapid is not used in this package: " + err.Error())
+		panic("package under test does not import rapid: " + err.Error())
 	}
 }
