--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -1,5 +1,5 @@
-// This file plays an engine's prefix cache: least recently used prefixes go
-// first, and its memory is limited.
+// This file implements the prefix cache of a fake engine: its size is limited, and it evicts the least
+// recently used prefixes first.
 
 package standin
 
@@ -8,9 +8,10 @@
 	"crypto/sha256"
 )
 
+// prefixHash identifies a prefix of a chat.
 type prefixHash [sha256.Size]byte
 
-// cacheEvent is one change of a cache, as engines publish it.
+// cacheEvent is a change of a cache, as engines publish it.
 type cacheEvent struct {
 	Seq    uint64 `json:"seq"`
 	Kind   string `json:"kind"` // stored or evicted
@@ -18,29 +19,31 @@
 	Tokens int    `json:"tokens"`
 }
 
-// cacheEventsKept is how many events can be asked for; older ones are a gap.
-const cacheEventsKept = 256
+// maxCacheEvents is how many events are kept. A reader that needs older ones finds a gap in the
+// sequence numbers.
+const maxCacheEvents = 256
 
 type prefixCache struct {
-	limit  int // tokens
-	used   int
-	order  *list.List // of *cached, newest first
+	limit  int        // in tokens
+	used   int        // in tokens
+	order  *list.List // of *cacheEntry, most recently used first
 	byHash map[prefixHash]*list.Element
 	events []cacheEvent
 	seq    uint64
 }
 
-type cached struct {
+// cacheEntry is a cached prefix.
+type cacheEntry struct {
 	hash   prefixHash
-	tokens int
+	tokens int // of the last turn of the prefix
 }
 
 func newPrefixCache(limit int) *prefixCache {
 	return &prefixCache{limit: limit, order: list.New(), byHash: make(map[prefixHash]*list.Element)}
 }
 
-// chain returns the hash of each prefix of a chat, which includes the model.
-func chain(model string, turns []string) []prefixHash {
+// hashPrefixes returns the hash of each prefix of a chat, one per turn. The hashes also depend on the model.
+func hashPrefixes(model string, turns []string) []prefixHash {
 	h := sha256.Sum256([]byte(model))
 	out := make([]prefixHash, len(turns))
 	for i, t := range turns {
@@ -50,8 +53,8 @@
 	return out
 }
 
-// hit returns how many turns of a chat are cached from its beginning.
-func (c *prefixCache) hit(hashes []prefixHash) int {
+// lookup returns the number of turns in the longest cached prefix, and marks them as used.
+func (c *prefixCache) lookup(hashes []prefixHash) int {
 	n := 0
 	for _, h := range hashes {
 		el := c.byHash[h]
@@ -64,36 +67,40 @@
 	return n
 }
 
+// store adds the prefixes that are not cached yet, and then evicts the least recently used ones until
+// the cache is within its limit.
 func (c *prefixCache) store(hashes []prefixHash, turns []string) {
 	for i, h := range hashes {
 		if el := c.byHash[h]; el != nil {
 			c.order.MoveToFront(el)
 			continue
 		}
-		item := &cached{hash: h, tokens: tokens(turns[i])}
-		c.byHash[h] = c.order.PushFront(item)
-		c.used += item.tokens
-		c.publish("stored", item)
+		entry := &cacheEntry{hash: h, tokens: tokens(turns[i])}
+		c.byHash[h] = c.order.PushFront(entry)
+		c.used += entry.tokens
+		c.publish("stored", entry)
 	}
 	for c.used > c.limit && c.order.Len() > 0 {
 		el := c.order.Back()
-		item := el.Value.(*cached)
+		entry := el.Value.(*cacheEntry)
 		c.order.Remove(el)
-		delete(c.byHash, item.hash)
-		c.used -= item.tokens
-		c.publish("evicted", item)
+		delete(c.byHash, entry.hash)
+		c.used -= entry.tokens
+		c.publish("evicted", entry)
 	}
 }
 
-func (c *prefixCache) publish(kind string, item *cached) {
+// publish appends an event and drops the oldest if there are more than maxCacheEvents.
+func (c *prefixCache) publish(kind string, entry *cacheEntry) {
 	c.seq++
-	c.events = append(c.events, cacheEvent{Seq: c.seq, Kind: kind, Prefix: hexOf(item.hash), Tokens: item.tokens})
-	if len(c.events) > cacheEventsKept {
+	c.events = append(c.events, cacheEvent{Seq: c.seq, Kind: kind, Prefix: shortHash(entry.hash), Tokens: entry.tokens})
+	if len(c.events) > maxCacheEvents {
 		c.events = c.events[1:]
 	}
 }
 
-// bytesPerToken is the usual rough measure.
+// bytesPerToken is a common approximation of the mean token length.
 const bytesPerToken = 4
 
+// tokens returns the approximate number of tokens of a text.
 func tokens(text string) int { return len(text)/bytesPerToken + 1 }
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,7 +1,7 @@
-// Package standin plays the systems that hingewinch meets: the platform, model
-// engines and plain services. It is used by tests and by the demo, is no part
-// of the product, and is kept small: faults that can be switched on, and no
-// simulator.
+// Package standin has fakes of the systems that hingewinch interacts with: the
+// platform, model engines and plain services. Tests and the demo use it; it is not part
+// of the product. It is deliberately small: it injects faults on demand, but does not
+// simulate the real systems in detail.
 //
 // # Usage
 //
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -1,5 +1,5 @@
-// This file plays a model engine. Its answers are a function of the request, so
-// that a caller can check that it got the whole of its own.
+// This file implements a fake model engine. Its completions are a function of the request, so
+// that a caller can check that it received its own completion in full.
 
 package standin
 
@@ -17,62 +17,62 @@
 	"hingewinch.org/hingewinch/protocol"
 )
 
-// EngineOptions are the settings of an engine.
+// EngineOptions configures an engine.
 type EngineOptions struct {
 	ID          string
 	Incarnation uint64
 	CacheTokens int
-	TokenTime   time.Duration // between tokens
-	PrefillTime time.Duration // for each 1000 tokens that are not cached
+	TokenTime   time.Duration // time between tokens
+	PrefillTime time.Duration // time per 1000 prompt tokens that are not cached
 	AnswerWords int
-	ReportLag   time.Duration // how old the load is that is reported
+	ReportLag   time.Duration // maximum age of the reported load
 }
 
-// Faults can be switched on while an engine runs.
+// Faults are the faults of an engine. They can be changed while it runs.
 type Faults struct {
-	Refuse      bool          `json:"refuse"`       // 503 that says not-run
-	Leaving     bool          `json:"leaving"`      // reports leaving, takes what comes
-	BreakAfter  int           `json:"break_after"`  // breaks the connection after so many events
-	EndAfter    int           `json:"end_after"`    // ends the body properly, without terminator
-	Stall       time.Duration `json:"stall"`        // before the first event
+	Refuse      bool          `json:"refuse"`       // responds with 503 and the outcome not-run
+	Leaving     bool          `json:"leaving"`      // reports the state leaving, but still accepts requests
+	BreakAfter  int           `json:"break_after"`  // breaks the connection after this many events
+	EndAfter    int           `json:"end_after"`    // ends the body normally after this many events, without the final event
+	Stall       time.Duration `json:"stall"`        // delay before the first event
 	Repeat      bool          `json:"repeat"`       // sends each event twice
-	Skip        int           `json:"skip"`         // leaves the event of that number out, once
-	Forget      bool          `json:"forget"`       // can't resume
-	Foreign     bool          `json:"foreign"`      // a resume returns another stream's id
-	Unnumbered  bool          `json:"unnumbered"`   // numbers no events
-	ResetBefore bool          `json:"reset_before"` // breaks the connection before an answer
+	Skip        int           `json:"skip"`         // omits the event with this number, once
+	Forget      bool          `json:"forget"`       // does not find any stream on resume
+	Foreign     bool          `json:"foreign"`      // responds to a resume with a different stream id
+	Unnumbered  bool          `json:"unnumbered"`   // sends events without ids
+	ResetBefore bool          `json:"reset_before"` // breaks the connection before any response
 }
 
-// Engine is an http.Handler.
+// Engine is a fake model engine. It implements http.Handler.
 type Engine struct {
-	o       EngineOptions
+	options EngineOptions
 	faults  atomic.Pointer[Faults]
 	mux     *http.ServeMux
-	running atomic.Int64
+	running atomic.Int64 // requests in progress
 
-	mu       sync.Mutex
-	cache    *prefixCache
-	streams  map[string]*engineStream
-	nextID   int
-	stateSeq uint64
-	changed  chan struct{}
-	reported int64
-	reportAt time.Time
-	fence    uint64
-	orders   []string
-	skipped  bool
+	mu         sync.Mutex
+	cache      *prefixCache
+	streams    map[string]*engineStream
+	nextID     int
+	stateSeq   uint64
+	changed    chan struct{} // closed when stateSeq increases
+	reported   int64         // the load that was last sampled
+	reportedAt time.Time     // when it was sampled
+	fence      uint64        // of the last accepted order
+	orders     []string
+	skipped    bool // whether Faults.Skip has taken effect
 
-	Requests  atomic.Int64
-	Cancelled atomic.Int64
+	Requests  atomic.Int64 // accepted chat requests
+	Cancelled atomic.Int64 // streams whose caller disconnected
 }
 
-// Defaults of an engine.
+// Defaults for EngineOptions.
 const (
 	defaultCacheTokens = 200_000
 	defaultWords       = 12
 )
 
-// NewEngine returns an engine.
+// NewEngine returns an engine without faults.
 func NewEngine(o EngineOptions) *Engine {
 	if o.CacheTokens == 0 {
 		o.CacheTokens = defaultCacheTokens
@@ -83,7 +83,7 @@
 	if o.Incarnation == 0 {
 		o.Incarnation = 1
 	}
-	e := &Engine{o: o, cache: newPrefixCache(o.CacheTokens), streams: make(map[string]*engineStream), changed: make(chan struct{}), stateSeq: 1}
+	e := &Engine{options: o, cache: newPrefixCache(o.CacheTokens), streams: make(map[string]*engineStream), changed: make(chan struct{}), stateSeq: 1}
 	e.faults.Store(&Faults{})
 	e.mux = http.NewServeMux()
 	e.mux.HandleFunc("POST "+protocol.PathChat, e.chat)
@@ -97,24 +97,26 @@
 	return e
 }
 
-// SetFaults switches faults on, and all others off.
+// SetFaults replaces the active faults.
 func (e *Engine) SetFaults(f Faults) {
 	e.faults.Store(&f)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.skipped = false
-	e.bump()
+	e.advanceState()
 }
 
-func (e *Engine) bump() {
+// advanceState increments the state's sequence number and wakes waiting readers. The caller must hold e.mu.
+func (e *Engine) advanceState() {
 	e.stateSeq++
 	close(e.changed)
 	e.changed = make(chan struct{})
 }
 
-// ServeHTTP serves one request.
+// ServeHTTP implements http.Handler.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.mux.ServeHTTP(w, r) }
 
+// setFaults sets the faults from the JSON body of a request.
 func (e *Engine) setFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
@@ -124,6 +126,7 @@
 	e.SetFaults(f)
 }
 
+// chatBody is the body of a chat request.
 type chatBody struct {
 	Model    string `json:"model"`
 	Stream   bool   `json:"stream"`
@@ -133,6 +136,7 @@
 	} `json:"messages"`
 }
 
+// turns returns the messages as text, with their roles.
 func (b *chatBody) turns() []string {
 	out := make([]string, len(b.Messages))
 	for i, m := range b.Messages {
@@ -141,8 +145,8 @@
 	return out
 }
 
-// Answer returns the words of the answer to a chat whose last message has the
-// given content, as JSON.
+// Answer returns the words of the completion of a chat. lastContent is the content of
+// the last message, as JSON.
 func Answer(lastContent string, words int) []string {
 	h := fnv.New64a()
 	h.Write([]byte(lastContent))
@@ -154,8 +158,8 @@
 }
 
 func (e *Engine) chat(w http.ResponseWriter, r *http.Request) {
-	f := *e.faults.Load()
-	if f.Refuse {
+	faults := *e.faults.Load()
+	if faults.Refuse {
 		w.Header().Set(protocol.HeaderOutcome, protocol.OutcomeNotRun)
 		w.Header().Set(protocol.HeaderRetryAfter, "1")
 		http.Error(w, "refused", http.StatusServiceUnavailable)
@@ -169,56 +173,60 @@
 	e.Requests.Add(1)
 	e.running.Add(1)
 	defer e.running.Add(-1)
-	if f.ResetBefore {
+	if faults.ResetBefore {
 		panic(http.ErrAbortHandler)
 	}
-	words := Answer(string(body.Messages[len(body.Messages)-1].Content), e.o.AnswerWords)
+	words := Answer(string(body.Messages[len(body.Messages)-1].Content), e.options.AnswerWords)
 	usage := e.prefill(r, &body, strings.Join(words, ""))
 	if !body.Stream {
-		e.whole(w, &body, words, usage)
+		e.writeCompletion(w, &body, words, usage)
 		return
 	}
 	id, s := e.newStream()
 	w.Header().Set(protocol.HeaderStreamID, id)
 	w.Header().Set("Content-Type", "text/event-stream")
 	go e.generate(s, &body, words, usage)
-	pause(r, f.Stall)
-	e.send(w, r, s, 0, f)
+	pause(r, faults.Stall)
+	e.sendEvents(w, r, s, 0, faults)
 }
 
-// usage counts the tokens of a request.
+// usage is the number of tokens of a request.
 type usage struct {
-	Prompt  int          `json:"prompt_tokens"`
-	Answer  int          `json:"completion_tokens"`
-	Total   int          `json:"total_tokens"`
-	Details usageDetails `json:"prompt_tokens_details"`
+	Prompt     int          `json:"prompt_tokens"`
+	Completion int          `json:"completion_tokens"`
+	Total      int          `json:"total_tokens"`
+	Details    usageDetails `json:"prompt_tokens_details"`
 }
 
+// usageDetails has the number of prompt tokens that were cached.
 type usageDetails struct {
 	Cached int `json:"cached_tokens"`
 }
 
-func (e *Engine) prefill(r *http.Request, body *chatBody, answer string) usage {
+// prefill updates the cache with the prompt and its completion, and waits for the time that the tokens that
+// were not cached take.
+func (e *Engine) prefill(r *http.Request, body *chatBody, completion string) usage {
 	turns := body.turns()
-	answerJSON, _ := json.Marshal(answer)
-	after := append(append([]string(nil), turns...), "assistant:"+string(answerJSON))
-	hashes := chain(body.Model, after)
-	u := usage{Answer: tokens(answer)}
+	completionJSON, _ := json.Marshal(completion)
+	after := append(append([]string(nil), turns...), "assistant:"+string(completionJSON))
+	hashes := hashPrefixes(body.Model, after)
+	u := usage{Completion: tokens(completion)}
 	e.mu.Lock()
-	n := e.cache.hit(hashes[:len(turns)])
+	cachedTurns := e.cache.lookup(hashes[:len(turns)])
 	e.cache.store(hashes, after)
 	e.mu.Unlock()
 	for i, t := range turns {
 		u.Prompt += tokens(t)
-		if i < n {
+		if i < cachedTurns {
 			u.Details.Cached += tokens(t)
 		}
 	}
-	u.Total = u.Prompt + u.Answer
-	pause(r, e.o.PrefillTime*time.Duration(u.Prompt-u.Details.Cached)/1000)
+	u.Total = u.Prompt + u.Completion
+	pause(r, e.options.PrefillTime*time.Duration(u.Prompt-u.Details.Cached)/1000)
 	return u
 }
 
+// pause waits for a duration, or until the request is canceled.
 func pause(r *http.Request, d time.Duration) {
 	if d <= 0 {
 		return
@@ -231,13 +239,15 @@
 	}
 }
 
-func (e *Engine) whole(w http.ResponseWriter, body *chatBody, words []string, u usage) {
-	time.Sleep(e.o.TokenTime * time.Duration(len(words)))
+// writeCompletion writes a response that is not streamed.
+func (e *Engine) writeCompletion(w http.ResponseWriter, body *chatBody, words []string, u usage) {
+	time.Sleep(e.options.TokenTime * time.Duration(len(words)))
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(map[string]any{
-		"id": "chatcmpl-" + e.o.ID, "object": "chat.completion", "model": body.Model, "usage": u,
+		"id": "chatcmpl-" + e.options.ID, "object": "chat.completion", "model": body.Model, "usage": u,
 		"choices": []any{map[string]any{"index": 0, "finish_reason": "stop", "message": map[string]any{"role": "assistant", "content": strings.Join(words, "")}}},
 	})
 }
 
-func hexOf(h prefixHash) string { return hex.EncodeToString(h[:8]) }
+// shortHash returns the first 8 bytes of a hash in hexadecimal.
+func shortHash(h prefixHash) string { return hex.EncodeToString(h[:8]) }
--- a/internal/standin/engine_stream.go
+++ b/internal/standin/engine_stream.go
@@ -1,5 +1,5 @@
-// This file plays an engine's streams: events that are kept, so that a stream can be
-// resumed, and the faults of sending them.
+// This file implements the streams of a fake engine. It keeps the events of each stream, so that the stream can be
+// resumed, and injects faults into sending them.
 
 package standin
 
@@ -14,66 +14,71 @@
 	"hingewinch.org/hingewinch/protocol"
 )
 
-// engineStream keeps the events of an answer, so that it can be resumed.
+// engineStream keeps the events of a streamed response, so that it can be resumed.
 type engineStream struct {
-	mu     sync.Mutex
-	events [][]byte
-	whole  bool
-	grown  chan struct{}
+	mu       sync.Mutex
+	events   [][]byte
+	complete bool
+	added    chan struct{} // closed when an event is added
 }
 
+// newStream registers a stream and returns its id.
 func (e *Engine) newStream() (string, *engineStream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.nextID++
-	id := e.o.ID + "-" + strconv.Itoa(e.nextID)
-	s := &engineStream{grown: make(chan struct{})}
+	id := e.options.ID + "-" + strconv.Itoa(e.nextID)
+	s := &engineStream{added: make(chan struct{})}
 	e.streams[id] = s
 	return id, s
 }
 
-func (s *engineStream) add(data []byte, whole bool) {
+// add appends an event and wakes waiting readers. last is true for the final event.
+func (s *engineStream) add(data []byte, last bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events = append(s.events, data)
-	s.whole = whole
-	close(s.grown)
-	s.grown = make(chan struct{})
+	s.complete = last
+	close(s.added)
+	s.added = make(chan struct{})
 }
 
-func (s *engineStream) at(i int) (data []byte, over bool, grown chan struct{}) {
+// eventAt returns the event at an index. If there is none, end tells whether the stream is complete, and
+// added is closed when another event is added.
+func (s *engineStream) eventAt(i int) (data []byte, end bool, added chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if i < len(s.events) {
 		return s.events[i], false, nil
 	}
-	return nil, s.whole, s.grown
+	return nil, s.complete, s.added
 }
 
+// generate adds the events of a completion to a stream, one word per TokenTime.
 func (e *Engine) generate(s *engineStream, body *chatBody, words []string, u usage) {
 	for _, word := range words {
-		time.Sleep(e.o.TokenTime)
+		time.Sleep(e.options.TokenTime)
 		data, _ := json.Marshal(map[string]any{
-			"id": "chatcmpl-" + e.o.ID, "object": "chat.completion.chunk", "model": body.Model,
+			"id": "chatcmpl-" + e.options.ID, "object": "chat.completion.chunk", "model": body.Model,
 			"choices": []any{map[string]any{"index": 0, "delta": map[string]any{"content": word}}},
 		})
 		s.add(data, false)
 	}
-	data, _ := json.Marshal(map[string]any{"id": "chatcmpl-" + e.o.ID, "object": "chat.completion.chunk", "model": body.Model, "choices": []any{}, "usage": u})
+	data, _ := json.Marshal(map[string]any{"id": "chatcmpl-" + e.options.ID, "object": "chat.completion.chunk", "model": body.Model, "choices": []any{}, "usage": u})
 	s.add(data, false)
 	s.add([]byte(protocol.StreamEnd), true)
 }
 
-// send writes the events of a stream after a position, with the faults.
-func (e *Engine) send(w http.ResponseWriter, r *http.Request, s *engineStream, after int, f Faults) {
+// sendEvents writes the events of a stream after the one with the given number, and injects faults.
+func (e *Engine) sendEvents(w http.ResponseWriter, r *http.Request, s *engineStream, after int, faults Faults) {
 	for i := after; ; {
-		data, over, grown := s.at(i)
-		if over {
+		data, end, added := s.eventAt(i)
+		if end {
 			return
 		}
 		if data == nil {
 			select {
-			case <-grown:
+			case <-added:
 				continue
 			case <-r.Context().Done():
 				e.Cancelled.Add(1)
@@ -81,27 +86,27 @@
 			}
 		}
 		i++
-		if e.skip(i, f) {
+		if e.skip(i, faults) {
 			continue
 		}
-		if !e.sendEvent(w, formatEvent(i, data, f), f) {
+		if !e.sendEvent(w, formatEvent(i, data, faults), faults) {
 			return
 		}
 		sent := i - after
-		if f.BreakAfter > 0 && sent >= f.BreakAfter {
+		if faults.BreakAfter > 0 && sent >= faults.BreakAfter {
 			panic(http.ErrAbortHandler)
 		}
-		if f.EndAfter > 0 && sent >= f.EndAfter {
+		if faults.EndAfter > 0 && sent >= faults.EndAfter {
 			return
 		}
 	}
 }
 
-// sendEvent writes one event, twice if the fault is on. It returns false if the
-// caller is gone.
-func (e *Engine) sendEvent(w http.ResponseWriter, event []byte, f Faults) bool {
+// sendEvent writes an event, twice if Faults.Repeat is set. It returns false if the
+// caller has disconnected.
+func (e *Engine) sendEvent(w http.ResponseWriter, event []byte, faults Faults) bool {
 	n := 1
-	if f.Repeat {
+	if faults.Repeat {
 		n = 2
 	}
 	for range n {
@@ -110,42 +115,45 @@
 			return false
 		}
 	}
-	_ = http.NewResponseController(w).Flush() // a caller who is gone shows at the next write
+	_ = http.NewResponseController(w).Flush() // a disconnected caller is detected at the next write
 	return true
 }
 
-func (e *Engine) skip(seq int, f Faults) bool {
+// skip reports whether an event is to be omitted. It does so once for Faults.Skip.
+func (e *Engine) skip(seq int, faults Faults) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if f.Skip != seq || e.skipped {
+	if faults.Skip != seq || e.skipped {
 		return false
 	}
 	e.skipped = true
 	return true
 }
 
-func formatEvent(seq int, data []byte, f Faults) []byte {
-	if f.Unnumbered {
+// formatEvent returns an event in the server-sent events format.
+func formatEvent(seq int, data []byte, faults Faults) []byte {
+	if faults.Unnumbered {
 		return fmt.Appendf(nil, "data: %s\n\n", data)
 	}
 	return fmt.Appendf(nil, "id: %d\ndata: %s\n\n", seq, data)
 }
 
+// resume sends the events of an existing stream after the requested number.
 func (e *Engine) resume(w http.ResponseWriter, r *http.Request) {
-	f := *e.faults.Load()
+	faults := *e.faults.Load()
 	id := r.PathValue("id")
 	e.mu.Lock()
 	s := e.streams[id]
 	e.mu.Unlock()
-	if s == nil || f.Forget {
+	if s == nil || faults.Forget {
 		http.NotFound(w, r)
 		return
 	}
-	if f.Foreign {
+	if faults.Foreign {
 		id += "-other"
 	}
 	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
 	w.Header().Set(protocol.HeaderStreamID, id)
 	w.Header().Set("Content-Type", "text/event-stream")
-	e.send(w, r, s, after, f)
+	e.sendEvents(w, r, s, after, faults)
 }
--- a/internal/standin/members.go
+++ b/internal/standin/members.go
@@ -1,6 +1,5 @@
-// This file writes a member list in the form that the platform publishes. The form is
-// written down a second time on purpose: a stand-in that shared the product's would
-// agree with it on a wrong one.
+// This file encodes a member list in the format that the platform publishes. The format is deliberately
+// defined a second time: a fake that used the product's definition would not reveal errors in it.
 
 package standin
 
@@ -10,11 +9,13 @@
 	"hingewinch.org/hingewinch/state"
 )
 
+// listDocument is the published member list.
 type listDocument struct {
 	Revision uint64           `json:"revision"`
 	Members  []memberDocument `json:"members"`
 }
 
+// memberDocument is an entry of the published member list.
 type memberDocument struct {
 	ID          string `json:"id"`
 	Kind        string `json:"kind"`
@@ -25,7 +26,7 @@
 	State       string `json:"state"`
 }
 
-// FormatMemberList writes a list as the platform does.
+// FormatMemberList encodes a member list as the platform does.
 func FormatMemberList(rev state.ListRevision, members []state.Member) []byte {
 	doc := listDocument{Revision: uint64(rev), Members: make([]memberDocument, len(members))}
 	for i, m := range members {
@@ -36,7 +37,7 @@
 	}
 	text, err := json.Marshal(doc)
 	if err != nil {
-		panic("member list of strings and numbers can't be encoded: " + err.Error())
+		panic("encode member list of strings and numbers: " + err.Error())
 	}
 	return text
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -1,4 +1,4 @@
-// This file plays the platform: two published documents with long polling.
+// This file implements a fake platform, which publishes two documents with long polling.
 
 package standin
 
@@ -13,13 +13,13 @@
 	"hingewinch.org/hingewinch/protocol"
 )
 
-// Platform publishes a configuration and a member list.
+// Platform is a fake platform that publishes a configuration and a member list.
 type Platform struct {
-	mu      sync.Mutex
-	texts   map[string][]byte
-	changed chan struct{}
-	away    bool
-	calls   int
+	mu          sync.Mutex
+	texts       map[string][]byte // documents by path
+	changed     chan struct{}     // closed on any change
+	unavailable bool
+	calls       int
 }
 
 // NewPlatform returns a platform that publishes nothing yet.
@@ -36,34 +36,37 @@
 }
 
 // SetAway makes the platform refuse all calls, or serve them again.
-func (p *Platform) SetAway(away bool) {
+func (p *Platform) SetAway(unavailable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.away = away
+	p.unavailable = unavailable
 	p.wake()
 }
 
+// wake wakes waiting readers. The caller must hold p.mu.
 func (p *Platform) wake() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// Calls returns how many calls there were, a waiting one counted once.
+// Calls returns the number of calls so far. A long poll counts as one call.
 func (p *Platform) Calls() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls
 }
 
-func (p *Platform) get(path string) (text []byte, etag string, away bool, changed chan struct{}) {
+// get returns the document of a path with its ETag, whether the platform is unavailable, and a channel that is
+// closed on the next change.
+func (p *Platform) get(path string) (text []byte, etag string, unavailable bool, changed chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	text = p.texts[path]
 	sum := sha256.Sum256(text)
-	return text, hex.EncodeToString(sum[:]), p.away, p.changed
+	return text, hex.EncodeToString(sum[:]), p.unavailable, p.changed
 }
 
-// ServeHTTP serves the documents.
+// ServeHTTP serves the documents. It waits up to wait_ms for a version that differs from If-None-Match.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != protocol.PathConfig && r.URL.Path != protocol.PathMembers {
 		http.NotFound(w, r)
@@ -75,9 +78,9 @@
 	deadline := time.NewTimer(milliseconds(r, "wait_ms"))
 	defer deadline.Stop()
 	for {
-		text, etag, away, changed := p.get(r.URL.Path)
+		text, etag, unavailable, changed := p.get(r.URL.Path)
 		switch {
-		case away:
+		case unavailable:
 			http.Error(w, "away", http.StatusServiceUnavailable)
 			return
 		case text != nil && etag != r.Header.Get("If-None-Match"):
@@ -96,6 +99,7 @@
 	}
 }
 
+// milliseconds returns a query parameter as a duration in milliseconds.
 func milliseconds(r *http.Request, name string) time.Duration {
 	n, _ := strconv.Atoi(r.URL.Query().Get(name))
 	return time.Duration(n) * time.Millisecond
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -1,4 +1,4 @@
-// This file plays a plain service that counts its runs for each key.
+// This file implements a fake plain service, which counts how often it ran each idempotency key.
 
 package standin
 
@@ -14,33 +14,33 @@
 	"hingewinch.org/hingewinch/protocol"
 )
 
-// ServiceFaults can be switched on while a service runs.
+// ServiceFaults are the faults of a service. They can be changed while it runs.
 type ServiceFaults struct {
-	Delay       time.Duration `json:"delay"`        // before an answer
-	BreakBefore bool          `json:"break_before"` // breaks before it runs the request
-	BreakAfter  bool          `json:"break_after"`  // runs the request and breaks
+	Delay       time.Duration `json:"delay"`        // delay between running the request and the response
+	BreakBefore bool          `json:"break_before"` // breaks the connection before the request runs
+	BreakAfter  bool          `json:"break_after"`  // runs the request, then breaks the connection
 	Refuse      bool          `json:"refuse"`
 	Leaving     bool          `json:"leaving"`
 }
 
-// Service is an http.Handler.
+// Service is a fake plain service. It implements http.Handler.
 type Service struct {
 	faults atomic.Pointer[ServiceFaults]
 	mu     sync.Mutex
-	runs   map[string]int
+	runs   map[string]int // by idempotency key
 }
 
-// NewService returns a service.
+// NewService returns a service without faults.
 func NewService() *Service {
 	s := &Service{runs: make(map[string]int)}
 	s.faults.Store(&ServiceFaults{})
 	return s
 }
 
-// SetFaults switches faults on, and all others off.
+// SetFaults replaces the active faults.
 func (s *Service) SetFaults(f ServiceFaults) { s.faults.Store(&f) }
 
-// Runs returns how often each key ran.
+// Runs returns how often the request of each idempotency key ran.
 func (s *Service) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,7 +51,7 @@
 	return out
 }
 
-// ServeHTTP serves one request.
+// ServeHTTP implements http.Handler.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case protocol.PathState:
@@ -72,23 +72,25 @@
 	s.run(w, r)
 }
 
+// state reports the service's state after wait_ms.
 func (s *Service) state(w http.ResponseWriter, r *http.Request) {
 	pause(r, milliseconds(r, "wait_ms"))
-	st := "live"
+	state := "live"
 	if s.faults.Load().Leaving {
-		st = "leaving"
+		state = "leaving"
 	}
-	_ = json.NewEncoder(w).Encode(protocol.UpstreamState{Incarnation: 1, State: st, Seq: 1})
+	_ = json.NewEncoder(w).Encode(protocol.UpstreamState{Incarnation: 1, State: state, Seq: 1})
 }
 
+// run counts the request and responds with its method, path, key and body.
 func (s *Service) run(w http.ResponseWriter, r *http.Request) {
-	f := *s.faults.Load()
-	if f.Refuse {
+	faults := *s.faults.Load()
+	if faults.Refuse {
 		w.Header().Set(protocol.HeaderOutcome, protocol.OutcomeNotRun)
 		http.Error(w, "refused", http.StatusServiceUnavailable)
 		return
 	}
-	if f.BreakBefore {
+	if faults.BreakBefore {
 		panic(http.ErrAbortHandler)
 	}
 	body, err := io.ReadAll(r.Body)
@@ -100,8 +102,8 @@
 	s.runs[key]++
 	n := s.runs[key]
 	s.mu.Unlock()
-	time.Sleep(f.Delay)
-	if f.BreakAfter {
+	time.Sleep(faults.Delay)
+	if faults.BreakAfter {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("X-Served-Path", r.URL.RequestURI())
