--- a/cmd/hingestandin/chats.go
+++ b/cmd/hingestandin/chats.go
@@ -75,7 +75,7 @@
 func (c *loadCommand) turn(t *tally, messages []message, i int) (completion, bool) {
 	body, _ := json.Marshal(map[string]any{"model": c.Model, "stream": true, "messages": messages})
 	last, _ := json.Marshal(messages[len(messages)-1].Content)
-	want := strings.Join(standin.Answer(string(last), c.Words), "")
+	want := strings.Join(standin.Completion(string(last), c.Words), "")
 	for end := time.Now().Add(c.Patience); time.Now().Before(end); {
 		resp, retryAfter, err := c.sendChat(body)
 		switch {
--- a/cmd/hingestandin/main.go
+++ b/cmd/hingestandin/main.go
@@ -111,7 +111,7 @@
 // Execute serves a fake engine.
 func (c *engineCommand) Execute([]string) error {
 	return c.serve(standin.NewEngine(standin.EngineOptions{
-		ID: c.ID, TokenTime: c.TokenTime, AnswerWords: c.Words, ReportLag: c.ReportLag,
+		ID: c.ID, TokenInterval: c.TokenTime, CompletionWords: c.Words, ReportLag: c.ReportLag,
 		Incarnation: 1, PrefillTime: time.Millisecond,
 	}))
 }
--- a/daemon/openai/daemon_test.go
+++ b/daemon/openai/daemon_test.go
@@ -91,7 +91,7 @@
 }
 
 func newFleet(n int, tokenTime time.Duration, change func(*openai.Settings)) *fleet {
-	f := &fleet{platform: standin.NewPlatform(), engine: standin.NewEngine(standin.EngineOptions{ID: "e0", TokenTime: tokenTime, AnswerWords: 20})}
+	f := &fleet{platform: standin.NewPlatform(), engine: standin.NewEngine(standin.EngineOptions{ID: "e0", TokenInterval: tokenTime, CompletionWords: 20})}
 	platform := serveHandler(f.platform)
 	f.members = append(f.members, state.Member{ID: "e0", Kind: state.KindEngine, Group: "g", Domain: "a", Address: serveHandler(f.engine), Incarnation: 1, State: state.Live})
 	for i := range n {
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -19,13 +19,13 @@
 
 // EngineOptions configures an engine.
 type EngineOptions struct {
-	ID          string
-	Incarnation uint64
-	CacheTokens int
-	TokenTime   time.Duration // time between tokens
-	PrefillTime time.Duration // time per 1000 prompt tokens that are not cached
-	AnswerWords int
-	ReportLag   time.Duration // maximum age of the reported load
+	ID              string
+	Incarnation     uint64
+	CacheTokens     int
+	TokenInterval   time.Duration // time between tokens
+	PrefillTime     time.Duration // time per 1000 prompt tokens that are not cached
+	CompletionWords int
+	ReportLag       time.Duration // maximum age of the reported load
 }
 
 // Faults are the faults of an engine. They can be changed while it runs.
@@ -77,8 +77,8 @@
 	if o.CacheTokens == 0 {
 		o.CacheTokens = defaultCacheTokens
 	}
-	if o.AnswerWords == 0 {
-		o.AnswerWords = defaultWords
+	if o.CompletionWords == 0 {
+		o.CompletionWords = defaultWords
 	}
 	if o.Incarnation == 0 {
 		o.Incarnation = 1
@@ -145,9 +145,9 @@
 	return out
 }
 
-// Answer returns the words of the completion of a chat. lastContent is the content of
+// Completion returns the words of the completion of a chat. lastContent is the content of
 // the last message, as JSON.
-func Answer(lastContent string, words int) []string {
+func Completion(lastContent string, words int) []string {
 	h := fnv.New64a()
 	h.Write([]byte(lastContent))
 	out := make([]string, words)
@@ -176,7 +176,7 @@
 	if faults.ResetBefore {
 		panic(http.ErrAbortHandler)
 	}
-	words := Answer(string(body.Messages[len(body.Messages)-1].Content), e.options.AnswerWords)
+	words := Completion(string(body.Messages[len(body.Messages)-1].Content), e.options.CompletionWords)
 	usage := e.prefill(r, &body, strings.Join(words, ""))
 	if !body.Stream {
 		e.writeCompletion(w, &body, words, usage)
@@ -241,7 +241,7 @@
 
 // writeCompletion writes a response that is not streamed.
 func (e *Engine) writeCompletion(w http.ResponseWriter, body *chatBody, words []string, u usage) {
-	time.Sleep(e.options.TokenTime * time.Duration(len(words)))
+	time.Sleep(e.options.TokenInterval * time.Duration(len(words)))
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(map[string]any{
 		"id": "chatcmpl-" + e.options.ID, "object": "chat.completion", "model": body.Model, "usage": u,
--- a/internal/standin/engine_stream.go
+++ b/internal/standin/engine_stream.go
@@ -54,10 +54,10 @@
 	return nil, s.complete, s.added
 }
 
-// generate adds the events of a completion to a stream, one word per TokenTime.
+// generate adds the events of a completion to a stream, one word per TokenInterval.
 func (e *Engine) generate(s *engineStream, body *chatBody, words []string, u usage) {
 	for _, word := range words {
-		time.Sleep(e.options.TokenTime)
+		time.Sleep(e.options.TokenInterval)
 		data, _ := json.Marshal(map[string]any{
 			"id": "chatcmpl-" + e.options.ID, "object": "chat.completion.chunk", "model": body.Model,
 			"choices": []any{map[string]any{"index": 0, "delta": map[string]any{"content": word}}},
--- a/transport/gateway/gateway_test.go
+++ b/transport/gateway/gateway_test.go
@@ -92,7 +92,7 @@
 	})
 	It("does not lose a stream that lasts longer than the limit", func() {
 		f := newFixture(GinkgoTB(), fixtureOptions{
-			engine: standin.EngineOptions{TokenTime: 20 * time.Millisecond},
+			engine: standin.EngineOptions{TokenInterval: 20 * time.Millisecond},
 			limits: func(l *gateway.Limits) { l.CallerStall = 50 * time.Millisecond },
 		})
 		Expect(f.chat(true, "x").whole).To(BeTrue())
--- a/transport/gateway/relay_test.go
+++ b/transport/gateway/relay_test.go
@@ -56,7 +56,7 @@
 	)
 
 	It("belongs to its caller, with thousands interleaved under changing faults", func() {
-		f := newFixture(GinkgoTB(), fixtureOptions{engines: 4, engine: standin.EngineOptions{TokenTime: 200 * time.Microsecond}})
+		f := newFixture(GinkgoTB(), fixtureOptions{engines: 4, engine: standin.EngineOptions{TokenInterval: 200 * time.Microsecond}})
 		stop := make(chan struct{})
 		var wg sync.WaitGroup
 		rng := rand.New(rand.NewPCG(1, 2))
@@ -100,7 +100,7 @@
 	})
 
 	It("is cancelled at the engine when its caller goes away", func() {
-		f := newFixture(GinkgoTB(), fixtureOptions{engine: standin.EngineOptions{TokenTime: 20 * time.Millisecond, AnswerWords: 10_000}})
+		f := newFixture(GinkgoTB(), fixtureOptions{engine: standin.EngineOptions{TokenInterval: 20 * time.Millisecond, CompletionWords: 10_000}})
 		ctx, cancel := context.WithCancel(context.Background())
 		resp, err := f.do(ctx, http.MethodPost, protocol.PathChat, chatJSON(true, "long"), nil)
 		Expect(err).NotTo(HaveOccurred())
--- a/transport/gateway/suite_test.go
+++ b/transport/gateway/suite_test.go
@@ -118,7 +118,7 @@
 // wantAnswer is what an engine answers to a content.
 func wantAnswer(content string, words int) string {
 	raw, _ := json.Marshal(content)
-	return strings.Join(standin.Answer(string(raw), words), "")
+	return strings.Join(standin.Completion(string(raw), words), "")
 }
 
 // do sends a request with the key of workspace w.
