--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -7,5 +7,5 @@
 //
 //	e := standin.NewEngine(standin.EngineOptions{ID: "e1"})
 //	srv := httptest.NewServer(e)
-//	e.SetFaults(standin.Faults{BreakAfter: 3})
+//	e.SetFaults(standin.Faults{AbortAfter: 3})
 package standin
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -30,17 +30,17 @@
 
 // Faults are the faults of an engine. They can be changed while it runs.
 type Faults struct {
-	Refuse      bool          `json:"refuse"`       // responds with 503 and the outcome not-run
-	Leaving     bool          `json:"leaving"`      // reports the state leaving, but still accepts requests
-	BreakAfter  int           `json:"break_after"`  // breaks the connection after this many events
-	EndAfter    int           `json:"end_after"`    // ends the body normally after this many events, without the final event
-	Stall       time.Duration `json:"stall"`        // delay before the first event
-	Repeat      bool          `json:"repeat"`       // sends each event twice
-	Skip        int           `json:"skip"`         // omits the event with this number, once
-	Forget      bool          `json:"forget"`       // does not find any stream on resume
-	Foreign     bool          `json:"foreign"`      // responds to a resume with a different stream id
-	Unnumbered  bool          `json:"unnumbered"`   // sends events without ids
-	ResetBefore bool          `json:"reset_before"` // breaks the connection before any response
+	Refuse              bool          `json:"refuse"`       // responds with 503 and the outcome not-run
+	Leaving             bool          `json:"leaving"`      // reports the state leaving, but still accepts requests
+	AbortAfter          int           `json:"break_after"`  // breaks the connection after this many events
+	TruncateAfter       int           `json:"end_after"`    // ends the body normally after this many events, without the final event
+	Stall               time.Duration `json:"stall"`        // delay before the first event
+	DuplicateEvents     bool          `json:"repeat"`       // sends each event twice
+	SkipEvent           int           `json:"skip"`         // omits the event with this number, once
+	LoseStreams         bool          `json:"forget"`       // does not find any stream on resume
+	WrongStreamID       bool          `json:"foreign"`      // responds to a resume with a different stream id
+	OmitEventIDs        bool          `json:"unnumbered"`   // sends events without ids
+	AbortBeforeResponse bool          `json:"reset_before"` // breaks the connection before any response
 }
 
 // Engine is a fake model engine. It implements http.Handler.
@@ -60,7 +60,7 @@
 	reportedAt time.Time     // when it was sampled
 	fence      uint64        // of the last accepted order
 	orders     []string
-	skipped    bool // whether Faults.Skip has taken effect
+	skipped    bool // whether Faults.SkipEvent has taken effect
 
 	Requests  atomic.Int64 // accepted chat requests
 	Cancelled atomic.Int64 // streams whose caller disconnected
@@ -173,7 +173,7 @@
 	e.Requests.Add(1)
 	e.running.Add(1)
 	defer e.running.Add(-1)
-	if faults.ResetBefore {
+	if faults.AbortBeforeResponse {
 		panic(http.ErrAbortHandler)
 	}
 	words := Completion(string(body.Messages[len(body.Messages)-1].Content), e.options.CompletionWords)
--- a/internal/standin/engine_stream.go
+++ b/internal/standin/engine_stream.go
@@ -93,20 +93,20 @@
 			return
 		}
 		sent := i - after
-		if faults.BreakAfter > 0 && sent >= faults.BreakAfter {
+		if faults.AbortAfter > 0 && sent >= faults.AbortAfter {
 			panic(http.ErrAbortHandler)
 		}
-		if faults.EndAfter > 0 && sent >= faults.EndAfter {
+		if faults.TruncateAfter > 0 && sent >= faults.TruncateAfter {
 			return
 		}
 	}
 }
 
-// sendEvent writes an event, twice if Faults.Repeat is set. It returns false if the
+// sendEvent writes an event, twice if Faults.DuplicateEvents is set. It returns false if the
 // caller has disconnected.
 func (e *Engine) sendEvent(w http.ResponseWriter, event []byte, faults Faults) bool {
 	n := 1
-	if faults.Repeat {
+	if faults.DuplicateEvents {
 		n = 2
 	}
 	for range n {
@@ -119,11 +119,11 @@
 	return true
 }
 
-// skip reports whether an event is to be omitted. It does so once for Faults.Skip.
+// skip reports whether an event is to be omitted. It does so once for Faults.SkipEvent.
 func (e *Engine) skip(seq int, faults Faults) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if faults.Skip != seq || e.skipped {
+	if faults.SkipEvent != seq || e.skipped {
 		return false
 	}
 	e.skipped = true
@@ -132,7 +132,7 @@
 
 // formatEvent returns an event in the server-sent events format.
 func formatEvent(seq int, data []byte, faults Faults) []byte {
-	if faults.Unnumbered {
+	if faults.OmitEventIDs {
 		return fmt.Appendf(nil, "data: %s\n\n", data)
 	}
 	return fmt.Appendf(nil, "id: %d\ndata: %s\n\n", seq, data)
@@ -145,11 +145,11 @@
 	e.mu.Lock()
 	s := e.streams[id]
 	e.mu.Unlock()
-	if s == nil || faults.Forget {
+	if s == nil || faults.LoseStreams {
 		http.NotFound(w, r)
 		return
 	}
-	if faults.Foreign {
+	if faults.WrongStreamID {
 		id += "-other"
 	}
 	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -16,11 +16,11 @@
 
 // ServiceFaults are the faults of a service. They can be changed while it runs.
 type ServiceFaults struct {
-	Delay       time.Duration `json:"delay"`        // delay between running the request and the response
-	BreakBefore bool          `json:"break_before"` // breaks the connection before the request runs
-	BreakAfter  bool          `json:"break_after"`  // runs the request, then breaks the connection
-	Refuse      bool          `json:"refuse"`
-	Leaving     bool          `json:"leaving"`
+	Delay          time.Duration `json:"delay"`        // delay between running the request and the response
+	AbortBeforeRun bool          `json:"break_before"` // breaks the connection before the request runs
+	AbortAfterRun  bool          `json:"break_after"`  // runs the request, then breaks the connection
+	Refuse         bool          `json:"refuse"`
+	Leaving        bool          `json:"leaving"`
 }
 
 // Service is a fake plain service. It implements http.Handler.
@@ -90,7 +90,7 @@
 		http.Error(w, "refused", http.StatusServiceUnavailable)
 		return
 	}
-	if faults.BreakBefore {
+	if faults.AbortBeforeRun {
 		panic(http.ErrAbortHandler)
 	}
 	body, err := io.ReadAll(r.Body)
@@ -103,7 +103,7 @@
 	n := s.runs[key]
 	s.mu.Unlock()
 	time.Sleep(faults.Delay)
-	if faults.BreakAfter {
+	if faults.AbortAfterRun {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("X-Served-Path", r.URL.RequestURI())
--- a/transport/gateway/gateway_test.go
+++ b/transport/gateway/gateway_test.go
@@ -165,8 +165,8 @@
 		Expect(f.service.Runs()[""]).To(Equal(runs))
 	},
 		Entry("refused", standin.ServiceFaults{Refuse: true}, "not-run", 0),
-		Entry("broken after it ran", standin.ServiceFaults{BreakAfter: true}, "may-have-run", 1),
-		Entry("broken before it ran", standin.ServiceFaults{BreakBefore: true}, "may-have-run", 0),
+		Entry("broken after it ran", standin.ServiceFaults{AbortAfterRun: true}, "may-have-run", 1),
+		Entry("broken before it ran", standin.ServiceFaults{AbortBeforeRun: true}, "may-have-run", 0),
 		Entry("answered", standin.ServiceFaults{}, "", 1),
 	)
 })
@@ -269,7 +269,7 @@
 	})
 	It("is refused as may-have-run for good once its end is unknown", func() {
 		f := newOnceFleet(2)
-		f.service.SetFaults(standin.ServiceFaults{BreakAfter: true})
+		f.service.SetFaults(standin.ServiceFaults{AbortAfterRun: true})
 		ticket, _ := f.nodes[0].runner.Issue("w", "gate")
 		for i := range 4 {
 			Expect(refusalOf(f.run(i%2, ticket, "pass"))).To(BeAssignableToTypeOf(coordination.MayHaveRun{}))
--- a/transport/gateway/relay_test.go
+++ b/transport/gateway/relay_test.go
@@ -40,18 +40,18 @@
 		}
 	},
 		Entry("none", standin.Faults{}, true),
-		Entry("events repeated", standin.Faults{Repeat: true}, true),
-		Entry("an event lost", standin.Faults{Skip: 4}, true),
-		Entry("connection broken, stream resumed", standin.Faults{BreakAfter: 5}, true),
-		Entry("ended early, stream resumed", standin.Faults{EndAfter: 5}, true),
-		Entry("broken too often", standin.Faults{BreakAfter: 1}, false),
-		Entry("broken and forgotten", standin.Faults{BreakAfter: 5, Forget: true}, false),
-		Entry("ended early and forgotten", standin.Faults{EndAfter: 5, Forget: true}, false),
-		Entry("resumed as another stream", standin.Faults{BreakAfter: 5, Foreign: true}, false),
-		Entry("unnumbered and broken", standin.Faults{BreakAfter: 5, Unnumbered: true}, false),
-		Entry("unnumbered and ended early", standin.Faults{EndAfter: 5, Unnumbered: true}, false),
-		Entry("unnumbered and whole", standin.Faults{Unnumbered: true}, true),
-		Entry("broken before the answer", standin.Faults{ResetBefore: true}, false),
+		Entry("events repeated", standin.Faults{DuplicateEvents: true}, true),
+		Entry("an event lost", standin.Faults{SkipEvent: 4}, true),
+		Entry("connection broken, stream resumed", standin.Faults{AbortAfter: 5}, true),
+		Entry("ended early, stream resumed", standin.Faults{TruncateAfter: 5}, true),
+		Entry("broken too often", standin.Faults{AbortAfter: 1}, false),
+		Entry("broken and forgotten", standin.Faults{AbortAfter: 5, LoseStreams: true}, false),
+		Entry("ended early and forgotten", standin.Faults{TruncateAfter: 5, LoseStreams: true}, false),
+		Entry("resumed as another stream", standin.Faults{AbortAfter: 5, WrongStreamID: true}, false),
+		Entry("unnumbered and broken", standin.Faults{AbortAfter: 5, OmitEventIDs: true}, false),
+		Entry("unnumbered and ended early", standin.Faults{TruncateAfter: 5, OmitEventIDs: true}, false),
+		Entry("unnumbered and whole", standin.Faults{OmitEventIDs: true}, true),
+		Entry("broken before the answer", standin.Faults{AbortBeforeResponse: true}, false),
 		Entry("stalled for good", standin.Faults{Stall: time.Hour}, false),
 	)
 
@@ -68,7 +68,7 @@
 				case <-time.After(5 * time.Millisecond):
 				}
 				f.engines[i%4].SetFaults([]standin.Faults{
-					{Repeat: true}, {BreakAfter: 4}, {Skip: 3}, {EndAfter: 6}, {}, {BreakAfter: 2, Forget: true}, {Refuse: true},
+					{DuplicateEvents: true}, {AbortAfter: 4}, {SkipEvent: 3}, {TruncateAfter: 6}, {}, {AbortAfter: 2, LoseStreams: true}, {Refuse: true},
 				}[rng.IntN(7)])
 			}
 		})
