--- a/daemon/openai/daemon_test.go
+++ b/daemon/openai/daemon_test.go
@@ -168,7 +168,7 @@
 var _ = Describe("a planned stop", func() {
 	DescribeTable("cuts no request", func(stopped int, platformAway bool) {
 		f := newFleet(3, 30*time.Millisecond, nil)
-		f.platform.SetAway(platformAway)
+		f.platform.SetUnavailable(platformAway)
 		results := make(chan bool, 60)
 		var open atomic.Int64
 		for i := range 60 {
@@ -215,7 +215,7 @@
 		}
 		f.platform.Publish(protocol.PathConfig, []byte("version: 3\nmodels: nonsense\n"))
 		Consistently(func() string { return f.daemons[0].status().Config }, "300ms").Should(HavePrefix("2@"))
-		f.platform.SetAway(true)
+		f.platform.SetUnavailable(true)
 		f.daemons[0].stop()
 		Eventually(f.daemons[0].done, patience).Should(Receive(BeNil()))
 		// A daemon that starts with the platform away learns all from a peer.
@@ -267,7 +267,7 @@
 			Certificate: filepath.Join(dir, "fleet.pem"), Key: filepath.Join(dir, "fleet.key"), CA: filepath.Join(dir, "ca.pem"),
 		}
 		f := newFleet(2, 0, func(s *openai.Settings) { s.TLS.Peers = files })
-		f.platform.SetAway(true)
+		f.platform.SetUnavailable(true)
 		Eventually(func() int64 { return f.daemons[0].status().ListAgeMS }, patience).Should(BeNumerically(">=", 0))
 		_, err := tls.Dial("tcp", f.daemons[0].settings.Peer, &tls.Config{InsecureSkipVerify: true, MaxVersion: tls.VersionTLS12})
 		Expect(err).To(HaveOccurred())
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -35,8 +35,8 @@
 	p.wake()
 }
 
-// SetAway makes the platform refuse all calls, or serve them again.
-func (p *Platform) SetAway(unavailable bool) {
+// SetUnavailable makes the platform refuse all calls, or serve them again.
+func (p *Platform) SetUnavailable(unavailable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.unavailable = unavailable
