--- a/cmd/hingestandin/chats.go
+++ b/cmd/hingestandin/chats.go
@@ -46,7 +46,7 @@
 			return
 		}
 		t.mu.Lock()
-		t.work[resp.upstream]++
+		t.turns[resp.upstream]++
 		t.reusable += reusable
 		t.reused += min(resp.cached, reusable)
 		t.mu.Unlock()
--- a/cmd/hingestandin/load.go
+++ b/cmd/hingestandin/load.go
@@ -40,7 +40,7 @@
 	mismatched int            // responses with the wrong text
 	reusable   int            // prompt tokens that could have been cached
 	reused     int            // prompt tokens that were cached
-	work       map[string]int // chat turns by upstream
+	turns      map[string]int // chat turns by upstream
 	problems   map[string]int // number of errors by message
 }
 
@@ -52,7 +52,7 @@
 
 // Execute runs the load and prints a summary. It returns an error if any check failed.
 func (c *loadCommand) Execute([]string) error {
-	t := &tally{work: make(map[string]int), problems: make(map[string]int)}
+	t := &tally{turns: make(map[string]int), problems: make(map[string]int)}
 	slots := make(chan struct{}, c.Parallel)
 	var wg sync.WaitGroup
 	for i := range c.Chats {
@@ -82,7 +82,7 @@
 	}
 	reuse := float64(t.reused) / float64(max(t.reusable, 1))
 	fmt.Printf("demo: chats=%d answered=%d failed=%d cut=%d once_runs_max=%d reuse=%.2f skew=%.2f\n",
-		c.Chats, t.answered, t.failed, t.mismatched, runs, reuse, skew(t.work))
+		c.Chats, t.answered, t.failed, t.mismatched, runs, reuse, skew(t.turns))
 	if t.answered != c.Chats || t.failed > 0 || t.mismatched > 0 || runs != 1 {
 		return fmt.Errorf("load: at least one check failed; see the summary")
 	}
@@ -90,16 +90,16 @@
 }
 
 // skew returns the ratio of the largest number of turns of an engine to the mean over all engines that were used.
-func skew(work map[string]int) float64 {
+func skew(turns map[string]int) float64 {
 	sum, largest := 0, 0
-	for _, n := range work {
+	for _, n := range turns {
 		sum += n
 		largest = max(largest, n)
 	}
 	if sum == 0 {
 		return 0
 	}
-	return float64(largest) * float64(len(work)) / float64(sum)
+	return float64(largest) * float64(len(turns)) / float64(sum)
 }
 
 // maxRuns returns how often the request that ran most often was run by all service replicas together.
