--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,11 +1,11 @@
-// Package standin plays the systems that hingewinch meets: the platform, model
-// engines and plain services. It is used by tests and by the demo, is no part
-// of the product, and is kept small: faults that can be switched on, and no
-// simulator.
+// Package standin has fakes of the systems that hingewinch interacts with: the
+// platform, model engines and plain services. Tests and the demo use it; it is not part
+// of the product. It is deliberately small: it injects faults on demand, but does not
+// simulate the real systems in detail.
 //
 // # Usage
 //
 //	e := standin.NewEngine(standin.EngineOptions{ID: "e1"})
 //	srv := httptest.NewServer(e)
-//	e.SetFaults(standin.Faults{BreakAfter: 3})
+//	e.SetFaults(standin.Faults{AbortAfter: 3})
 package standin
