--- a/cmd/hingectl/held.go
+++ b/cmd/hingectl/held.go
@@ -21,7 +21,7 @@
 func (c *routerHeldCommand) Execute([]string) error {
 	w := newTable()
 	defer w.Flush()
-	fmt.Fprintln(w, "CONTENT\tWORKSPACE\tLAST CRASH\tREFUSED HERE\tCRASHED REPLICAS")
+	fmt.Fprintln(w, "CONTENT\tWORKSPACE\tLAST END\tREFUSED HERE\tREPLICAS THAT ENDED")
 	return c.forEach(func(address string) error {
 		var list []routes.HeldAnswer
 		if err := fetchJSON(address, routes.PathHeld, &list); err != nil {
--- a/cmd/hingectl/router.go
+++ b/cmd/hingectl/router.go
@@ -104,7 +104,7 @@
 func (c *routerReplicasCommand) Execute([]string) error {
 	w := newTable()
 	defer w.Flush()
-	fmt.Fprintln(w, "SERVICE\tREPLICA\tDOMAIN\tADDRESS\tSTATE\tLOAD\tFAILED\tCOLD\tBACKOFF\tREQUESTED BY\tEJECTED")
+	fmt.Fprintln(w, "SERVICE\tREPLICA\tDOMAIN\tADDRESS\tSTATE\tLOAD\tFAILED\tCOLD\tREST\tASKED BY\tEJECTED")
 	return c.forEach(func(address string) error {
 		var list []routes.ReplicaAnswer
 		if err := fetchJSON(address, routes.PathReplicas, &list); err != nil {
