--- a/coordination/doc.go
+++ b/coordination/doc.go
@@ -1,12 +1,12 @@
-// Package coordination holds what the decisions of both front ends share: how a
-// request ended, the hash by which all daemons rank candidates alike, and the
-// stamps and events of the time line. The decisions stand below it: routing and
-// membership for the front end in production, fleet for the OpenAI front end.
+// Package coordination holds what the decisions of both front ends share: the outcome
+// of a request, the hash by which all daemons rank candidates alike, and the
+// timestamps and events of the timeline. The decisions themselves are in
+// subpackages: routing and membership for the front end in production, fleet for the
+// OpenAI front end.
 //
-// Everything here and below is pure. Time, randomness and messages are arguments;
-// there is no I/O and no goroutine, so the same code runs in a daemon and in a
-// property test. A type is used by one goroutine at a time unless its comment
-// says otherwise.
+// This package and its subpackages do no I/O and start no goroutine. Time, randomness
+// and messages are arguments, so the same code runs in a daemon and in a property
+// test. A type is not safe for concurrent use unless its comment says otherwise.
 //
 // # Usage
 //
--- a/coordination/fleet/admission.go
+++ b/coordination/fleet/admission.go
@@ -1,38 +1,38 @@
-// This file decides how much of an engine's own traffic it may still take. The
-// daemon that watches the engine runs the rule on each load report and publishes
-// one number, the admission: the share of the chats that rank the engine first
-// which still go to it; the others go to their second choice.
+// This file implements admission control for engines. The daemon that watches an
+// engine applies the rule to each load report and publishes one number, the
+// admission: the fraction of the chats ranking the engine first that are still sent
+// to it. The others go to their second choice.
 //
 // Inputs: the engine's load and that of its pool, in thousandths of a request, and
-// the bound of the operators' file, a multiple of the pool's mean. The rule: above
-// the bound the admission falls by the ratio, down to admissionMaxCut of itself a
-// report; below it, it rises by admissionRaise.
+// the bound of the configuration file, a multiple of the pool's mean. Above the
+// bound the admission falls by the ratio, but to no less than admissionMaxCut of its
+// value per report; below it, the admission rises by admissionRaise.
 
 package fleet
 
 import "hingewinch.org/hingewinch/state"
 
-// The settings are constants because the bound of the operators' file is the one
-// number that operators should have to choose.
+// These settings are constants so that the bound in the configuration file is the
+// only number that operators have to choose.
 //
-// The load of an engine that holds some twenty requests swings by a third within
-// seconds, and a report is seconds old when it has reached the daemons. A rule
-// that follows the swings only moves chats away from their caches and is late each
-// time: 72.6% of the tokens were found cached in place of 91.8%
-// (docs/design/placement.md, "fast" and "gate"). So the admission follows the mean
-// load of about forty seconds and moves by small steps: it is for what lasts, such
-// as an engine that has become slow.
+// The load of an engine with some twenty requests swings by a third within seconds,
+// and a report is seconds old when it reaches the daemons. A rule that follows the
+// swings moves chats away from their caches and is always late: 72.6% of the tokens
+// were found cached instead of 91.8% (docs/design/placement.md, "fast" and "gate").
+// The admission therefore follows the mean load of about forty seconds in small
+// steps, and reacts to lasting changes such as an engine that has become slow.
 const (
 	// loadSmoothing is the weight of a new report in the mean load.
 	loadSmoothing = 0.05
-	// admissionMaxCut limits one step down, admissionRaise is one step up.
+	// admissionMaxCut is the smallest factor of one step down; admissionRaise is one
+	// step up.
 	admissionMaxCut = 0.97
 	admissionRaise  = state.AdmitAll / 10
-	// admissionFloor keeps some requests coming, without which an engine that gets no
-	// request could never show that it has recovered.
+	// admissionFloor keeps some requests going to an engine, so that its reports can
+	// show that it has recovered.
 	admissionFloor = state.AdmitAll / 32
-	// admissionSlack is the load in thousandths of a request below which an engine
-	// is never limited: a bound can't be kept tighter than a few requests.
+	// admissionSlack is the load, in thousandths of a request, up to which an engine is
+	// never limited: a bound can't be enforced more finely than a few requests.
 	admissionSlack = 2000
 )
 
@@ -41,9 +41,9 @@
 	return mean + loadSmoothing*(float64(load)-mean)
 }
 
-// NextAdmission returns the admission after a report. load is the engine's mean load,
-// mean the mean of these over its pool in the same unit, bound the largest load
-// allowed as a multiple of it.
+// NextAdmission returns the admission that follows a after a report. load is the
+// engine's mean load, mean is the mean of these loads over its pool in the same unit,
+// and bound is the largest allowed load as a multiple of mean.
 func NextAdmission(a state.Admission, load, mean, bound float64) state.Admission {
 	limit := max(bound*mean, admissionSlack)
 	if load > limit {
--- a/coordination/fleet/assemble.go
+++ b/coordination/fleet/assemble.go
@@ -1,32 +1,33 @@
-// This file decides which chunks of an upstream's stream belong to the answer.
-// It is apart from the relay so that a property test can drive it with every
-// order of late, repeated, lost and foreign chunks.
+// This file decides which chunks of an upstream's stream belong to the response. It
+// is separate from the relay so that a property test can drive it with every order
+// of late, repeated, lost and foreign chunks.
 
 package fleet
 
-// Chunk is what the assembler needs to know of one event of a stream.
+// Chunk holds the properties of a stream event that the assembler uses.
 type Chunk struct {
 	Stream string // the upstream's id of the stream; empty if it gives none
 	Seq    uint64 // position from 1; 0 if the upstream numbers nothing
 	Final  bool   // the protocol's terminator
 }
 
-// Verdict says what to do with a chunk.
+// Verdict says what the relay must do with a chunk.
 type Verdict uint8
 
 // The verdicts on a chunk.
 const (
-	// Forward means that the chunk is the next part of the answer.
+	// Forward means that the chunk is the next part of the response.
 	Forward Verdict = iota + 1
-	// Drop means that the chunk repeats what was forwarded, or belongs to
-	// another stream.
+	// Drop means that the chunk was already forwarded or belongs to another
+	// stream.
 	Drop
-	// Missing means that chunks before this one are lost. The stream must be
-	// resumed after Position, or the answer ends in an error.
+	// Missing means that chunks before this one were lost. The stream must be resumed
+	// after the last forwarded position, or the response ends in an error.
 	Missing
 )
 
-// Assembler accepts the chunks of one answer in order. Its zero value is ready.
+// Assembler accepts the chunks of one response in order. Its zero value is ready for
+// use.
 type Assembler struct {
 	stream   string
 	position uint64
@@ -53,7 +54,7 @@
 	}
 	switch {
 	case c.Seq == 0:
-		// A chunk without a number in a numbered stream has no place.
+		// In a numbered stream, a chunk without a number can't be placed.
 		return Missing
 	case c.Seq <= a.position:
 		return Drop
@@ -69,12 +70,12 @@
 	return Forward
 }
 
-// Whole reports whether the terminator has been forwarded. Nothing else makes
-// an answer whole.
+// Whole reports whether the terminator has been forwarded. Only the terminator makes
+// a response complete.
 func (a *Assembler) Whole() bool { return a.final }
 
-// Resumable reports whether the upstream can be asked for the rest, and after
-// which position.
+// Resumable reports whether the upstream can be asked for the remaining events, and
+// after which position.
 func (a *Assembler) Resumable() (stream string, after uint64, ok bool) {
 	return a.stream, a.position, a.begun && a.numbered && a.stream != "" && !a.final
 }
--- a/coordination/fleet/budget.go
+++ b/coordination/fleet/budget.go
@@ -1,27 +1,27 @@
-// This file decides how many retries the OpenAI front end may send: a fraction of
-// its traffic, so that an outage is not answered by a storm of further attempts.
-// The other front end has a budget of its own (coordination/routing), because its
-// bound is one for the fleet, by service and window.
+// This file limits the retries of the OpenAI front end to a fraction of its traffic,
+// so that an outage does not cause a retry storm. The other front end has its own
+// budget (coordination/routing), because its bound applies to the whole fleet, by
+// service and window.
 
 package fleet
 
-// The shares of the budget, in further attempts for each request.
+// Parameters of the budget, in retries per request.
 const (
 	retryShare = 0.1 // retries earned by one first attempt
-	retryBurst = 10  // retries that may be saved up
+	retryBurst = 10  // most retries that can be saved up
 )
 
-// RetryBudget allows retries as a fraction of first attempts. It must be
-// guarded by its owner.
+// RetryBudget allows retries as a fraction of first attempts. It is not safe for
+// concurrent use.
 type RetryBudget struct{ tokens float64 }
 
 // NewRetryBudget returns a full budget.
 func NewRetryBudget() *RetryBudget { return &RetryBudget{tokens: retryBurst} }
 
-// Earn counts a first attempt.
+// Earn credits a first attempt.
 func (b *RetryBudget) Earn() { b.tokens = min(b.tokens+retryShare, retryBurst) }
 
-// Spend asks for one retry.
+// Spend takes one retry from the budget, or returns false if none is left.
 func (b *RetryBudget) Spend() bool {
 	if b.tokens < 1 {
 		return false
--- a/coordination/fleet/choose.go
+++ b/coordination/fleet/choose.go
@@ -1,5 +1,5 @@
-// This file chooses the upstream of a request. It is apart from the rest
-// because it runs for every request, on a snapshot, without allocation.
+// This file chooses the upstream of a request. The choice runs for every request, on
+// a snapshot and without allocation.
 
 package fleet
 
@@ -8,16 +8,15 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// Choose returns the upstream for a chat: of the candidates whose admission
-// lets the chat in, the one that ranks highest. If none does, the candidate with
-// the highest admission is taken, because an overloaded answer is worth more than
-// none. avoid holds candidates that
-// have just refused. The result is false only if every candidate is avoided.
+// Choose returns the upstream for a chat: the highest-ranked candidate whose admission
+// accepts the chat. If there is none, it returns the candidate with the highest
+// admission, because a response from an overloaded engine is better than none.
+// avoid lists candidates that have just refused. The result is false only if every
+// candidate is in avoid.
 //
-// The admission is tested by a hash of chat and candidate and not by chance, so that
-// the same chats overflow in every daemon, and to the same second choice. When
-// an admission moves by a tenth, a tenth of that candidate's chats move and no
-// other.
+// The admission is tested with a hash of chat and candidate rather than at random, so
+// that the same chats overflow in every daemon, and to the same second choice. When
+// an admission changes by a tenth, only a tenth of that candidate's chats move.
 func Choose(p *state.Pool, key state.ChatKey, avoid []state.UpstreamID) (*state.Candidate, bool) {
 	var best, widest *state.Candidate
 	var bestScore uint64
@@ -43,8 +42,8 @@
 	return best, best != nil
 }
 
-// isAdmitted draws from the score by a second mix: the score's
-// own bits are large for a chat's home and would not be a fair draw.
+// isAdmitted compares the admission with a second hash of the score. The score's own
+// bits are not uniform: they are large for the candidate that ranks first.
 func isAdmitted(score uint64, g state.Admission) bool {
 	return g == state.AdmitAll || state.Admission(coordination.Scramble(score)>>48) < g
 }
@@ -58,7 +57,7 @@
 	return false
 }
 
-// rankFirst returns the member with the highest score for a key, or nil.
+// rankFirst returns the member with the highest rank for a key, or nil.
 func rankFirst(members []state.Member, key uint64) *state.Member {
 	var best *state.Member
 	var bestScore uint64
@@ -71,9 +70,8 @@
 	return best
 }
 
-// hasDuty reports whether self is the daemon that ranks first among members
-// for a duty. Two daemons whose lists differ may both hold one; every duty is
-// designed so that this does no harm.
+// hasDuty reports whether self ranks first among members for a duty. Two daemons with
+// different member lists may both hold a duty; every duty tolerates that.
 func hasDuty(members []state.Member, self state.DaemonID, duty string) bool {
 	m := rankFirst(members, coordination.Hash(duty))
 	return m != nil && m.ID == string(self)
--- a/coordination/fleet/doc.go
+++ b/coordination/fleet/doc.go
@@ -1,20 +1,20 @@
-// Package fleet holds the decisions of the OpenAI front end that many daemons
-// take together although each sees only a sliver of the traffic and all views
-// differ: which engine takes a chat, how much of its traffic an engine still
-// takes, which configuration and member list are in force, who runs a request
-// that must not be repeated, and what daemons send to whom.
+// Package fleet holds the decisions of the OpenAI front end on which many daemons
+// must agree although each sees only a part of the traffic and their views differ:
+// which engine serves a chat, how much traffic an engine still accepts, which
+// configuration and member list are in force, which daemon runs a request that must
+// not be repeated, and what daemons exchange with whom.
 //
-// Everything here is pure: time, randomness and messages are arguments.
+// The package does no I/O: time, randomness and messages are arguments.
 //
 // # Usage
 //
-// A placement needs a pool, a chat key and nothing else:
+// Placing a chat needs only a pool and a chat key:
 //
 //	key := coordination.ChatKeyOf(workspace, model, identity)
 //	c, ok := fleet.Choose(pool, key, nil)
 //
-// A daemon's control loop owns one [Fleet], hands it every event with the time
-// at which it happened, and carries out the effects that come back:
+// A daemon's control loop owns one [Fleet], passes every event to it with the time at
+// which it happened, and executes the effects that it returns:
 //
 //	f := fleet.New(self, rng)
 //	for ev := range events {
@@ -28,12 +28,12 @@
 //		}
 //	}
 //
-// A request that must not be repeated is begun and finished in a [Ledger]:
+// A request that must not be repeated is registered and completed in a [Ledger]:
 //
 //	switch d := ledger.Begin(now, key, fingerprint).(type) {
 //	case fleet.Start:
-//		// given once for a key
+//		// returned once per key
 //	case fleet.Replay:
-//		// answer with d.Answer
+//		// respond with d.Answer
 //	}
 package fleet
--- a/coordination/fleet/documents.go
+++ b/coordination/fleet/documents.go
@@ -1,6 +1,6 @@
-// This file holds the Fleet's rules for the two documents that the platform
-// publishes: the operators' file and the member list. A document is taken whole
-// and never followed by an older one.
+// This file applies the two documents that the platform publishes, the configuration
+// file and the member list. A document is applied as a whole and never replaced by an
+// older one.
 
 package fleet
 
@@ -25,7 +25,7 @@
 	return f.list.Head
 }
 
-// newestList is the head of the newest list that is known, even if it is held back.
+// newestList returns the head of the newest known list, including a deferred one.
 func (f *Fleet) newestList() state.Head {
 	if f.suspectList != nil {
 		return f.suspectList.Head
@@ -36,7 +36,7 @@
 func (f *Fleet) takeConfig(now time.Time, c *state.Config) {
 	old, head := f.configHead(), c.Head()
 	if head.Version == old.Version && head != old && !old.IsZero() {
-		f.record(coordination.EventConfigClash, head.String(), "two contents carry version %d: %v and %v; the higher digest is in force, publish a higher version", head.Version, old, head)
+		f.record(coordination.EventConfigClash, head.String(), "two configurations have version %d: %v and %v; the one with the higher digest is in force; publish a higher version", head.Version, old, head)
 	}
 	if head.Compare(old) <= 0 {
 		return
@@ -46,7 +46,7 @@
 	}
 	f.config = c
 	f.dirty = true
-	f.record(coordination.EventConfigTaken, head.String(), "configuration %v follows %v", head, old)
+	f.record(coordination.EventConfigTaken, head.String(), "configuration %v replaces %v", head, old)
 	f.settle(now)
 	f.arrange()
 	f.urgent = true
@@ -57,15 +57,15 @@
 		return
 	}
 	f.refused[ev.Head] = true
-	f.record(coordination.EventConfigRefused, ev.Head.String(), "configuration is not valid and not applied: %v", ev.Err)
+	f.record(coordination.EventConfigRefused, ev.Head.String(), "configuration is invalid and was not applied: %v", ev.Err)
 }
 
-// settlePeers is how many peers are asked.
+// settlePeers is the number of peers that are asked at startup.
 const settlePeers = 2
 
-// settle lets traffic use the configuration once enough peers have been asked
-// for a newer one: a platform that serves a stale value to a daemon that has
-// just started must not bring an old configuration back.
+// settle lets traffic use the configuration once enough peers have been asked for a
+// newer one. Otherwise a platform that serves a stale value to a daemon that has just
+// started would bring an old configuration back.
 func (f *Fleet) settle(now time.Time) {
 	if f.settled || f.config == nil || f.list == nil {
 		return
@@ -93,8 +93,8 @@
 	f.confirmList(ev.List.Head, ev.Asked)
 }
 
-// confirmList moves the confirmation of the list in force forward. A list that is
-// held back is newer than the one in force, which then can't be confirmed.
+// confirmList updates the time at which the list in force was last confirmed. While a
+// newer list is deferred, the one in force can't be confirmed.
 func (f *Fleet) confirmList(head state.Head, asked time.Time) {
 	if asked.IsZero() || f.list == nil || head != f.list.Head || f.suspectList != nil || !asked.After(f.confirmed) {
 		return
@@ -103,9 +103,9 @@
 	f.epochDirty = true
 }
 
-// collapseShare is the part of the live members that a list must keep to be taken
-// at once, and collapseMin the number of members from which that rule makes
-// sense.
+// collapseShare is the fraction of the live members that a new list must keep to be
+// applied at once. The rule applies to lists of at least collapseMin live members;
+// with fewer, the fraction means little.
 const (
 	collapseShare = 0.5
 	collapseMin   = 4
@@ -129,9 +129,9 @@
 	return before >= collapseMin && float64(kept) < collapseShare*float64(before)
 }
 
-// holdBack holds back a list that lost most members. It is taken if it is still the
-// newest after suspectListTime; until then the last good one serves, and reports
-// of upstreams still count. Peers learn of it at once, so that the time ends
+// holdBack defers a list that lost most members. It is applied if it is still the
+// newest after suspectListTime; until then the previous list stays in force, and
+// reports of upstreams still count. Peers are told at once, so that the period ends
 // everywhere at about the same moment.
 func (f *Fleet) holdBack(now time.Time, l *state.MemberList) {
 	if f.suspectList != nil && l.Head.Compare(f.suspectList.Head) <= 0 {
@@ -143,7 +143,7 @@
 	f.suspectList = l
 	f.urgent = true
 	f.emit(RetainList{l})
-	f.record(coordination.EventListDoubted, l.Head.String(), "list %v lost most members; the last good one serves for up to %v", l.Head, suspectListTime)
+	f.record(coordination.EventListDoubted, l.Head.String(), "list %v lost most members; the previous list stays in force for up to %v", l.Head, suspectListTime)
 }
 
 func (f *Fleet) acceptSuspectList(now time.Time) {
@@ -155,7 +155,7 @@
 
 func (f *Fleet) takeList(now time.Time, l *state.MemberList) {
 	f.notePeers(l)
-	f.record(coordination.EventListTaken, l.Head.String(), "member list %v follows %v", l.Head, f.listHead())
+	f.record(coordination.EventListTaken, l.Head.String(), "member list %v replaces %v", l.Head, f.listHead())
 	f.list = l
 	f.suspectList = nil
 	f.history = append([]state.AppliedList{{List: l, AppliedAt: now}}, f.history...)
@@ -166,8 +166,8 @@
 	f.urgent = true
 }
 
-// pruneHistory keeps the lists that matter for the grace period: those taken
-// within it, and the one before them.
+// pruneHistory keeps the lists that the grace period depends on: those applied within
+// it, and the one before them.
 func (f *Fleet) pruneHistory(now time.Time) {
 	grace := RulesOf(f.config).GracePeriod()
 	for i := range f.history {
@@ -178,10 +178,10 @@
 	}
 }
 
-// readPlatform asks for a look at the platform if this daemon is one of the
-// readers of its failure domain. Where the list grows old all the same, the
-// readers may be gone: then each daemon asks with a chance that keeps the
-// expected number of calls of the whole domain at that of the readers.
+// readPlatform requests a read of the platform if this daemon is one of the readers
+// of its failure domain. If the list grows old all the same, the readers may have
+// failed; each daemon then reads with a probability that keeps the expected number
+// of calls of the domain equal to that of the readers.
 func (f *Fleet) readPlatform(now time.Time) {
 	if now.Before(f.nextRead) {
 		return
@@ -193,12 +193,12 @@
 			return
 		}
 	}
-	// The jitter keeps daemons that started together apart.
+	// The jitter spreads daemons that started together.
 	f.nextRead = now.Add(platformInterval + time.Duration(f.rng.Int64N(int64(platformInterval/4))))
 	f.emit(ReadPlatform{})
 }
 
-// domainDaemons returns the usable daemons of the own failure domain.
+// domainDaemons returns the usable daemons of this daemon's failure domain.
 func (f *Fleet) domainDaemons() []state.Member {
 	var out []state.Member
 	for _, m := range f.list.Daemons() {
--- a/coordination/fleet/events.go
+++ b/coordination/fleet/events.go
@@ -1,5 +1,5 @@
-// This file defines the events that a Fleet takes in and the effects that it asks
-// for. Both are sealed: a type switch over them is complete.
+// This file defines the events that a Fleet handles and the effects that it requests.
+// Both interfaces are sealed, so a type switch can be exhaustive.
 
 package fleet
 
@@ -10,34 +10,34 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// Event is something that has happened.
+// Event is an input of a [Fleet].
 type Event interface{ isEvent() }
 
-// ConfigLearned brings a parsed configuration, from the platform or a peer.
+// ConfigLearned carries a parsed configuration from the platform or a peer.
 type ConfigLearned struct{ Config *state.Config }
 
-// ConfigRefused says that the content of a head does not parse. It is not
-// fetched again.
+// ConfigRefused reports that the configuration with this head does not parse. It is
+// not fetched again.
 type ConfigRefused struct {
 	Head state.Head
 	Err  error
 }
 
-// ListLearned brings a member list. Asked is when the platform was asked for
-// it; it is zero if the list comes from a peer.
+// ListLearned carries a member list. Asked is when the request to the platform was
+// sent; it is zero if the list comes from a peer.
 type ListLearned struct {
 	List  *state.MemberList
 	Asked time.Time
 }
 
-// ListConfirmed says that the platform, asked at Asked, still publishes the
-// list of that head.
+// ListConfirmed reports that the platform, asked at Asked, still publishes the list
+// with this head.
 type ListConfirmed struct {
 	Head  state.Head
 	Asked time.Time
 }
 
-// UpstreamSeen brings an upstream's report to the daemon that watches it.
+// UpstreamSeen carries an upstream's report to the daemon that watches it.
 type UpstreamSeen struct {
 	ID          state.UpstreamID
 	Incarnation state.Incarnation
@@ -45,25 +45,25 @@
 	Load        state.Load
 }
 
-// UpstreamFailed says that an attempt of this daemon could not reach an
-// upstream or was refused by it.
+// UpstreamFailed reports that an attempt of this daemon could not reach an upstream
+// or was refused by it.
 type UpstreamFailed struct{ ID state.UpstreamID }
 
-// GossipReceived brings a peer's message. Asked is when this daemon sent the request
-// that it answers; it is zero if the peer began the exchange.
+// GossipReceived carries a peer's message. Asked is when this daemon sent the request
+// that it answers; it is zero if the peer initiated the exchange.
 type GossipReceived struct {
 	Gossip Gossip
 	Asked  time.Time
 }
 
-// PeerFailed says that an exchange with a peer failed.
+// PeerFailed reports that an exchange with a peer failed.
 type PeerFailed struct{ ID state.DaemonID }
 
-// Tick says that time has passed. Wall is the wall clock, which shows a
-// pause during which the monotonic clock stood still.
+// Tick is sent every [TickInterval]. Wall is the wall clock, which reveals a pause
+// during which the monotonic clock stood still.
 type Tick struct{ Wall time.Time }
 
-// StopBegun says that this daemon is being stopped as planned.
+// StopBegun reports that the daemon has started its graceful shutdown.
 type StopBegun struct{}
 
 func (ConfigLearned) isEvent()  {}
@@ -77,39 +77,39 @@
 func (Tick) isEvent()           {}
 func (StopBegun) isEvent()      {}
 
-// Effect is something that a Fleet asks its owner to do.
+// Effect is an action that a [Fleet] requests from its owner.
 type Effect interface{ isEffect() }
 
-// Publish hands out a new snapshot.
+// Publish makes a new snapshot available to traffic.
 type Publish struct{ Snapshot *state.Snapshot }
 
-// SendGossip asks for an exchange with a peer. The answer comes back as
+// SendGossip requests an exchange with a peer. The response comes back as
 // [GossipReceived], a failure as [PeerFailed].
 type SendGossip struct {
 	Peer   state.Member
 	Gossip Gossip
 }
 
-// Reply is the answer to an exchange that a peer began.
+// Reply is the response to an exchange that a peer initiated.
 type Reply struct{ Gossip Gossip }
 
-// FetchConfig asks for the configuration of a peer that has a newer one.
+// FetchConfig requests the configuration of a peer that has a newer one.
 type FetchConfig struct{ Peer state.Member }
 
-// FetchList asks for the member list of a peer that has a newer one.
+// FetchList requests the member list of a peer that has a newer one.
 type FetchList struct{ Peer state.Member }
 
-// RetainList asks to keep the text of a list that is held back, for peers that fetch
+// RetainList requests that the text of a deferred list be kept for peers that fetch
 // it.
 type RetainList struct{ List *state.MemberList }
 
-// WatchUpstreams lists the upstreams that this daemon watches from now on.
+// WatchUpstreams replaces the set of upstreams that this daemon watches.
 type WatchUpstreams struct{ Upstreams []state.Member }
 
-// ReadPlatform asks for one look at the platform.
+// ReadPlatform requests one read of the platform.
 type ReadPlatform struct{}
 
-// TimelineEntry is an entry for the time line.
+// TimelineEntry is an entry for the timeline.
 type TimelineEntry struct {
 	Kind  coordination.EventKind
 	About string
@@ -131,7 +131,7 @@
 	_ Effect = TimelineEntry{}
 )
 
-// Gossip is the message that goes both ways in one exchange.
+// Gossip is the message that each side sends in an exchange.
 type Gossip struct {
 	Sender      state.DaemonID
 	Incarnation state.Incarnation
@@ -141,16 +141,15 @@
 	Stamp       coordination.Stamp
 	Config      state.Head
 	List        state.Head
-	ListAge     time.Duration // since the platform confirmed the list; negative if never, or if a newer one is held back
+	ListAge     time.Duration // since the platform confirmed the list; negative if it never did, or if a newer list is deferred
 	Reports     []Report
-	// Upto is the sender's position up to which Reports is complete, and Ack
-	// the last Upto that it received from the incarnation AckIncarnation of the other
-	// side.
-	// A side sends again what is not acknowledged.
+	// Upto is the sender's position up to which Reports is complete. Ack is the last
+	// Upto that the sender received from the incarnation AckIncarnation of the other
+	// side. Reports that are not acknowledged are sent again.
 	Upto           uint64
 	Ack            uint64
 	AckIncarnation state.Incarnation
 }
 
-// neverConfirmed is the ListAge of a daemon that knows no confirmed list.
+// neverConfirmed is the ListAge of a daemon without a confirmed list.
 const neverConfirmed = -1
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -1,6 +1,6 @@
 // This file defines Fleet, the state machine of a daemon's control loop: its state
-// and the dispatch of events. Documents, reports and exchanges stand in files of
-// their own.
+// and the dispatch of events. Documents, reports and exchanges are handled in files
+// of their own.
 
 package fleet
 
@@ -13,40 +13,40 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// Self is what a daemon knows of itself from its settings.
+// Self identifies the local daemon, from its settings.
 type Self struct {
 	ID          state.DaemonID
 	Incarnation state.Incarnation
 	Domain      state.FailureDomain
 	Address     string   // where peers reach it
-	Seeds       []string // peers' addresses to try while no list is known
+	Seeds       []string // addresses of peers to contact while no list is known
 }
 
-// Times of the control loop.
+// Intervals and timeouts of the control loop.
 const (
-	// TickInterval is how often the owner sends a Tick.
+	// TickInterval is how often the owner must send a Tick.
 	TickInterval = 500 * time.Millisecond
-	// exchangeTicks is how many ticks lie between two exchanges that a daemon
-	// begins without a change. Each costs about 0.8 KB on the wire, so this number
-	// decides the greatest part of the control traffic.
+	// exchangeTicks is the number of ticks between two exchanges that a daemon
+	// initiates without a change. Each exchange costs about 0.8 KB on the wire, so this
+	// number determines most of the control traffic.
 	exchangeTicks = 2
-	// pauseLimit is how late a tick may be before the process counts as paused.
+	// pauseLimit is the delay of a tick from which the process counts as paused.
 	pauseLimit = 3 * time.Second
-	// platformInterval is how often one reader asks the platform.
+	// platformInterval is how often each reader reads the platform.
 	platformInterval = time.Second
-	// readersPerDomain is how many daemons of a failure domain ask it.
+	// readersPerDomain is the number of daemons per failure domain that read it.
 	readersPerDomain = 2
-	// strayReadAge is the age of the list from which others ask it as well.
+	// strayReadAge is the age of the list from which other daemons read it as well.
 	strayReadAge = 9 * time.Second
-	// settleTime is how long a new daemon asks peers for a newer configuration
-	// before it uses the platform's alone. It is the longest time for
-	// which a daemon that is cut off from all peers refuses at its start.
+	// settleTime is how long a new daemon asks peers for a newer configuration before
+	// it uses the platform's alone. A daemon that is cut off from all peers refuses
+	// requests for at most this long after its start.
 	settleTime = 10 * time.Second
 	// suspectTime is how long a peer or upstream that failed is excluded, and
-	// unsettledSuspectTime how long by a daemon that still has to ask peers.
+	// unsettledSuspectTime how long a daemon excludes a peer before it has settled.
 	suspectTime          = 5 * time.Second
 	unsettledSuspectTime = time.Second
-	// suspectListTime is how long a list that lost most members is held back.
+	// suspectListTime is how long a list that lost most members is deferred.
 	suspectListTime = 20 * time.Second
 )
 
@@ -67,7 +67,7 @@
 	list             *state.MemberList
 	history          []state.AppliedList
 	confirmed        time.Time
-	paused           time.Time // when a pause was last noticed
+	paused           time.Time // when a pause was last detected
 	windowSince      time.Time
 	suspectList      *state.MemberList
 	suspectListUntil time.Time
@@ -76,28 +76,27 @@
 	arrivals uint64
 	suspects map[state.UpstreamID]time.Time
 	watched  map[state.UpstreamID]state.Member
-	loads    map[state.UpstreamID]float64 // mean loads of those that are watched
+	loads    map[state.UpstreamID]float64 // mean loads of the watched upstreams
 
 	neighbours   []state.Member
 	edges        map[state.DaemonID]*edge
-	peerSuspects map[state.DaemonID]time.Time         // excluded until then
-	unreachable  map[state.DaemonID]bool              // failed, and not heard from since
-	peerLeaving  map[state.DaemonID]state.Incarnation // the incarnation that leaves
+	peerSuspects map[state.DaemonID]time.Time         // end of the exclusion
+	unreachable  map[state.DaemonID]bool              // failed, and no message received since
+	peerLeaving  map[state.DaemonID]state.Incarnation // incarnation that announced its departure
 	reportBudget reportBudget
 	turn         int
 	ticks        int
 	nextRead     time.Time
 
-	urgent     bool // an exchange with all neighbours is due at the end of the event
+	urgent     bool // exchange with all neighbours after this event
 	dirty      bool // the snapshot is out of date
-	stale      bool // its figures are: it is rebuilt at the next tick
-	epochDirty bool // only its epoch is
+	stale      bool // loads or admissions changed: rebuild the snapshot at the next tick
+	epochDirty bool // only the snapshot's ownership state is out of date
 	current    *state.Snapshot
 	effects    []Effect
 }
 
-// New returns the state of a daemon that has just started. rng must
-// not be shared.
+// New returns the state of a daemon that has just started. rng must not be shared.
 func New(self Self, rng *rand.Rand) *Fleet {
 	return &Fleet{
 		self:         self,
@@ -115,8 +114,8 @@
 	}
 }
 
-// Handle takes in one event at the time now, which must not go back, and
-// returns what is to be done. The result is valid until the next call.
+// Handle processes one event at the time now, which must not decrease, and returns
+// the effects to execute. The result is valid until the next call.
 func (f *Fleet) Handle(now time.Time, ev Event) []Effect {
 	f.effects = nil
 	f.now = now
@@ -145,7 +144,7 @@
 		f.tick(now, ev.Wall)
 	case StopBegun:
 		f.stopped = true
-		f.record(coordination.EventStopBegun, string(f.self.ID), "stop begun; no new work")
+		f.record(coordination.EventStopBegun, string(f.self.ID), "graceful shutdown started; no new duties")
 		f.urgent = true
 	}
 	if f.urgent {
@@ -162,9 +161,8 @@
 	f.emit(TimelineEntry{Kind: kind, About: about, Text: fmt.Sprintf(format, args...)})
 }
 
-// publish hands out a new snapshot if anything that it shows has changed. The
-// pools are rebuilt only if they may differ: a list is confirmed several
-// times a second and rarely changes.
+// publish emits a new snapshot if its content has changed. The pools are rebuilt only
+// if they may differ: a list is confirmed several times a second and rarely changes.
 func (f *Fleet) publish() {
 	switch {
 	case f.dirty:
@@ -192,7 +190,8 @@
 	return state.BuildSnapshot(in)
 }
 
-// epoch shares the history with the snapshot: taking a list makes a new slice.
+// epoch returns the ownership state. The snapshot can share the history because
+// applying a list makes a new slice.
 func (f *Fleet) epoch() state.OwnershipState {
 	return state.OwnershipState{
 		Confirmed:     f.confirmed,
@@ -215,8 +214,8 @@
 	}
 }
 
-// checkPause makes the member list count as unconfirmed after a pause. The wall clock shows a
-// pause in which the monotonic clock stood still; a set clock looks the same
+// checkPause marks the member list as unconfirmed after a pause. The wall clock reveals
+// a pause in which the monotonic clock stood still; setting the clock looks the same
 // and costs one confirmation.
 func (f *Fleet) checkPause(now, wall time.Time) {
 	late := now.Sub(f.ticked)
@@ -227,7 +226,7 @@
 	if first || (late < pauseLimit && jump < pauseLimit) {
 		return
 	}
-	f.record(coordination.EventPaused, string(f.self.ID), "control loop was paused for about %v; list is unconfirmed until it is read again", max(late, jump).Round(time.Millisecond))
+	f.record(coordination.EventPaused, string(f.self.ID), "control loop was paused for about %v; the member list is unconfirmed until it is read again", max(late, jump).Round(time.Millisecond))
 	f.confirmed = time.Time{}
 	f.paused = now
 	f.nextRead = now
@@ -252,7 +251,7 @@
 	}
 }
 
-// regionOf maps a failure domain to its region by the configuration in force.
+// regionOf returns the region of a failure domain in the configuration in force.
 func (f *Fleet) regionOf(d state.FailureDomain) state.RegionID {
 	if f.config == nil {
 		return ""
--- a/coordination/fleet/gossip.go
+++ b/coordination/fleet/gossip.go
@@ -1,5 +1,5 @@
-// This file holds the Fleet's exchanges with its peers: with whom, what is sent,
-// what is taken in.
+// This file implements the Fleet's gossip with its peers: choice of the peer,
+// messages sent and messages received.
 
 package fleet
 
@@ -12,15 +12,15 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// maxReports bounds one message, so that a new daemon is brought up to
-// date in steps and no message breaks the control budget.
+// maxReports limits the reports in one message, so that a new daemon is brought up to
+// date in steps and no message exceeds the control budget.
 const maxReports = 64
 
-// edge is the state of the exchange with one peer.
+// edge is the state of the gossip with one peer.
 type edge struct {
-	incarnation state.Incarnation // of the peer; the positions are about it
-	acked       uint64            // our position that the peer has confirmed
-	received    uint64            // the peer's position that we have taken in
+	incarnation state.Incarnation // of the peer to which the positions refer
+	acked       uint64            // local position that the peer has acknowledged
+	received    uint64            // peer's position that was received completely
 }
 
 func (f *Fleet) edge(id state.DaemonID) *edge {
@@ -32,14 +32,14 @@
 	return e
 }
 
-// reset clears the positions if the peer is not the process that they are about.
+// reset clears the positions if they refer to another incarnation of the peer.
 func (e *edge) reset(incarnation state.Incarnation) {
 	if e.incarnation != incarnation {
 		*e = edge{incarnation: incarnation}
 	}
 }
 
-// usablePeer reports whether a daemon of the list may get duties and messages.
+// usablePeer reports whether a listed daemon may be given duties and messages.
 func (f *Fleet) usablePeer(m *state.Member) bool {
 	if m.ID == string(f.self.ID) {
 		return !f.stopped
@@ -49,8 +49,8 @@
 	return !suspect && !left && m.State == state.Live
 }
 
-// arrange works out neighbours and duties after a change of the list, of the
-// regions or of the peers that can be reached.
+// arrange recomputes neighbours and duties after a change of the list, of the regions
+// or of the reachable peers.
 func (f *Fleet) arrange() {
 	if f.list == nil {
 		return
@@ -59,8 +59,8 @@
 	f.watch()
 }
 
-// exchangeInTurn begins an exchange with the next neighbour. While no list is
-// known the seeds of the settings are asked.
+// exchangeInTurn starts an exchange with the next neighbour, or with the next seed of
+// the settings while no list is known.
 func (f *Fleet) exchangeInTurn() {
 	f.turn++
 	if len(f.neighbours) > 0 {
@@ -72,8 +72,8 @@
 	}
 }
 
-// exchangeWithAll begins an exchange with every neighbour: a new document or a stop
-// spreads at the speed of the network and not of the ticks.
+// exchangeWithAll starts an exchange with every neighbour, so that a new document or a
+// shutdown spreads at network speed instead of once per tick.
 func (f *Fleet) exchangeWithAll() {
 	for _, m := range f.neighbours {
 		f.send(m)
@@ -88,8 +88,9 @@
 	f.emit(SendGossip{Peer: m, Gossip: f.gossip(state.DaemonID(m.ID), m.Domain, e)})
 }
 
-// gossip returns what a peer may not know yet. Reports stay within a region: no
-// other region places its chats here while it has upstreams of its own.
+// gossip returns the message for a peer, with the reports that it may not have yet.
+// Reports stay within a region: no other region places its chats here while it has
+// upstreams of its own.
 func (f *Fleet) gossip(to state.DaemonID, domain state.FailureDomain, e *edge) Gossip {
 	n := Gossip{
 		Sender:      f.self.ID,
@@ -116,10 +117,10 @@
 	return n
 }
 
-// reportsAfter returns reports that changed after a position, and the position
-// up to which they are complete. States other than live go at once; figures go
-// oldest first and as many as the budget allows, so that much change makes reports
-// older and not the traffic larger.
+// reportsAfter returns reports that changed after a position, and the position up to
+// which they are complete. States other than live are sent at once; load reports are
+// sent oldest first and as many as the budget allows, so that frequent changes delay
+// the reports instead of increasing the traffic.
 func (f *Fleet) reportsAfter(position uint64, to source) ([]Report, uint64) {
 	if position >= f.arrivals {
 		return nil, f.arrivals
@@ -148,21 +149,21 @@
 			out = append(out, r.Report)
 		}
 		if part.n < len(part.reports) {
-			// From the first one that is left out on, the message is not complete.
+			// The message is complete only up to the first omitted report.
 			upto = min(upto, part.reports[part.n].arrival-1)
 		}
 	}
 	return out, upto
 }
 
-// Budget of reports. A report is about 34 bytes encoded, so the rate bounds what
-// a daemon sends of them to 0.7 KB a second, and its peers bound what it gets.
+// Budget of reports. An encoded report takes about 34 bytes, so the rate limits what
+// a daemon sends of them to 0.7 KB a second, and thereby what each daemon receives.
 const (
 	reportRate  = 20 // a second
 	reportBurst = 128
 )
 
-// reportBudget allows a number of reports a second.
+// reportBudget is a token bucket that limits the reports sent per second.
 type reportBudget struct {
 	tokens float64
 	filled time.Time
@@ -209,7 +210,7 @@
 	}
 }
 
-// meet records that a peer lives.
+// meet records that a peer is alive.
 func (f *Fleet) meet(now time.Time, n Gossip) {
 	f.peersMet[n.Sender] = true
 	f.settle(now)
@@ -223,10 +224,10 @@
 	switch {
 	case n.Leaving && incarnation != n.Incarnation:
 		f.peerLeaving[n.Sender] = n.Incarnation
-		f.record(coordination.EventPeerState, string(n.Sender), "peer is leaving as planned")
+		f.record(coordination.EventPeerState, string(n.Sender), "peer is shutting down gracefully")
 		changed = true
 	case !n.Leaving && leaving && incarnation != n.Incarnation:
-		// Leaving is final for a process; this one is its successor.
+		// A departure is final for a process; this message comes from its successor.
 		delete(f.peerLeaving, n.Sender)
 		changed = true
 	}
@@ -235,9 +236,9 @@
 	}
 }
 
-// compareHeads fetches what the peer has newer, and uses its age of the list if it
-// answers our question: the age in a message that was not asked for would not
-// count the time that it waited in a socket.
+// compareHeads fetches what is newer at the peer. It uses the peer's list age only if
+// the message answers a request of this daemon: the age in an unsolicited message
+// does not include the time that the message spent in a socket buffer.
 func (f *Fleet) compareHeads(ev GossipReceived) {
 	n := ev.Gossip
 	peer := state.Member{ID: string(n.Sender), Kind: state.KindDaemon, Domain: n.Domain, Address: n.Address, Incarnation: n.Incarnation, State: state.Live}
@@ -252,7 +253,7 @@
 	}
 }
 
-// failPeer excludes a peer for a while.
+// failPeer excludes a peer for suspectTime, or unsettledSuspectTime at startup.
 func (f *Fleet) failPeer(now time.Time, id state.DaemonID) {
 	if id == "" {
 		return
@@ -269,14 +270,14 @@
 	f.arrange()
 }
 
-// notePeers records which daemons a new list lacks.
+// notePeers records which daemons are missing from a new list and drops their state.
 func (f *Fleet) notePeers(next *state.MemberList) {
 	if f.list == nil {
 		return
 	}
 	for _, m := range f.list.Daemons() {
 		if next.Find(m.ID) == nil {
-			f.record(coordination.EventPeerState, m.ID, "peer is gone from the list")
+			f.record(coordination.EventPeerState, m.ID, "peer was removed from the member list")
 			delete(f.peerLeaving, state.DaemonID(m.ID))
 			delete(f.edges, state.DaemonID(m.ID))
 			delete(f.unreachable, state.DaemonID(m.ID))
--- a/coordination/fleet/ledger.go
+++ b/coordination/fleet/ledger.go
@@ -1,5 +1,5 @@
 // This file defines the ledger in which one incarnation of a daemon records the
-// requests that must not run twice. It is the only place that lets one start.
+// requests that must not run twice. Only the ledger allows such a request to start.
 
 package fleet
 
@@ -11,26 +11,26 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// LedgerKey names one request that must not be repeated. Workspace and service
-// are part of it, so that two customers' keys never meet.
+// LedgerKey identifies one request that must not be repeated. It includes workspace
+// and service so that keys of different customers can't collide.
 type LedgerKey struct {
 	Workspace state.WorkspaceID
 	Service   state.ServiceID
 	Key       string
 }
 
-// Fingerprint is a hash of a request's method, path and body. A repeat has the
-// same one.
+// Fingerprint is a hash of a request's method, path and body. Repeats of a request
+// have the same fingerprint.
 type Fingerprint [32]byte
 
-// StoredAnswer is the answer of a finished request, kept for repeats.
+// StoredAnswer is the response to a completed request, kept for repeats.
 type StoredAnswer struct {
 	Status int
 	Header map[string][]string
 	Body   []byte
 }
 
-// size estimates the memory of an answer in bytes.
+// size estimates the memory of a response in bytes.
 func (a *StoredAnswer) size() int {
 	n := len(a.Body) + entryOverhead
 	for k, vs := range a.Header {
@@ -42,38 +42,37 @@
 	return n
 }
 
-// entryOverhead is the measured memory of an entry without its answer, in
-// bytes (BenchmarkLedgerMemory).
+// entryOverhead is the memory of an entry without its response in bytes, as measured
+// by BenchmarkLedgerMemory.
 const entryOverhead = 700
 
-// KeyDecision is the ledger's decision on a request. Its kinds are [Start], [Wait],
-// [Replay], [Conflict] and [Deny].
+// KeyDecision is the ledger's decision on a request: [Start], [Wait], [Replay],
+// [Conflict] or [Deny].
 type KeyDecision interface{ isKeyDecision() }
 
-// Start lets the request run. It is given once for a key.
+// Start allows the request to run. It is returned once per key.
 type Start struct{}
 
 // Wait means that the first attempt is still running.
 type Wait struct{ First *FirstAttempt }
 
-// FirstAttempt is the attempt that runs a key. Whoever waits for it gets its end: if
-// it was surely not run, that is their answer too, and none of them runs the key
-// in its place, for then not-run would have been said of a key that runs a moment
-// later.
+// FirstAttempt is the attempt that runs a key. Requests waiting for it get its outcome,
+// also if it was not run: none of them may run the key in its place, since not-run
+// would then have been reported for a key that runs a moment later.
 type FirstAttempt struct {
-	// Done is closed when the attempt has ended.
+	// Done is closed when the attempt has finished.
 	Done chan struct{}
 	// Outcome may be read once Done is closed.
 	Outcome coordination.Outcome
 }
 
-// Replay means that the request has run; Answer is what it returned.
+// Replay means that the request has run; Answer is its response.
 type Replay struct{ Answer *StoredAnswer }
 
-// Conflict means that the key was used for another request.
+// Conflict means that the key was used for a different request.
 type Conflict struct{}
 
-// Deny refuses the request.
+// Deny refuses the request with an outcome.
 type Deny struct{ Outcome coordination.Outcome }
 
 func (Start) isKeyDecision()    {}
@@ -96,13 +95,13 @@
 	expires     time.Time
 	first       *FirstAttempt
 	running     bool
-	answer      *StoredAnswer // nil while running and when the end is unknown
+	answer      *StoredAnswer // nil while running and if the outcome is unknown
 	bytes       int
 }
 
-// Ledger records keys from the moment before their first byte is written. It
-// never forgets a key before its window has passed: when it is full it refuses
-// new keys. A Ledger must be guarded by its owner.
+// Ledger records keys before the first byte of their requests is written. It never
+// forgets a key before its window has passed: when it is full it refuses new keys. A
+// Ledger is not safe for concurrent use.
 type Ledger struct {
 	entries map[LedgerKey]*list.Element
 	order   *list.List // of *ledgerEntry by expiry
@@ -110,23 +109,23 @@
 	limit   int
 }
 
-// NewLedger returns a ledger that holds at most limit bytes.
+// NewLedger returns a ledger that uses at most limit bytes.
 func NewLedger(limit int) *Ledger {
 	return &Ledger{entries: make(map[LedgerKey]*list.Element), order: list.New(), limit: limit}
 }
 
-// Len returns the number of keys held.
+// Len returns the number of recorded keys.
 func (l *Ledger) Len() int { return len(l.entries) }
 
-// Bytes returns the estimated memory held.
+// Bytes returns the estimated memory in use.
 func (l *Ledger) Bytes() int { return l.bytes }
 
-// ledgerFullRetry is when a caller may come back to a full ledger: entries
-// expire all the time, so a short wait will do.
+// ledgerFullRetry is the retry delay when the ledger is full. It is short because
+// entries expire all the time.
 const ledgerFullRetry = 2 * time.Second
 
-// unknownEndRetry is when a caller may ask again about a key whose end is
-// unknown. Asking again can't change it, so the time is long.
+// unknownEndRetry is the retry delay for a key whose outcome is unknown. It is long
+// because a retry can't change the outcome.
 const unknownEndRetry = 30 * time.Second
 
 // Begin asks to run a request. keep is how long the key must be remembered.
@@ -156,8 +155,8 @@
 	return Deny{coordination.MayHaveRun{Reason: coordination.ReasonKeyUnknownEnd, RetryAfter: unknownEndRetry}}
 }
 
-// insert keeps the order by expiry. Keys mostly come with the same window, so
-// the search from the back is short.
+// insert keeps the list ordered by expiry. Most keys have the same window, so the
+// search from the back is short.
 func (l *Ledger) insert(e *ledgerEntry) *list.Element {
 	for el := l.order.Back(); el != nil; el = el.Prev() {
 		if !el.Value.(*ledgerEntry).expires.After(e.expires) {
@@ -167,9 +166,9 @@
 	return l.order.PushFront(e)
 }
 
-// Finish records how the request of a key ended. A request that was surely not
-// run is forgotten, so that a repeat may start it. An answer that no longer
-// fits is dropped and its key is kept: repeats are then refused, not run.
+// Finish records the outcome of the request of a key. A key whose request was not run
+// is forgotten, so that a repeat may start it. If a response does not fit, it is
+// dropped and the key is kept: repeats are then refused, not run.
 func (l *Ledger) Finish(key LedgerKey, o coordination.Outcome, answer *StoredAnswer) {
 	el, ok := l.entries[key]
 	if !ok {
@@ -200,7 +199,7 @@
 			return
 		}
 		if e.running {
-			// A running key must outlive its window: move it out of the way.
+			// A running key must be kept beyond its window, so extend its expiry.
 			e.expires = now.Add(time.Minute)
 			l.order.Remove(el)
 			l.entries[e.key] = l.insert(e)
--- a/coordination/fleet/overlay.go
+++ b/coordination/fleet/overlay.go
@@ -1,12 +1,12 @@
-// This file chooses the peers with which a daemon has exchanges. Each daemon
-// has a few fixed neighbours, so connections and TLS sessions live long: a new
+// This file chooses the peers with which a daemon exchanges gossip. Each daemon has a
+// few fixed neighbours, so that connections and TLS sessions are long-lived: a new
 // handshake for every exchange would alone exceed the control budget.
 //
-// The daemons are ordered on several rings, each by a hash of its own, and a
-// daemon's neighbours are its successors. One ring already joins all its
-// daemons; further ones make the paths short (logarithmic in the number). Two
-// rings hold the own failure domain only and one the own region, so that a part
-// that is cut off stays joined within itself.
+// The daemons are ordered on several rings, each by its own hash, and a daemon's
+// neighbours are its successors. One ring already connects all its daemons; the
+// others shorten the paths to a length logarithmic in the number of daemons. Two
+// rings contain only the daemon's own failure domain and one its own region, so that
+// a part that is cut off stays connected within itself.
 
 package fleet
 
@@ -17,20 +17,20 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// ring says which daemons stand on a ring together with a given one.
+// ring defines which daemons share a ring with a given one.
 type ring uint8
 
 const (
-	domainRing ring = iota + 1 // those of the own failure domain
-	regionRing                 // those of the own region
-	fleetRing                  // all
+	domainRing ring = iota + 1 // daemons of the same failure domain
+	regionRing                 // daemons of the same region
+	fleetRing                  // all daemons
 )
 
-// rings are the rings of every daemon.
+// rings lists the rings of every daemon.
 var rings = []ring{domainRing, domainRing, regionRing, fleetRing}
 
-// neighbours returns the successors of self on its rings, without repeats.
-// usable reports which daemons count; region maps a failure domain to its region.
+// neighbours returns the successors of self on its rings, without duplicates. usable
+// selects the daemons to consider; region maps a failure domain to its region.
 func neighbours(self Self, daemons []state.Member, region func(state.FailureDomain) state.RegionID, usable func(*state.Member) bool) []state.Member {
 	var out []state.Member
 	for i, r := range rings {
@@ -64,7 +64,7 @@
 	return false
 }
 
-// successor returns the daemon that follows self on the ring of a salt.
+// successor returns the daemon that follows self on the ring with this salt.
 func successor(self Self, daemons []state.Member, salt uint64, allowed func(*state.Member) bool) *state.Member {
 	own := coordination.Rank(salt, coordination.Hash(string(self.ID)))
 	var best *state.Member
@@ -74,7 +74,7 @@
 		if m.ID == string(self.ID) || !allowed(m) {
 			continue
 		}
-		// The difference wraps around, as the ring does.
+		// The difference wraps around like the ring.
 		distance := coordination.Rank(salt, coordination.Hash(m.ID)) - own
 		if best == nil || distance < bestDistance {
 			best, bestDistance = m, distance
--- a/coordination/fleet/report.go
+++ b/coordination/fleet/report.go
@@ -6,21 +6,21 @@
 
 import "hingewinch.org/hingewinch/state"
 
-// Report is what the daemon that watches an upstream publishes of it.
+// Report is what the daemon that watches an upstream publishes about it.
 type Report struct {
 	ID          state.UpstreamID
 	Incarnation state.Incarnation
 	State       state.MemberState
 	Load        state.Load
 	Admission   state.Admission
-	Seq         uint64 // grows with each report of an incarnation
+	Seq         uint64 // increases with each report of an incarnation
 }
 
-// Merge returns the join of two reports about one upstream. A higher
-// incarnation wins as a whole. Within one, a state never goes back, which makes
-// leaving sticky, and the figures come from the higher sequence number. Two
-// watchers may use one number: then the higher load and the lower admission are
-// taken, which errs towards less load.
+// Merge returns the join of two reports about one upstream. The higher incarnation
+// replaces the lower entirely. Within one incarnation a state never moves backwards,
+// so leaving is final, and load and admission come from the higher sequence number.
+// If two watchers used the same number, the higher load and the lower admission win,
+// which errs towards sending less.
 func (r Report) Merge(o Report) Report {
 	if r.Incarnation != o.Incarnation {
 		if r.Incarnation > o.Incarnation {
@@ -40,8 +40,8 @@
 	return out
 }
 
-// status combines a member of the platform's list with a report. The list
-// lags: a report of a later incarnation counts, one of an earlier does not.
+// status combines a member of the platform's list with a report. The list lags behind:
+// a report of a later incarnation counts, one of an earlier incarnation does not.
 func (r Report) status(m *state.Member) (state.Status, bool) {
 	if r.Incarnation < m.Incarnation {
 		return state.Status{}, false
--- a/coordination/fleet/reports.go
+++ b/coordination/fleet/reports.go
@@ -1,5 +1,5 @@
-// This file holds what the Fleet knows of single upstreams: which of them it
-// watches, what it reports of them and what peers reported.
+// This file holds the Fleet's state of single upstreams: which of them it watches,
+// what it reports about them and what peers reported.
 
 package fleet
 
@@ -11,32 +11,33 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// knownReport is a report with the position at which it last changed here and
-// the process that brought the change. Only that very process knows it already:
-// its successor under the same id has to be sent it, or a watcher that has
-// restarted would number its reports below those that others hold.
+// knownReport is a report with the local position of its last change and the process
+// that sent the change. Only that process already has it: its successor under the
+// same id must be sent the report, or a restarted watcher would number its reports
+// below those that other daemons hold.
 type knownReport struct {
 	Report
 	arrival uint64
 	from    source
 }
 
-// source names one process.
+// source identifies one process of a daemon.
 type source struct {
 	id          state.DaemonID
 	incarnation state.Incarnation
 }
 
-// minAdmissionStep and minLoadStep are the changes below which a report is not sent:
-// they keep a steady fleet silent.
+// minAdmissionStep, minLoadStep and minLoadShare are the smallest changes that are
+// reported, so that a steady fleet sends no reports. minLoadShare is relative to the
+// previous load.
 const (
 	minAdmissionStep = state.AdmitAll / 32
 	minLoadStep      = 500
 	minLoadShare     = 0.25
 )
 
-// seeUpstream takes in the report of a watched upstream, moves its admission, and
-// passes the result on if it changed enough.
+// seeUpstream processes the report of a watched upstream, updates its admission, and
+// publishes the result if it changed enough.
 func (f *Fleet) seeUpstream(ev UpstreamSeen) {
 	known := f.reports[ev.ID]
 	if known != nil && known.Incarnation > ev.Incarnation {
@@ -79,8 +80,8 @@
 	return f.config.Routing.Bound
 }
 
-// meanLoad returns the mean load of the upstreams that are interchangeable with
-// one, by what is known here. An upstream without a report counts as idle.
+// meanLoad returns the mean load of the upstreams that are interchangeable with id, as
+// far as reported here. An upstream without a report counts as idle.
 func (f *Fleet) meanLoad(id state.UpstreamID) float64 {
 	self := f.list.Find(string(id))
 	if self == nil {
@@ -105,7 +106,7 @@
 	return sum / float64(n)
 }
 
-// takeReport merges a report and marks it to be sent if it changed anything.
+// takeReport merges a report and queues it for sending if it changed anything.
 func (f *Fleet) takeReport(r Report, from source) {
 	known := f.reports[r.ID]
 	if known == nil {
@@ -125,8 +126,8 @@
 }
 
 // noteState records a change of state and makes it urgent: an upstream that leaves
-// must get no new work within seconds. The first report that an upstream lives is
-// no change.
+// must get no new work within seconds. The first report that an upstream is live does
+// not count as a change.
 func (f *Fleet) noteState(old, next Report) {
 	first := old.State == 0 && next.State == state.Live
 	if first || (old.State == next.State && old.Incarnation == next.Incarnation) {
@@ -137,7 +138,7 @@
 	f.record(coordination.EventUpstreamState, string(next.ID), "upstream is %v (incarnation %d)", next.State, next.Incarnation)
 }
 
-// dropReports forgets upstreams that the list no longer names.
+// dropReports drops the reports of upstreams that are no longer listed.
 func (f *Fleet) dropReports() {
 	for id := range f.reports {
 		if f.list.Find(string(id)) == nil {
@@ -146,9 +147,9 @@
 	}
 }
 
-// statuses combines list and reports for the snapshot. An upstream that has
-// just failed here keeps its place with an admission of 0: it is chosen only if
-// every other one has none either.
+// statuses combines list and reports for the snapshot. An upstream that has just
+// failed here stays in the pool with an admission of 0, so it is chosen only if all
+// others have an admission of 0 too.
 func (f *Fleet) statuses() map[state.UpstreamID]state.Status {
 	out := make(map[state.UpstreamID]state.Status, len(f.reports))
 	for id, r := range f.reports {
@@ -171,9 +172,9 @@
 	return out
 }
 
-// watch chooses the upstreams that this daemon watches: those for which it
-// ranks first among the daemons of the upstream's failure domain or, where that
-// has none, of its region.
+// watch updates the set of upstreams that this daemon watches: those for which it
+// ranks first among the daemons of the upstream's failure domain or, if the domain
+// has no daemon, of its region.
 func (f *Fleet) watch() {
 	byDomain := make(map[state.FailureDomain][]state.Member)
 	var usable []state.Member
--- a/coordination/fleet/ticket.go
+++ b/coordination/fleet/ticket.go
@@ -1,5 +1,6 @@
-// This file defines tickets: keys that name the one incarnation of a daemon that may
-// run them. They make at-most-once hold without any shared state, list or clock.
+// This file defines tickets: keys that name the one daemon incarnation that may run
+// them. They guarantee at-most-once execution without shared state, member list or
+// synchronized clock.
 
 package fleet
 
@@ -20,7 +21,7 @@
 type Ticket struct {
 	Daemon      state.DaemonID
 	Incarnation state.Incarnation
-	Expires     time.Duration // since the issuer's start, by its own clock
+	Expires     time.Duration // since the issuer's start, by the issuer's clock
 	Nonce       string
 	mac         string
 }
@@ -29,20 +30,20 @@
 	ticketPrefix   = "hwt1."
 	ticketFields   = 4 // daemon, incarnation, expiry, nonce
 	ticketSep      = "|"
-	ticketMACBytes = 16 // of HMAC-SHA-256, cut to 128 bits
+	ticketMACBytes = 16 // HMAC-SHA-256, truncated to 128 bits
 )
 
-// Errors of tickets.
+// Errors of ticket parsing and verification.
 var (
 	errTicketMalformed = errors.New("ticket is malformed; send it exactly as it was issued")
-	ErrTicketForged    = errors.New("ticket was not issued for this workspace and service; take a new one")
+	ErrTicketForged    = errors.New("ticket was not issued for this workspace and service; request a new one")
 )
 
 // IsTicket reports whether a caller's key claims to be a ticket.
 func IsTicket(key string) bool { return strings.HasPrefix(key, ticketPrefix) }
 
-// ParseTicket reads a ticket without checking who made it: any daemon can read
-// where to send it, and only the issuer can check it.
+// ParseTicket decodes a ticket without verifying it: any daemon can read to which
+// daemon it belongs, and only the issuer can verify it.
 func ParseTicket(key string) (Ticket, error) {
 	body, mac, ok := strings.Cut(strings.TrimPrefix(key, ticketPrefix), ".")
 	if !ok || !IsTicket(key) {
@@ -71,7 +72,7 @@
 	return t, nil
 }
 
-// maxExpires keeps the arithmetic on a ticket's age far from overflow.
+// maxExpires prevents overflow in the arithmetic on a ticket's age.
 const maxExpires = 100 * 365 * 24 * time.Hour
 
 func (t Ticket) payload() string {
@@ -83,10 +84,10 @@
 	}, ticketSep)
 }
 
-// TicketIssuer issues and checks the tickets of one incarnation. The secret is made at
-// start and never leaves the process, so a ticket of an earlier start can't be
-// mistaken for one of this even if both carry one number.
-// It is immutable and safe for use by many goroutines.
+// TicketIssuer issues and verifies the tickets of one incarnation. The secret is
+// generated at start and never leaves the process, so a ticket of an earlier process
+// is rejected even if both processes have the same incarnation number. A TicketIssuer
+// is immutable and safe for concurrent use.
 type TicketIssuer struct {
 	daemon      state.DaemonID
 	incarnation state.Incarnation
@@ -99,9 +100,9 @@
 	return &TicketIssuer{daemon: d, incarnation: inc, secret: secret}
 }
 
-// Issue returns a new ticket. expires is when it ends, as the time since this
-// daemon's start; the ticket carries it, so that a later change of the settings
-// can't make a ticket outlive its entry in the ledger.
+// Issue returns a new ticket. expires is its expiry as the time since this daemon's
+// start; the ticket carries it, so that a later change of the settings can't make a
+// ticket outlive its entry in the ledger.
 func (i *TicketIssuer) Issue(w state.WorkspaceID, s state.ServiceID, expires time.Duration, nonce string) string {
 	t := Ticket{Daemon: i.daemon, Incarnation: i.incarnation, Expires: expires, Nonce: nonce}
 	body := base64.RawURLEncoding.EncodeToString([]byte(t.payload()))
@@ -112,8 +113,8 @@
 	return base64.RawURLEncoding.EncodeToString(i.mac(ticketPrefix, string(w), string(s), t.payload()))
 }
 
-// mac authenticates fields, each with its length before it. The first names
-// what is signed, so that nothing signed for one use passes for another.
+// mac authenticates fields, each prefixed with its length. The first field names the
+// purpose, so that a MAC made for one purpose is not valid for another.
 func (i *TicketIssuer) mac(fields ...string) []byte {
 	m := hmac.New(sha256.New, i.secret)
 	for _, field := range fields {
@@ -123,10 +124,10 @@
 	return m.Sum(nil)[:ticketMACBytes]
 }
 
-// Admit decides whether this incarnation may look the ticket up in its ledger.
-// age is the time since the daemon's start. A nil outcome with a nil error means
-// yes; left is then how long the ledger must at least remember the ticket. An
-// expired ticket is refused for good: its entry may have been forgotten.
+// Admit decides whether this incarnation may look the ticket up in its ledger. age is
+// the time since the daemon's start. A nil outcome with a nil error means yes; left
+// is then the least time for which the ledger must remember the ticket. An expired
+// ticket is always refused, because its entry may have been forgotten.
 func (i *TicketIssuer) Admit(t Ticket, w state.WorkspaceID, s state.ServiceID, age time.Duration) (left time.Duration, refusal coordination.Outcome, err error) {
 	if t.Daemon != i.daemon || t.Incarnation != i.incarnation {
 		return 0, coordination.MayHaveRun{Reason: coordination.ReasonTicketSpent, RetryAfter: unknownEndRetry}, nil
--- a/coordination/hlc.go
+++ b/coordination/hlc.go
@@ -1,6 +1,6 @@
-// This file defines the hybrid logical clock that stamps events, so that a
-// merged time line never shows an effect before its cause although the VMs'
-// clocks differ (Kulkarni et al., "Logical Physical Clocks", 2014).
+// This file defines the hybrid logical clock that timestamps events, so that a merged
+// timeline never shows an effect before its cause although the clocks of the VMs
+// differ (Kulkarni et al., "Logical Physical Clocks", 2014).
 
 package coordination
 
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// Stamp is a point in hybrid logical time.
+// Stamp is a hybrid logical timestamp.
 type Stamp struct {
 	Wall    int64 // nanoseconds of Unix time
 	Counter uint32
 }
 
-// MaxStampLead is how far ahead of the own clock a received stamp may be. A
-// stamp beyond it is cut, so that one VM with a wrong clock can't drag the
-// whole fleet's time line into the future.
+// MaxStampLead is how far a received stamp may be ahead of the local clock. A later
+// stamp is truncated to this limit, so that one VM with a wrong clock can't move the
+// timeline of the whole fleet into the future.
 const MaxStampLead = 10 * time.Minute
 
 // Compare orders stamps.
@@ -35,15 +35,15 @@
 	return 0
 }
 
-// String formats the stamp as UTC time, with the counter behind it.
+// String formats the stamp as UTC time, followed by the counter.
 func (s Stamp) String() string {
 	return fmt.Sprintf("%s+%d", time.Unix(0, s.Wall).UTC().Format("15:04:05.000000"), s.Counter)
 }
 
-// HybridClock issues stamps. It must be guarded by its owner.
+// HybridClock issues stamps. It is not safe for concurrent use.
 type HybridClock struct{ last Stamp }
 
-// Next returns the stamp of a local event at the wall time now.
+// Next returns the stamp of a local event at wall time now.
 func (c *HybridClock) Next(now time.Time) Stamp {
 	wall := now.UnixNano()
 	if wall > c.last.Wall {
@@ -54,8 +54,8 @@
 	return c.last
 }
 
-// Observe takes in the stamp of a message that was received at the wall time
-// now. Stamps issued afterwards are later than it.
+// Observe records the stamp of a message that was received at wall time now. Stamps
+// issued afterwards are later than it.
 func (c *HybridClock) Observe(now time.Time, received Stamp) {
 	limit := now.Add(MaxStampLead).UnixNano()
 	if received.Wall > limit {
--- a/coordination/outcome.go
+++ b/coordination/outcome.go
@@ -1,5 +1,5 @@
-// This file defines how an attempt can end. The three kinds are the only ones
-// there are: an end that is not known is MayHaveRun.
+// This file defines the outcomes of an attempt. There are only three kinds: an outcome
+// that is not known is MayHaveRun.
 
 package coordination
 
@@ -8,22 +8,21 @@
 	"time"
 )
 
-// Outcome is how a request ended. Its kinds are [Answered], [NotRun] and
-// [MayHaveRun].
+// Outcome is how a request ended: [Answered], [NotRun] or [MayHaveRun].
 type Outcome interface{ isOutcome() }
 
-// Answered means that the upstream's whole answer is known.
+// Answered means that the upstream's complete response was received.
 type Answered struct{ Status int }
 
-// NotRun means that no byte of the request reached an upstream, or that the
-// upstream itself said that it did not run it.
+// NotRun means that no byte of the request reached an upstream, or that the upstream
+// reported that it did not run the request.
 type NotRun struct {
 	Reason     Reason
 	RetryAfter time.Duration
 }
 
-// MayHaveRun means that bytes of the request were written and the answer is
-// not known.
+// MayHaveRun means that bytes of the request were written and the response is not
+// known.
 type MayHaveRun struct {
 	Reason     Reason
 	RetryAfter time.Duration
@@ -39,7 +38,7 @@
 	_ Outcome = MayHaveRun{}
 )
 
-// Reason names why a request was refused, in the form that callers can match.
+// Reason is the machine-readable reason of a refusal.
 type Reason string
 
 // The reasons of refusals.
@@ -67,27 +66,27 @@
 
 var remedies = map[Reason]string{
 	ReasonNoUpstream:       "no upstream is in service; send again after the time in Retry-After",
-	ReasonEvacuated:        "operators have evacuated all that serve this; send again after the time in Retry-After",
-	ReasonCold:             "all that serve this are cold and take few requests; send again after the time in Retry-After",
-	ReasonResting:          "all that could serve this have asked for a pause; send again after the time in Retry-After",
-	ReasonHeldBack:         "upstreams ended while they ran this request; it is held back. Change it, or ask the operators to release it",
-	ReasonConnect:          "no upstream took the connection; send again after the time in Retry-After",
+	ReasonEvacuated:        "operators have evacuated all upstreams for this request; send again after the time in Retry-After",
+	ReasonCold:             "all upstreams for this request are cold and accept few requests; send again after the time in Retry-After",
+	ReasonResting:          "all upstreams for this request have requested a backoff; send again after the time in Retry-After",
+	ReasonHeldBack:         "upstreams crashed while running this request, so it is quarantined; change it, or ask the operators to release it",
+	ReasonConnect:          "no upstream accepted the connection; send again after the time in Retry-After",
 	ReasonUpstreamBusy:     "the upstream refused the request; send again after the time in Retry-After",
-	ReasonBrokenAnswer:     "the answer broke off; check the effect before sending again",
-	ReasonNoAnswer:         "the upstream gave no answer; check the effect before sending again",
+	ReasonBrokenAnswer:     "the response was incomplete; check the effect before sending again",
+	ReasonNoAnswer:         "the upstream sent no response; check the effect before sending again",
 	ReasonDeadline:         "the deadline passed; allow more time or send again later",
-	ReasonNoConfig:         "this daemon knows no configuration yet; send again after the time in Retry-After",
+	ReasonNoConfig:         "this daemon has no configuration yet; send again after the time in Retry-After",
 	ReasonOwnerUnreachable: "the daemon that owns this key can't be reached; repeat with the same key after the time in Retry-After",
-	ReasonOwnerNotSettled:  "the daemon that owns this key took it over a short time ago; repeat with the same key after the time in Retry-After",
+	ReasonOwnerNotSettled:  "the daemon that owns this key became its owner only recently; repeat with the same key after the time in Retry-After",
 	ReasonOwnerListStale:   "the member list can't be confirmed; repeat with the same key later, or use a ticket for new requests",
 	ReasonTicketSpent:      "the daemon that issued the ticket is gone; check the effect, then take a new ticket",
 	ReasonTicketExpired:    "the ticket has expired; check the effect, then take a new ticket",
-	ReasonKeyUnknownEnd:    "an earlier attempt with this key has an unknown end; check the effect before using a new key",
-	ReasonLedgerFull:       "this daemon holds too many keys; repeat after the time in Retry-After",
-	ReasonAnswerTooLarge:   "the answer is larger than the daemon holds; ask for a smaller or a streamed one",
+	ReasonKeyUnknownEnd:    "the outcome of an earlier attempt with this key is unknown; check the effect before using a new key",
+	ReasonLedgerFull:       "this daemon has no memory left for new keys; repeat after the time in Retry-After",
+	ReasonAnswerTooLarge:   "the response is larger than the limit of the daemon; request a smaller or a streamed one",
 }
 
-// Remedy says what the caller can do.
+// Remedy returns a text that tells the caller what to do.
 func (r Reason) Remedy() string { return remedies[r] }
 
 // OutcomeName returns the machine-readable name that callers see.
@@ -103,8 +102,8 @@
 	return fmt.Sprintf("unknown outcome %T", o)
 }
 
-// MayRunAgain reports whether a daemon may send the request to another upstream
-// by itself.
+// MayRetry reports whether a daemon may send the request to another upstream on its
+// own.
 func MayRetry(o Outcome) bool {
 	_, notRun := o.(NotRun)
 	return notRun
--- a/coordination/timeline.go
+++ b/coordination/timeline.go
@@ -1,5 +1,5 @@
-// This file defines the ring of events that each daemon keeps, and the merge of
-// many rings into one time line.
+// This file defines the ring buffer of events that each daemon keeps, and merges the
+// buffers of many daemons into one timeline.
 
 package coordination
 
@@ -9,10 +9,10 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// EventKind names what happened.
+// EventKind is the kind of a timeline event.
 type EventKind string
 
-// The kinds of events on the time line.
+// The kinds of timeline events.
 const (
 	EventStarted       EventKind = "daemon-started"
 	EventStopBegun     EventKind = "stop-begun"
@@ -32,7 +32,7 @@
 	EventPlatform      EventKind = "platform"
 )
 
-// TimelineEvent is one entry of the time line.
+// TimelineEvent is one entry of the timeline.
 type TimelineEvent struct {
 	Stamp  Stamp           `json:"stamp"`
 	Daemon state.DaemonID  `json:"daemon"`
@@ -42,17 +42,17 @@
 	ID     state.RequestID `json:"request,omitempty"`
 }
 
-// Ring keeps the newest events. It must be guarded by its owner.
+// Ring is a ring buffer of the newest events. It is not safe for concurrent use.
 type Ring struct {
 	events []TimelineEvent
 	next   int
 	full   bool
 }
 
-// NewRing returns a ring for n events.
+// NewRing returns a ring buffer for n events.
 func NewRing(n int) *Ring { return &Ring{events: make([]TimelineEvent, n)} }
 
-// Add puts an event in, in place of the oldest if the ring is full.
+// Add appends an event and overwrites the oldest if the buffer is full.
 func (r *Ring) Add(e TimelineEvent) {
 	r.events[r.next] = e
 	r.next++
@@ -70,8 +70,8 @@
 	return append(out, r.events[:r.next]...)
 }
 
-// MergeTimelines orders the events of many daemons by stamp, then by daemon, so
-// that every reader sees the same order.
+// MergeTimelines orders the events of many daemons by stamp, then by daemon, so that
+// the order is deterministic.
 func MergeTimelines(rings ...[]TimelineEvent) []TimelineEvent {
 	var out []TimelineEvent
 	for _, events := range rings {
