--- a/daemon/openai/control.go
+++ b/daemon/openai/control.go
@@ -1,5 +1,5 @@
-// This file runs the control loop: the one goroutine that owns the fleet state,
-// and the goroutines that do what it asks for.
+// This file runs the control loop: the one goroutine that owns the fleet state, and
+// the goroutines that execute the effects it requests.
 
 package openai
 
@@ -21,10 +21,10 @@
 	"hingewinch.org/hingewinch/transport/gateway"
 )
 
-// eventQueue is how many events may wait for the control loop.
+// eventQueue is the capacity of the control loop's event queue.
 const eventQueue = 256
 
-// configName stands for the file in messages about a configuration.
+// configName replaces the file name in messages about a configuration.
 const configName = "configuration"
 
 // control runs the control loop of a daemon.
@@ -44,11 +44,11 @@
 
 	mu        sync.Mutex
 	exchanges map[string]*underWay       // by address of the peer
-	fetching  map[peer.DocumentKind]bool // kinds with a fetch under way
+	fetching  map[peer.DocumentKind]bool // kinds with a fetch in progress
 	wg        sync.WaitGroup
 }
 
-// conversation is an exchange that a peer began.
+// conversation is an exchange that a peer initiated.
 type conversation struct {
 	gossip fleet.Gossip
 	reply  chan fleet.Gossip
@@ -72,7 +72,7 @@
 // Snapshot returns the newest snapshot.
 func (c *control) Snapshot() *state.Snapshot { return c.snapshot.Load() }
 
-// post hands an event to the loop.
+// post sends an event to the loop.
 func (c *control) post(ev fleet.Event) {
 	select {
 	case c.events <- ev:
@@ -80,8 +80,8 @@
 	}
 }
 
-// hint hands an event to the loop if it has room. Traffic uses it: a request
-// must not wait for the control loop.
+// hint sends an event to the loop and drops it if the queue is full. Request handlers
+// use it, because a request must not wait for the control loop.
 func (c *control) hint(ev fleet.Event) {
 	select {
 	case c.events <- ev:
@@ -91,7 +91,7 @@
 
 var errStopped = errors.New("daemon has stopped")
 
-// Converse answers a peer's message.
+// Converse processes a peer's message and returns this daemon's.
 func (c *control) Converse(ctx context.Context, n fleet.Gossip) (fleet.Gossip, error) {
 	conv := conversation{gossip: n, reply: make(chan fleet.Gossip, 1)}
 	select {
@@ -109,7 +109,7 @@
 	}
 }
 
-// run is the control loop. It returns when ctx ends.
+// run runs the control loop until ctx ends.
 func (c *control) run(ctx context.Context) {
 	defer close(c.done)
 	ticker := time.NewTicker(fleet.TickInterval)
@@ -162,7 +162,7 @@
 	}
 }
 
-// hold keeps the texts of what is in force, for peers that fetch them.
+// hold retains the texts of the documents in force, for peers that fetch them.
 func (c *control) hold(s *state.Snapshot) {
 	if s.Members != nil {
 		c.documents.put(peer.DocumentKind_DOCUMENT_KIND_LIST, s.Members.Head, s.Members.Text)
--- a/daemon/openai/daemon.go
+++ b/daemon/openai/daemon.go
@@ -1,4 +1,4 @@
-// This file puts a daemon together, runs it and stops it as planned.
+// This file assembles, runs and gracefully shuts down a daemon.
 
 package openai
 
@@ -26,13 +26,13 @@
 	"hingewinch.org/hingewinch/transport/gateway"
 )
 
-// serverLimits are those of all listeners.
+// serverLimits are the limits of all listeners.
 var serverLimits = daemon.Limits{ReadHeader: 10 * time.Second, Idle: 2 * time.Minute, HeaderBytes: 32 << 10}
 
 // secretBytes is the length of the secret that signs tickets.
 const secretBytes = 32
 
-// Daemon is one running daemon.
+// Daemon is a running daemon of the OpenAI front end.
 type Daemon struct {
 	settings    *Settings
 	incarnation state.Incarnation
@@ -47,8 +47,7 @@
 	callers, peers, operators *daemon.Listener
 }
 
-// New opens the listeners and puts the parts together. Nothing is served before
-// Run.
+// New opens the listeners and assembles the components. Nothing is served before Run.
 func New(s *Settings, logger *log.Logger) (*Daemon, error) {
 	d := &Daemon{settings: s, incarnation: state.Incarnation(time.Now().UnixNano()), metrics: gateway.NewMetrics()}
 	d.recorder = transport.NewRecorder(s.ID, logger)
@@ -106,7 +105,7 @@
 	return l, nil
 }
 
-// serverLog takes the messages of net/http's server.
+// serverLog forwards the messages of net/http's server to the logger.
 type serverLog struct{ logger *log.Logger }
 
 // Write logs one message.
@@ -169,12 +168,12 @@
 	return binary.LittleEndian.Uint64(b), b[8:], nil
 }
 
-// CallerAddress returns where callers are served.
+// CallerAddress returns the address of the callers' listener.
 func (d *Daemon) CallerAddress() string { return d.callers.Address() }
 
-// Run serves until ctx ends, and then stops as planned: the health check fails,
-// new requests are served for the time of notice, and Run returns when the last
-// request in flight has its answer.
+// Run serves until ctx ends, and then shuts down gracefully: the health check fails,
+// new requests are served for the configured notice period, and Run returns when the
+// last request in flight has been answered.
 func (d *Daemon) Run(ctx context.Context) error {
 	work, endWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer endWork()
@@ -205,17 +204,17 @@
 	return err
 }
 
-// stop is the planned stop. Peers and operators are served to its end, so that
-// requests that this daemon keeps can still be repeated through others.
+// stop shuts down gracefully. Peers and operators are served to the end, so that
+// requests whose keys this daemon owns can still be repeated through others.
 func (d *Daemon) stop() {
 	d.draining.Store(true)
 	d.gateway.Drain()
 	d.control.post(fleet.StopBegun{})
 	time.Sleep(d.settings.Stop.Notice)
-	// No time limit: what is in flight ends in peace.
+	// No time limit: requests in flight are completed.
 	_ = d.callers.Server.Shutdown(context.Background())
 	_ = d.peers.Server.Shutdown(context.Background())
-	d.recorder.Record(coordination.EventStopped, string(d.settings.ID), "", "all requests have their answers; daemon ends")
+	d.recorder.Record(coordination.EventStopped, string(d.settings.ID), "", "all requests are completed; daemon exits")
 	_ = d.operators.Server.Shutdown(context.Background())
 }
 
--- a/daemon/openai/doc.go
+++ b/daemon/openai/doc.go
@@ -1,9 +1,9 @@
-// Package openai wires the OpenAI front end into one process: it reads the settings,
-// opens the listeners, runs the control loop and stops as planned.
+// Package openai assembles the OpenAI front end in one process: it reads the settings,
+// opens the listeners, runs the control loop and shuts down gracefully.
 //
-// One goroutine owns the control state. It takes typed events from a channel,
-// hands them to a fleet.Fleet and carries out the effects; traffic reads
-// the snapshots that it publishes.
+// One goroutine owns the control state. It receives typed events from a channel,
+// passes them to a fleet.Fleet and executes the effects; request handlers read the
+// snapshots that it publishes.
 //
 // # Usage
 //
--- a/daemon/openai/documents.go
+++ b/daemon/openai/documents.go
@@ -1,5 +1,5 @@
-// This file holds the published documents' texts, so that peers can fetch the
-// difference from the content that they have.
+// This file holds the texts of the published documents, so that peers can fetch the
+// difference from the version that they have.
 
 package openai
 
@@ -11,8 +11,8 @@
 	"hingewinch.org/hingewinch/transport/gateway"
 )
 
-// documentsKept is how many contents of each kind are held. A peer that is
-// further behind gets the whole text.
+// documentsKept is the number of versions of each kind that are kept. A peer that is
+// further behind gets the complete text.
 const documentsKept = 4
 
 type document struct {
@@ -20,7 +20,7 @@
 	text []byte
 }
 
-// documents is safe for use by many goroutines.
+// documents holds the newest versions of each document. It is safe for concurrent use.
 type documents struct {
 	mu   sync.Mutex
 	kept map[peer.DocumentKind][]document // newest first
@@ -32,7 +32,7 @@
 	return &documents{kept: make(map[peer.DocumentKind][]document)}
 }
 
-// put holds a content if it is newer than those that are held.
+// put adds a version if it is newer than those that are held.
 func (d *documents) put(kind peer.DocumentKind, head state.Head, text []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -44,7 +44,7 @@
 	d.kept[kind] = kept[:min(len(kept), documentsKept)]
 }
 
-// newest returns the newest content; its text is nil if there is none.
+// newest returns the newest version; its text is nil if there is none.
 func (d *documents) newest(kind peer.DocumentKind) (state.Head, []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -54,7 +54,7 @@
 	return state.Head{}, nil
 }
 
-// Document returns the newest content and the text of an older one.
+// Document returns the newest version and the text of the version have, if held.
 func (d *documents) Document(kind peer.DocumentKind, have state.Head) (head state.Head, text, base []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/daemon/openai/exchange.go
+++ b/daemon/openai/exchange.go
@@ -1,5 +1,5 @@
-// This file carries out the exchanges and fetches that the control loop asks for,
-// one at a time with each peer, and hands back what they bring.
+// This file executes the exchanges and fetches that the control loop requests, one
+// exchange at a time with each peer, and posts their results.
 
 package openai
 
@@ -15,12 +15,12 @@
 	"hingewinch.org/hingewinch/transport"
 )
 
-// underWay is an exchange under way, with the message to be sent after it.
+// underWay is an exchange in progress, with the message to send after it.
 type underWay struct{ next *fleet.SendGossip }
 
-// exchange begins an exchange. While one with the peer is under way the newest
-// message waits for it: a peer that hangs must not gather goroutines, and an
-// urgent message must not be lost.
+// exchange starts an exchange. While one with the same peer is in progress, only the
+// newest message waits for it: a peer that hangs must not accumulate goroutines, and
+// an urgent message must not be lost.
 func (c *control) exchange(ctx context.Context, eff fleet.SendGossip) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -37,7 +37,7 @@
 	})
 }
 
-// endExchange returns the message that has waited, or nil.
+// endExchange returns the waiting message, or nil.
 func (c *control) endExchange(t *underWay, address string) *fleet.SendGossip {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,7 +63,7 @@
 	c.post(fleet.GossipReceived{Gossip: answer, Asked: asked})
 }
 
-// claimFetch marks a fetch as under way; it is false if one already is.
+// claimFetch marks a fetch as in progress; it returns false if one already is.
 func (c *control) claimFetch(kind peer.DocumentKind) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,9 +96,9 @@
 	})
 }
 
-// learn parses a document, hands it to the loop and returns its head, which is
-// zero if it is not valid. Parsing is done here and not in the loop, which a file
-// of a megabyte would hold up. head names the text as it was announced.
+// learn parses a document, posts it to the loop and returns its head, which is zero if
+// the document is not valid. It runs outside the loop, because parsing a file of a
+// megabyte would block the loop. head is the announced head of the text.
 func (c *control) learn(kind peer.DocumentKind, head state.Head, text []byte, asked time.Time) state.Head {
 	if kind == peer.DocumentKind_DOCUMENT_KIND_CONFIG {
 		cfg, err := state.ParseConfig(configName, text)
--- a/daemon/openai/reader.go
+++ b/daemon/openai/reader.go
@@ -1,4 +1,4 @@
-// This file reads the platform's documents when the control loop asks for it.
+// This file reads the platform's documents when the control loop requests it.
 
 package openai
 
@@ -13,13 +13,13 @@
 	"hingewinch.org/hingewinch/transport/gateway"
 )
 
-// documentReader reads one document of the platform when it is asked to. While
-// a call waits at the platform further requests fall together.
+// documentReader reads one document of the platform on request. Requests that arrive
+// while a call waits at the platform are merged into one.
 type documentReader struct {
 	kind   peer.DocumentKind
 	reader *gateway.PlatformReader
 	wake   chan struct{}
-	last   state.Head // of the document that was read last
+	last   state.Head // of the last document that was read
 	failed bool
 }
 
@@ -68,10 +68,10 @@
 	d.last = c.learn(d.kind, state.HeadOf(0, text), text, asked)
 }
 
-// heldUntil returns until when an answer without a change is about: the platform
-// gives it only when the wait has ended, so the document stood nearly that long.
-// A tenth is taken off for clocks that run apart; an answer that came early is
-// about the moment of the question alone.
+// heldUntil returns the time for which an unchanged response confirms the document. The
+// platform sends it only when the wait has ended, so the document was current for
+// nearly that long. A tenth is subtracted for drift between the clocks. A response
+// that came earlier confirms only the time of the request.
 func heldUntil(asked, answered time.Time) time.Time {
 	if answered.Sub(asked) < gateway.PlatformWait {
 		return asked
@@ -84,5 +84,5 @@
 		c.recorder.Record(coordination.EventPlatform, "platform", "", "platform can't be read; the last documents stay in force: %v", err)
 		return
 	}
-	c.recorder.Record(coordination.EventPlatform, "platform", "", "platform is read again")
+	c.recorder.Record(coordination.EventPlatform, "platform", "", "platform can be read again")
 }
--- a/daemon/openai/settings.go
+++ b/daemon/openai/settings.go
@@ -1,5 +1,5 @@
-// This file defines the settings of one daemon. They are read once, at start,
-// and checked as a whole.
+// This file defines the settings of one daemon. They are read once, at start, and
+// validated as a whole.
 
 package openai
 
@@ -15,12 +15,12 @@
 	"hingewinch.org/hingewinch/transport/gateway"
 )
 
-// Settings are a daemon's settings file.
+// Settings is a daemon's settings file.
 type Settings struct {
 	ID       state.DaemonID      `yaml:"id"`
 	Domain   state.FailureDomain `yaml:"domain"`
 	Listen   Listeners           `yaml:"listen"`
-	Peer     string              `yaml:"peer_address"` // where peers reach this daemon; listen.peers if empty
+	Peer     string              `yaml:"peer_address"` // address for peers; listen.peers if empty
 	Platform string              `yaml:"platform"`     // base URL
 	Seeds    []string            `yaml:"seeds"`
 	TLS      TLSSettings         `yaml:"tls"`
@@ -36,21 +36,21 @@
 	Operators string `yaml:"operators"`
 }
 
-// TLSSettings name the files of the TLS identities. Callers' and peers' are
-// apart, since they are signed by different authorities.
+// TLSSettings name the files of the TLS identities. The identities for callers and for
+// peers are separate, since different authorities sign them.
 type TLSSettings struct {
 	Callers transport.TLSFiles `yaml:"callers"`
 	Peers   transport.TLSFiles `yaml:"peers"`
 }
 
-// StopSettings shape a planned stop.
+// StopSettings configure the graceful shutdown.
 type StopSettings struct {
-	// Notice is how long new requests are still taken after the health check
-	// fails. It must be longer than the balancer takes to notice.
+	// Notice is how long new requests are still accepted after the health check starts
+	// to fail. It must be longer than the load balancer takes to notice.
 	Notice time.Duration `yaml:"notice"`
 }
 
-// LimitSettings are the limits towards callers that operators may change.
+// LimitSettings are the limits for callers that operators may change.
 type LimitSettings struct {
 	BodyBytes   int64         `yaml:"body_bytes"`
 	AnswerBytes int64         `yaml:"answer_bytes"`
@@ -81,13 +81,13 @@
 	}
 }
 
-// LoadSettings reads and checks a settings file. The error lists every problem
-// with file, line and remedy.
+// LoadSettings reads and validates a settings file. The error lists every problem with
+// file, line and remedy.
 func LoadSettings(file string) (*Settings, error) {
 	return complete(daemon.LoadSettings(file, defaultSettings(), (*Settings).check))
 }
 
-// complete fills in what follows from other settings.
+// complete fills in settings that default to other settings.
 func complete(s *Settings, err error) (*Settings, error) {
 	if err == nil && s.Peer == "" {
 		s.Peer = s.Listen.Peers
@@ -99,7 +99,7 @@
 
 func (s *Settings) check(c *state.Checker) {
 	if !idRule.MatchString(string(s.ID)) {
-		c.Add(fmt.Sprintf("id %q is missing or not allowed", s.ID), "use at most 64 letters, digits and . _ -", "id")
+		c.Add(fmt.Sprintf("id %q is missing or invalid", s.ID), "use at most 64 letters, digits and . _ -", "id")
 	}
 	if s.Domain == "" {
 		c.Add("domain is missing", "name the failure domain of this VM", "domain")
@@ -123,10 +123,10 @@
 
 func (s *Settings) checkTLS(c *state.Checker) {
 	if t := s.TLS.Callers; !t.IsZero() && (t.Certificate == "" || t.Key == "") {
-		c.Add("tls for callers lacks certificate or key", "name both files, or leave the whole part out", "tls", "callers")
+		c.Add("tls for callers lacks certificate or key", "name both files, or omit the section", "tls", "callers")
 	}
 	if t := s.TLS.Peers; !t.IsZero() && (t.Certificate == "" || t.Key == "" || t.Authority == "") {
-		c.Add("tls for peers lacks certificate, key or authority", "name all three files, or leave the whole part out", "tls", "peers")
+		c.Add("tls for peers lacks certificate, key or authority", "name all three files, or omit the section", "tls", "peers")
 	}
 }
 
@@ -145,7 +145,7 @@
 		{"caller_stall", l.CallerStall > 0},
 	} {
 		if !limit.positive {
-			c.Add(limit.name+" is not above 0", "write a positive value or leave it out", "limits", limit.name)
+			c.Add(limit.name+" is not above 0", "write a positive value or omit it", "limits", limit.name)
 		}
 	}
 	if s.Stop.Notice < 0 {
--- a/transport/gateway/attempts.go
+++ b/transport/gateway/attempts.go
@@ -1,6 +1,6 @@
-// This file sends a request to one upstream of a pool after another, as long as
-// every attempt before was surely not run. It is the only place that sends a
-// request again.
+// This file sends a request to one upstream of a pool after another, as long as every
+// previous attempt is known not to have run. It is the only place that retries a
+// request.
 
 package gateway
 
@@ -14,10 +14,10 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// maxAttempts bounds the upstreams that are tried for one request.
+// maxAttempts is the number of upstreams that are tried for one request.
 const maxAttempts = 3
 
-// retries is a retry budget for many goroutines.
+// retries is a retry budget that is safe for concurrent use.
 type retries struct {
 	mu      sync.Mutex
 	budget  *fleet.RetryBudget
@@ -28,14 +28,14 @@
 	return &retries{budget: fleet.NewRetryBudget(), metrics: m}
 }
 
-// earn counts a first attempt.
+// earn credits a first attempt.
 func (r *retries) earn() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.budget.Earn()
 }
 
-// spend asks for a further one.
+// spend takes a retry from the budget.
 func (r *retries) spend() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -46,20 +46,20 @@
 	return true
 }
 
-// attempts chooses upstreams for one request.
+// attempts sends one request, to several upstreams if necessary.
 type attempts struct {
 	upstreams *Upstreams
 	retries   *retries
 	pool      *state.Pool
 	key       state.ChatKey
 	request   UpstreamRequest
-	// failed is called for each attempt without a response that the caller did not
-	// end: that one would say nothing of the upstream.
+	// failed is called for each attempt without a response, unless the caller cancelled
+	// the attempt, which would say nothing about the upstream.
 	failed func(c *state.Candidate, o coordination.Outcome, err error)
 }
 
-// send returns the first response, with the upstream that gave it, or how the
-// last attempt ended.
+// send returns the first response and the upstream that sent it, or the outcome of the
+// last attempt.
 func (a *attempts) send(ctx context.Context) (*http.Response, *state.Candidate, coordination.Outcome) {
 	var avoid []state.UpstreamID
 	var last coordination.Outcome = coordination.NotRun{Reason: coordination.ReasonNoUpstream, RetryAfter: defaultRetryTime}
--- a/transport/gateway/challenge.go
+++ b/transport/gateway/challenge.go
@@ -1,5 +1,5 @@
-// This file keeps the challenges that other daemons gave, so that a request for a key
-// is mostly forwarded with one call.
+// This file caches the challenges received from other daemons, so that most requests
+// with a key are forwarded in a single call.
 
 package gateway
 
@@ -10,8 +10,8 @@
 	"hingewinch.org/hingewinch/coordination/fleet"
 )
 
-// challengeCache keeps the last challenge of each owner of keys for half its life, so
-// that a busy daemon asks for one every few seconds and not for each request.
+// challengeCache keeps the last challenge of each key owner for half its lifetime, so
+// that a busy daemon asks for one every few seconds instead of for each request.
 type challengeCache struct {
 	mu   sync.Mutex
 	kept map[string]datedChallenge
--- a/transport/gateway/chat.go
+++ b/transport/gateway/chat.go
@@ -1,5 +1,5 @@
 // This file serves chat completions: it places a chat, sends it and returns the
-// whole answer or says that there is none.
+// complete response or an error.
 
 package gateway
 
@@ -70,7 +70,7 @@
 	}
 }
 
-// chatIdentity prefers the caller's chat id to what the body says.
+// chatIdentity prefers the caller's chat id over the identity derived from the body.
 func chatIdentity(r *http.Request, req *protocol.ChatRequest) []byte {
 	if id := r.Header.Get(protocol.HeaderChatID); id != "" {
 		return []byte(id)
@@ -78,8 +78,8 @@
 	return req.Identity()
 }
 
-// engineHeader is made from nothing: nothing that a caller sends in a header
-// reaches an engine but the content type.
+// engineHeader builds the header for an engine from scratch: apart from the content
+// type, nothing that a caller sends in a header reaches an engine.
 func engineHeader(c *call) http.Header {
 	h := http.Header{}
 	h.Set("Content-Type", "application/json")
@@ -94,7 +94,7 @@
 	return err == nil && t == "text/event-stream"
 }
 
-// deadlineOutcome names the deadline as the reason if that is what ended the
+// deadlineOutcome replaces the reason with the deadline if the deadline ended the
 // attempt.
 func (g *Gateway) deadlineOutcome(c *call, o coordination.Outcome) coordination.Outcome {
 	if context.Cause(c.r.Context()) != context.DeadlineExceeded {
@@ -106,8 +106,8 @@
 	return coordination.MayHaveRun{Reason: coordination.ReasonDeadline, RetryAfter: defaultRetryTime}
 }
 
-// relayWhole returns an answer that is not streamed. It is read to its end
-// first: a caller gets the whole of it or an error.
+// relayWhole returns a response that is not streamed. It reads the response to its end
+// first, so that the caller gets all of it or an error.
 func (g *Gateway) relayWhole(c *call, resp *http.Response) {
 	defer resp.Body.Close()
 	body, err := protocol.ReadBounded(resp.Body, resp.ContentLength, g.Limits.AnswerBytes)
@@ -122,8 +122,8 @@
 	g.answer(c, resp.StatusCode, protocol.ReturnHeader(resp.Header), body)
 }
 
-// answer writes a whole answer. The caller can see from the length if it was
-// cut.
+// answer writes a complete response. Content-Length lets the caller detect a truncated
+// one.
 func (g *Gateway) answer(c *call, status int, header http.Header, body []byte) {
 	h := c.w.Header()
 	for k, vs := range header {
@@ -142,7 +142,7 @@
 	}
 }
 
-// ownField names the fields that this daemon sets and no upstream may change.
+// ownField reports whether a header field is set by this daemon and not by upstreams.
 func ownField(name string) bool {
 	switch name {
 	case protocol.HeaderRequestID, protocol.HeaderDaemon, protocol.HeaderUpstream, protocol.HeaderStreamID, protocol.HeaderOutcome:
@@ -151,8 +151,8 @@
 	return false
 }
 
-// resume asks the engine that holds a stream for the rest of it. No other
-// engine could continue it.
+// resume asks the engine that holds a stream for the remaining events. No other engine
+// could continue the stream.
 func (g *Gateway) resume(ctx context.Context, c *call, engine *state.Candidate, stream string, after uint64) *http.Response {
 	resp, _, err := g.Upstreams.Send(ctx, UpstreamRequest{
 		Method:  http.MethodGet,
@@ -168,6 +168,6 @@
 		return nil
 	}
 	g.Metrics.Resumes.Inc(1)
-	g.Recorder.Record(coordination.EventResumed, string(engine.ID), c.id, "stream is resumed after event %d", after)
+	g.Recorder.Record(coordination.EventResumed, string(engine.ID), c.id, "stream resumed after event %d", after)
 	return resp
 }
--- a/transport/gateway/doc.go
+++ b/transport/gateway/doc.go
@@ -1,11 +1,10 @@
-// Package gateway serves the OpenAI front end: chats, plain services and tickets
-// towards callers, the exchange with peers, the operators' listener, and the
-// clients towards engines, services and the platform that the OpenAI front end
-// runs on. Which upstream takes a request and who runs a key at most once is
-// decided in coordination/fleet.
+// Package gateway serves the OpenAI front end: chats, plain services and tickets for
+// callers, the exchange with peers, the operators' listener, and the clients for
+// engines, services and the platform. The decisions, such as which upstream serves a
+// request and which daemon runs a key at most once, are made in coordination/fleet.
 //
-// Traffic reads one immutable snapshot per request and takes no lock of the
-// control loop. What traffic learns goes to the control loop as an event.
+// Each request reads one immutable snapshot and takes no lock of the control loop.
+// What requests reveal about upstreams is sent to the control loop as events.
 //
 // # Usage
 //
--- a/transport/gateway/evidence.go
+++ b/transport/gateway/evidence.go
@@ -1,9 +1,8 @@
-// This file gives evidence of whether a request can have reached an upstream.
-// It stands below the HTTP client, at the connection, because the client's own
-// trace reports a write only after the fact: between a cancelled call and the
-// client's writing goroutine there is a moment in which nothing is written yet
-// and something still may be. An attempt that is sealed can write nothing any
-// more.
+// This file determines whether a request can have reached an upstream. It intercepts
+// writes at the connection, below the HTTP client, because the client's own trace
+// reports a write only after the fact: after a call is cancelled, the client's writing
+// goroutine may not have written anything yet and still be about to. A sealed attempt
+// can't write any more.
 
 package gateway
 
@@ -14,36 +13,36 @@
 	"sync/atomic"
 )
 
-// attemptState orders the states of an attempt. Both ends are final.
+// States of an attempt. Written and sealed are both final.
 const (
 	attemptIdle int32 = iota
 	attemptWritten
 	attemptSealed
 )
 
-// errSealed is returned to a write on an attempt that was declared not run.
-var errSealed = errors.New("attempt was given up before its first byte")
+// errSealed is returned by a write on an attempt that was declared not run.
+var errSealed = errors.New("attempt was abandoned before its first byte")
 
-// Attempt is one try to send one request.
+// Attempt tracks one attempt to send a request.
 type Attempt struct {
 	state atomic.Int32
-	// permit is asked right before the first byte. It may be nil.
+	// permit is called right before the first byte. It may be nil.
 	permit func() error
-	// denied holds the permit's refusal.
+	// denied holds the error that permit returned.
 	denied atomic.Pointer[error]
 }
 
-// newAttempt returns an attempt. permit, which may be nil, is called right
-// before the first byte is written and can still stop it.
+// newAttempt returns an attempt. permit, which may be nil, is called right before the
+// first byte is written and can still prevent the write.
 func newAttempt(permit func() error) *Attempt { return &Attempt{permit: permit} }
 
-// Seal gives the attempt up. The result is true if no byte of the request was
-// handed to the operating system, and then none will be.
+// Seal abandons the attempt. It returns true if no byte of the request was handed to
+// the operating system; in this case none will be.
 func (a *Attempt) Seal() bool {
 	return a.state.CompareAndSwap(attemptIdle, attemptSealed) || a.state.Load() == attemptSealed
 }
 
-// Denied returns the permit's refusal, or nil.
+// Denied returns the error that permit returned, or nil.
 func (a *Attempt) Denied() error {
 	if p := a.denied.Load(); p != nil {
 		return *p
@@ -69,7 +68,7 @@
 	return errSealed
 }
 
-// trace binds the attempt to the connection that the client chooses for it.
+// trace binds the attempt to the connection that the client picks for it.
 func (a *Attempt) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
@@ -77,21 +76,22 @@
 				c.attempt.Store(a)
 				return
 			}
-			// A connection of another kind gives no evidence: assume the worst.
+			// Writes on another kind of connection can't be observed: assume that bytes
+			// were written.
 			a.state.CompareAndSwap(attemptIdle, attemptWritten)
 		},
 	}
 }
 
-// evidenceConn reports each write to the attempt that uses it. HTTP/1.1 gives a
-// connection to one request at a time, and HTTP/2 is off towards upstreams.
+// evidenceConn asks the attempt that uses it before each write. HTTP/1.1 gives a
+// connection to one request at a time, and HTTP/2 is disabled for upstreams.
 type evidenceConn struct {
 	net.Conn
 	attempt atomic.Pointer[Attempt]
 }
 
-// Write writes unless the attempt was sealed. A TLS handshake comes before an
-// attempt is bound and is not counted: it carries nothing of the request.
+// Write writes unless the attempt was sealed. A TLS handshake precedes the binding of
+// an attempt and does not count, since it carries nothing of the request.
 func (c *evidenceConn) Write(p []byte) (int, error) {
 	if a := c.attempt.Load(); a != nil {
 		if err := a.beforeWrite(); err != nil {
@@ -101,7 +101,7 @@
 	return c.Conn.Write(p)
 }
 
-// evidenceOf finds the evidence below TLS.
+// evidenceOf returns the evidenceConn below TLS, or nil.
 func evidenceOf(c net.Conn) *evidenceConn {
 	for {
 		switch v := c.(type) {
--- a/transport/gateway/gateway.go
+++ b/transport/gateway/gateway.go
@@ -1,6 +1,5 @@
-// This file defines the server towards callers: paths, authentication, limits,
-// and the shape of refusals. Chats and plain services stand in files of their
-// own.
+// This file defines the server for callers: paths, authentication and limits. Chats
+// and plain services are served in files of their own.
 
 package gateway
 
@@ -24,20 +23,20 @@
 	"hingewinch.org/hingewinch/transport"
 )
 
-// Paths of the gateway beside those of the OpenAI protocol.
+// Paths of the gateway in addition to those of the OpenAI protocol.
 const (
 	PathServices = "/services/"
 	PathTickets  = "/v1/tickets"
 	PathReady    = "/-/ready"
 )
 
-// Limits are the limits towards callers.
+// Limits are the limits for callers and their requests.
 type Limits struct {
 	BodyBytes     int64         // largest request body
-	AnswerBytes   int64         // largest answer that is not streamed
-	Timeout       time.Duration // for a request whose caller names none
-	StreamIdle    time.Duration // longest silence of an upstream in a stream
-	CallerStall   time.Duration // longest time in which a caller takes nothing
+	AnswerBytes   int64         // largest response that is not streamed
+	Timeout       time.Duration // default and maximum for a request
+	StreamIdle    time.Duration // longest time without an event in a stream
+	CallerStall   time.Duration // longest time in which a caller reads or sends nothing
 	MaxResumes    int           // resumes of one stream
 	ResumeBackoff time.Duration // before the second resume, doubled each time
 }
@@ -56,11 +55,11 @@
 	}
 }
 
-// Options are the parts that a Gateway works with.
+// Options are the components and settings of a Gateway.
 type Options struct {
 	Daemon    state.DaemonID
 	Snapshot  func() *state.Snapshot
-	Post      func(fleet.Event) // hands an event to the control loop; must not block
+	Post      func(fleet.Event) // sends an event to the control loop; must not block
 	Upstreams *Upstreams
 	Once      *OnceRunner
 	Recorder  *transport.Recorder
@@ -68,7 +67,7 @@
 	Limits    Limits
 }
 
-// Gateway serves callers. It is safe for use by many goroutines.
+// Gateway serves callers. It is safe for concurrent use.
 type Gateway struct {
 	Options
 	draining atomic.Bool
@@ -80,8 +79,8 @@
 	return &Gateway{Options: o, retries: newRetries(o.Metrics)}
 }
 
-// Drain makes the health check fail and asks callers to open no further request
-// on their connections. Requests that still come are served.
+// Drain makes the health check fail and asks callers to close their connections after
+// the current request. Requests that still arrive are served.
 func (g *Gateway) Drain() { g.draining.Store(true) }
 
 // call is one request of a caller.
@@ -133,13 +132,13 @@
 	case g.draining.Load():
 		http.Error(w, "stopping", http.StatusServiceUnavailable)
 	case s == nil || s.Config == nil || s.Members == nil:
-		http.Error(w, "no configuration or member list is known", http.StatusServiceUnavailable)
+		http.Error(w, "no configuration or member list yet", http.StatusServiceUnavailable)
 	default:
 		fmt.Fprintln(w, "ready")
 	}
 }
 
-// admit checks that a configuration is known and that the caller may come in.
+// admit checks that a configuration is known and authenticates the caller.
 func (g *Gateway) admit(c *call) bool {
 	if c.snapshot == nil || c.snapshot.Config == nil || c.snapshot.Members == nil {
 		g.refuse(c, coordination.NotRun{Reason: coordination.ReasonNoConfig, RetryAfter: defaultRetryTime})
@@ -152,17 +151,17 @@
 	}
 	c.workspace = c.snapshot.Config.Authenticate(strings.TrimSpace(key))
 	if c.workspace == nil {
-		g.reject(c, http.StatusUnauthorized, "invalid_api_key", "", "API key is not known; check it or ask the operators for one of your workspace")
+		g.reject(c, http.StatusUnauthorized, "invalid_api_key", "", "API key is not known; check it or ask the operators for a key of your workspace")
 		return false
 	}
 	return true
 }
 
-// maxRequestID is the longest request id of a caller that is taken over.
+// maxRequestID is the longest request id that is accepted from a caller.
 const maxRequestID = 128
 
-// requestID takes the caller's id over if it is harmless and makes one
-// otherwise.
+// requestID returns the caller's request id if it is short and printable, and a random
+// one otherwise.
 func requestID(r *http.Request) state.RequestID {
 	id := r.Header.Get(protocol.HeaderRequestID)
 	if id != "" && len(id) <= maxRequestID && isPlain(id) {
@@ -184,12 +183,12 @@
 
 func randomID() string {
 	var b [randomIDBytes]byte
-	// crypto/rand does not fail on the systems Go supports.
+	// crypto/rand does not fail on the systems that Go supports.
 	_, _ = rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-// timeout returns the caller's own limit or the default.
+// timeout returns the caller's timeout if it is below the default, or the default.
 func (g *Gateway) timeout(r *http.Request) time.Duration {
 	ms, err := strconv.ParseInt(r.Header.Get(protocol.HeaderTimeoutMS), 10, 64)
 	if err != nil || ms <= 0 || ms > g.Limits.Timeout.Milliseconds() {
@@ -198,10 +197,10 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// readBody reads the request body or rejects the request. A caller who sends it
-// too slowly is cut off. The deadline is for the body alone: the server goes on
-// reading to notice when the caller leaves. (net/http takes it back by itself
-// when it begins that; this does not rely on it.)
+// readBody reads the request body or rejects the request. A caller that sends it too
+// slowly is cut off. The deadline applies to the body only: the server keeps reading
+// to notice that the caller disconnects. (net/http resets the deadline by itself when
+// it starts that; this function does not rely on it.)
 func (g *Gateway) readBody(c *call) ([]byte, bool) {
 	conn := http.NewResponseController(c.w)
 	_ = conn.SetReadDeadline(time.Now().Add(g.Limits.CallerStall))
@@ -215,12 +214,12 @@
 		g.reject(c, http.StatusRequestEntityTooLarge, "body_too_large", "", fmt.Sprintf("body is larger than %d bytes; send less", g.Limits.BodyBytes))
 	default:
 		c.w.Header().Set("Connection", "close")
-		g.reject(c, http.StatusBadRequest, "body_incomplete", "", "body could not be read to its end; send it again")
+		g.reject(c, http.StatusBadRequest, "body_incomplete", "", "body was incomplete; send it again")
 	}
 	return nil, false
 }
 
-// requireMethod rejects other methods.
+// requireMethod rejects requests with another method.
 func (g *Gateway) requireMethod(c *call, method string) bool {
 	if c.r.Method == method {
 		return true
@@ -239,7 +238,7 @@
 func (g *Gateway) writeJSON(c *call, status int, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
-		g.reject(c, http.StatusInternalServerError, "internal", "", "answer could not be encoded; report this request id")
+		g.reject(c, http.StatusInternalServerError, "internal", "", "response could not be encoded; report this request id")
 		return
 	}
 	c.w.Header().Set("Content-Type", "application/json")
--- a/transport/gateway/meter.go
+++ b/transport/gateway/meter.go
@@ -1,5 +1,5 @@
-// This file counts the bytes of control traffic on its connections, TLS and
-// HTTP framing included.
+// This file counts the bytes of control traffic on its connections, including TLS and
+// HTTP framing.
 
 package gateway
 
@@ -15,7 +15,7 @@
 
 type dialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Dial wraps a dialer, nil for the network's own.
+// Dial wraps a dial function; nil stands for the default dialer.
 func (m *Meter) Dial(dial dialFunc) dialFunc {
 	if dial == nil {
 		d := &net.Dialer{Timeout: dialTimeout, KeepAlive: keepAliveProbe}
@@ -30,7 +30,7 @@
 	}
 }
 
-// Listener wraps a listener.
+// Listener wraps a listener so that its connections are counted.
 func (m *Meter) Listener(l net.Listener) net.Listener { return &meteredListener{Listener: l, m: m} }
 
 var _ net.Listener = (*meteredListener)(nil)
@@ -40,7 +40,7 @@
 	m *Meter
 }
 
-// Accept returns the next connection, counted.
+// Accept returns the next connection, wrapped for counting.
 func (l *meteredListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -54,14 +54,14 @@
 	m *Meter
 }
 
-// Read counts what was read.
+// Read reads from the connection and counts the bytes.
 func (c *meteredConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.m.Read.Inc(int64(n))
 	return n, err
 }
 
-// Write counts what was written.
+// Write writes to the connection and counts the bytes.
 func (c *meteredConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.m.Sent.Inc(int64(n))
--- a/transport/gateway/metrics.go
+++ b/transport/gateway/metrics.go
@@ -10,7 +10,7 @@
 	"hingewinch.org/hingewinch/transport"
 )
 
-// Metrics are the counters and timers of a daemon.
+// Metrics holds the counters, gauges and timers of a daemon.
 type Metrics struct {
 	Registry metrics.Registry
 
@@ -33,14 +33,14 @@
 	FirstByte     metrics.Timer
 }
 
-// sampleSize and sampleAlpha shape the timers' reservoirs: about the last five
-// minutes count.
+// sampleSize and sampleAlpha configure the timers' reservoirs to cover about the last
+// five minutes.
 const (
 	sampleSize  = 1028
 	sampleAlpha = 0.015
 )
 
-// NewMetrics returns the metrics of one daemon in a registry of their own.
+// NewMetrics returns the metrics of one daemon in their own registry.
 func NewMetrics() *Metrics {
 	r := metrics.NewRegistry()
 	m := &Metrics{Registry: r}
@@ -73,7 +73,7 @@
 // Close stops the background work of the timers.
 func (m *Metrics) Close() { m.FirstByte.Stop() }
 
-// quantiles are those of the metrics page.
+// quantiles are the quantiles on the metrics page.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
 // WriteText writes all metrics as [transport.WriteMetrics] does.
--- a/transport/gateway/once.go
+++ b/transport/gateway/once.go
@@ -1,6 +1,6 @@
-// This file runs requests that must not be repeated. The ledger of
-// coordination/fleet decides; this file carries its decisions out, here or at
-// the daemon that owns the key.
+// This file runs requests that must not be repeated. The ledger of coordination/fleet
+// decides; this file carries out its decisions, locally or at the daemon that owns the
+// key.
 
 package gateway
 
@@ -23,7 +23,7 @@
 	ForwardOnce(ctx context.Context, owner state.Member, r *OnceRequest) OnceResult
 }
 
-// OnceOptions are the parts that an OnceRunner works with.
+// OnceOptions are the components and settings of an OnceRunner.
 type OnceOptions struct {
 	Self        state.DaemonID
 	Incarnation state.Incarnation
@@ -38,7 +38,7 @@
 	Now         func() time.Time
 }
 
-// OnceRunner is safe for use by many goroutines.
+// OnceRunner runs requests that must not be repeated. It is safe for concurrent use.
 type OnceRunner struct {
 	OnceOptions
 	issuer  *fleet.TicketIssuer
@@ -49,7 +49,7 @@
 	ledger *fleet.Ledger
 }
 
-// NewOnceRunner returns the runner of one incarnation of a daemon.
+// NewOnceRunner returns the runner of one daemon incarnation.
 func NewOnceRunner(o OnceOptions) *OnceRunner {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -63,7 +63,7 @@
 	}
 }
 
-// Issue returns a ticket and for how long it can be used.
+// Issue returns a ticket and how long it is valid.
 func (o *OnceRunner) Issue(w state.WorkspaceID, s state.ServiceID) (string, time.Duration) {
 	life := o.rules().Window
 	return o.issuer.Issue(w, s, o.age()+life, randomID()), life
@@ -75,7 +75,7 @@
 	return fleet.RulesOf(o.Snapshot().Config)
 }
 
-// Run runs a request at the owner of its key, wherever that is.
+// Run runs a request at the owner of its key, here or at a peer.
 func (o *OnceRunner) Run(ctx context.Context, r *OnceRequest) OnceResult {
 	if !fleet.IsTicket(r.Key) {
 		if refusal := fleet.MayForward(o.Now(), o.Snapshot().Ownership); refusal != nil {
@@ -92,7 +92,7 @@
 	return o.Forwarder.ForwardOnce(ctx, owner, r)
 }
 
-// owner finds the daemon that may run the request.
+// owner returns the daemon that may run the request.
 func (o *OnceRunner) owner(r *OnceRequest) (state.Member, OnceResult) {
 	list := o.Snapshot().Members
 	if !fleet.IsTicket(r.Key) {
@@ -116,9 +116,9 @@
 	return *m, nil
 }
 
-// RunForPeer runs a request that a peer passed on. A request with a caller's own
-// key must show a fresh challenge: one that was held up on the way may be older
-// than the window, and nothing else in it can show that.
+// RunForPeer runs a request that a peer forwarded. A request with a caller's own key
+// must carry a fresh challenge: if it was delayed on the way it may be older than the
+// window, and nothing else in it can show that.
 func (o *OnceRunner) RunForPeer(ctx context.Context, r *OnceRequest, challenge string) OnceResult {
 	if !fleet.IsTicket(r.Key) && !o.issuer.IsFresh(challenge, o.age()) {
 		return OnceChallenge{o.issuer.Challenge(o.age())}
@@ -126,8 +126,8 @@
 	return o.RunHere(ctx, r)
 }
 
-// RunHere runs a request at this daemon if this daemon may. It never forwards:
-// one hop is all that a request takes.
+// RunHere runs a request at this daemon if it may. It never forwards, so a request
+// takes at most one hop.
 func (o *OnceRunner) RunHere(ctx context.Context, r *OnceRequest) OnceResult {
 	keep, permit, result := o.mayRun(r)
 	if result != nil {
@@ -156,9 +156,9 @@
 	}
 }
 
-// mayRun decides whether this daemon may run the request. keep is how long its
-// key must be remembered, permit the check to be made again right before the
-// first byte; a ticket needs none, since no other process can ever run it.
+// mayRun decides whether this daemon may run the request. keep is how long its key
+// must be remembered; permit is the check to be repeated right before the first byte.
+// A ticket needs no permit, since no other process can ever run it.
 func (o *OnceRunner) mayRun(r *OnceRequest) (keep time.Duration, permit func() error, result OnceResult) {
 	if fleet.IsTicket(r.Key) {
 		keep, result = o.admitTicket(r)
@@ -191,7 +191,7 @@
 	return left, nil
 }
 
-// errNoLongerOwner stops an attempt whose daemon lost the key on the way.
+// errNoLongerOwner stops an attempt whose daemon has lost ownership of the key.
 var errNoLongerOwner = errors.New("daemon no longer owns the key")
 
 func (o *OnceRunner) mayKeep(r *OnceRequest) coordination.Outcome {
@@ -213,8 +213,8 @@
 	o.ledger.Finish(r.ledgerKey(), out, answer)
 }
 
-// start sends the request, once. A caller who goes away does not stop it: its
-// end is recorded for the repeat.
+// start sends the request once. It continues if the caller disconnects, since the
+// outcome is recorded for repeats.
 func (o *OnceRunner) start(ctx context.Context, r *OnceRequest, permit func() error) OnceResult {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), timeLeft(ctx))
 	defer cancel()
@@ -227,8 +227,9 @@
 	return refused(outcome)
 }
 
-// refused returns the refusal of a request that this daemon began. Where it lost
-// the key on the way it did not run it, but no longer knows that no other did.
+// refused returns the refusal of a request that this daemon started. If it lost
+// ownership of the key before the first byte, it did not run the request itself but
+// can't know whether another daemon did.
 func refused(o coordination.Outcome) OnceResult {
 	if n, ok := o.(coordination.NotRun); ok && n.Reason == coordination.ReasonOwnerListStale {
 		return OnceRefusal{coordination.MayHaveRun(n)}
@@ -236,7 +237,7 @@
 	return OnceRefusal{o}
 }
 
-// defaultOnceTimeout applies where the caller set no limit.
+// defaultOnceTimeout applies if the caller set no deadline.
 const defaultOnceTimeout = 30 * time.Second
 
 func timeLeft(ctx context.Context) time.Duration {
--- a/transport/gateway/oncerequest.go
+++ b/transport/gateway/oncerequest.go
@@ -1,4 +1,4 @@
-// This file defines a request that must not run twice, and how one can end.
+// This file defines requests that must not run twice, and their results.
 
 package gateway
 
@@ -29,7 +29,7 @@
 	return fleet.LedgerKey{Workspace: r.Workspace, Service: r.Service, Key: r.Key}
 }
 
-// fingerprint distinguishes a repeat from another request under the same key.
+// fingerprint distinguishes a repeat from a different request with the same key.
 func (r *OnceRequest) fingerprint() fleet.Fingerprint {
 	h := sha256.New()
 	for _, field := range [][]byte{[]byte(r.Method), []byte(r.Target), r.Body} {
@@ -41,23 +41,23 @@
 	return fleet.Fingerprint(h.Sum(nil))
 }
 
-// OnceResult is how a request with a key ended. Its kinds are [OnceAnswer],
-// [OnceRefusal], [OnceConflict] and, between daemons, [OnceChallenge].
+// OnceResult is the result of a request with a key: [OnceAnswer], [OnceRefusal],
+// [OnceConflict] or, between daemons, [OnceChallenge].
 type OnceResult interface{ isOnceResult() }
 
-// OnceAnswer is the service's answer.
+// OnceAnswer is the service's response.
 type OnceAnswer struct {
 	Answer   *fleet.StoredAnswer
 	Replayed bool
 }
 
-// OnceRefusal means that there is no answer.
+// OnceRefusal means that there is no response.
 type OnceRefusal struct{ Outcome coordination.Outcome }
 
-// OnceConflict means that the key is wrong for this request; Err says why.
+// OnceConflict means that the key is not valid for this request; Err says why.
 type OnceConflict struct{ Err error }
 
-// OnceChallenge asks a peer to send the request again with the challenge.
+// OnceChallenge tells a peer to send the request again with the challenge.
 type OnceChallenge struct{ Challenge string }
 
 func (OnceAnswer) isOnceResult()    {}
--- a/transport/gateway/operator.go
+++ b/transport/gateway/operator.go
@@ -1,5 +1,5 @@
-// This file serves operators on a listener of their own: status, upstreams,
-// time line and metrics, all to be read only.
+// This file serves operators on a separate listener: status, upstreams, timeline and
+// metrics, all read-only.
 
 package gateway
 
@@ -26,7 +26,7 @@
 	PathMetrics = "/metrics"
 )
 
-// StatusAnswer is the answer to GET /status.
+// StatusAnswer is the response to GET /status.
 type StatusAnswer struct {
 	Daemon      state.DaemonID      `json:"daemon"`
 	Incarnation state.Incarnation   `json:"incarnation"`
@@ -40,23 +40,23 @@
 	Version     string              `json:"version"`
 }
 
-// EngineAnswer is one upstream in the answer to GET /engines.
+// EngineAnswer is one upstream in the response to GET /engines.
 type EngineAnswer struct {
 	ID      state.UpstreamID    `json:"id"`
 	Pool    string              `json:"pool"`
 	Domain  state.FailureDomain `json:"domain"`
 	Address string              `json:"address"`
 	Gate    string              `json:"gate"`
-	Load    float64             `json:"load"` // requests
+	Load    float64             `json:"load"` // in requests
 }
 
-// PlaceAnswer is the answer to GET /chats/place: where a chat goes now.
+// PlaceAnswer is the response to GET /chats/place: where a chat is sent at present.
 type PlaceAnswer struct {
 	Upstream state.UpstreamID `json:"upstream"`
 	Address  string           `json:"address"`
 }
 
-// Operator serves operators.
+// Operator serves the operators' listener.
 type Operator struct {
 	Self        state.DaemonID
 	Incarnation state.Incarnation
@@ -68,7 +68,7 @@
 	Draining    func() bool
 }
 
-// Handler builds the HTTP handler.
+// Handler returns the HTTP handler.
 func (o *Operator) Handler() (http.Handler, error) {
 	app := iris.New()
 	app.Logger().SetLevel("disable")
@@ -78,7 +78,7 @@
 	app.Get(transport.PathTimeline, func(ctx iris.Context) { _ = ctx.JSON(o.Recorder.Events()) })
 	app.Get(PathMetrics, func(ctx iris.Context) {
 		var buf bytes.Buffer
-		_ = o.Metrics.WriteText(&buf) // a buffer takes every write
+		_ = o.Metrics.WriteText(&buf) // writes to a buffer don't fail
 		_, _ = ctx.Write(buf.Bytes())
 	})
 	if err := app.Build(); err != nil {
@@ -132,11 +132,11 @@
 	return out
 }
 
-// place answers where a chat would go: ?workspace=W&model=M&chat=ID.
+// place returns where a chat would be sent: ?workspace=W&model=M&chat=ID.
 func (o *Operator) place(ctx iris.Context) {
 	s := o.Snapshot()
 	if s == nil {
-		ctx.StopWithText(http.StatusServiceUnavailable, "no member list is known")
+		ctx.StopWithText(http.StatusServiceUnavailable, "no member list yet")
 		return
 	}
 	w, m, chat := ctx.URLParam("workspace"), ctx.URLParam("model"), ctx.URLParam("chat")
--- a/transport/gateway/peers.go
+++ b/transport/gateway/peers.go
@@ -1,5 +1,5 @@
-// This file is the client towards other daemons, by twirp: exchanges, documents, and
-// requests for keys that another daemon owns.
+// This file implements the twirp client for other daemons: exchanges, documents, and
+// requests whose key another daemon owns.
 
 package gateway
 
@@ -20,18 +20,18 @@
 	"hingewinch.org/hingewinch/transport"
 )
 
-// peerTimeout bounds an exchange. A peer that takes longer counts as out of
-// reach for a while.
+// peerTimeout is the timeout of an exchange. A peer that takes longer is excluded for
+// a while.
 const peerTimeout = 2 * time.Second
 
-// Documents gives the published documents that this daemon holds.
+// Documents provides the published documents that this daemon holds.
 type Documents interface {
-	// Document returns the newest document of a kind, and the text of an older
-	// one if it is still held; base is nil otherwise.
+	// Document returns the newest document of a kind, and the text of an older one if
+	// it is still held; otherwise base is nil.
 	Document(kind peer.DocumentKind, have state.Head) (head state.Head, text, base []byte)
 }
 
-// Peers is the client towards other daemons.
+// Peers is the client for other daemons.
 type Peers struct {
 	client   peer.HTTPClient
 	once     peer.HTTPClient
@@ -42,8 +42,8 @@
 	challenges challengeCache
 }
 
-// NewPeers returns a client. tlsConfig is nil for plain connections; meter
-// counts the bytes.
+// NewPeers returns a client. A nil tlsConfig stands for plain connections; meter counts
+// the bytes of exchanges and fetches.
 func NewPeers(tlsConfig *tls.Config, meter *Meter, rec *transport.Recorder, m *Metrics, dial func(ctx context.Context, network, address string) (net.Conn, error)) *Peers {
 	opts := UpstreamOptions{TLS: tlsConfig, Dial: meter.Dial(dial)}
 	p := &Peers{scheme: "http", recorder: rec, metrics: m}
@@ -57,19 +57,18 @@
 	return p
 }
 
-// peerIdle is how long connections to peers are kept: handshakes are the most
-// costly part of the control traffic.
+// peerIdle is how long idle connections to peers are kept: handshakes are the most
+// expensive part of the control traffic.
 const peerIdle = 10 * time.Minute
 
-// peerClient sends each call once: net/http would repeat a POST on a
-// connection that closed before the first byte of an answer only if its body
-// could be replayed.
+// peerClient sends each call once: net/http repeats a POST on a connection that was
+// closed before the first byte of a response only if it can replay the body.
 type peerClient struct{ rt http.RoundTripper }
 
 // Do sends one request.
 func (c *peerClient) Do(req *http.Request) (*http.Response, error) {
 	req.GetBody = nil
-	// Fields that no daemon reads would be a tenth of the control traffic.
+	// Fields that no daemon reads would account for a tenth of the control traffic.
 	req.Header.Del("Accept")
 	req.Header.Del("Twirp-Version")
 	req.Header.Set("User-Agent", "")
@@ -80,7 +79,7 @@
 	return peer.NewPeerProtobufClient(p.scheme+"://"+address, client)
 }
 
-// Exchange sends a message to a peer and returns the peer's.
+// Exchange sends a message to a peer and returns the peer's message.
 func (p *Peers) Exchange(ctx context.Context, address string, n fleet.Gossip) (fleet.Gossip, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
@@ -96,8 +95,8 @@
 	return gossip, nil
 }
 
-// Fetch returns a peer's newest document of a kind. have and base are what this
-// daemon holds.
+// Fetch returns a peer's newest document of a kind. have and base are the head and the
+// text that this daemon holds.
 func (p *Peers) Fetch(ctx context.Context, address string, kind peer.DocumentKind, have state.Head, base []byte) (state.Head, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
@@ -106,15 +105,15 @@
 		return state.Head{}, nil, eris.Wrapf(err, "fetch from %s", address)
 	}
 	if resp.GetBase() != nil && protocol.DecodeHead(resp.GetBase()) != have {
-		return state.Head{}, nil, eris.Errorf("fetch from %s: delta is against a content that is not held", address)
+		return state.Head{}, nil, eris.Errorf("fetch from %s: delta is against a version that is not held", address)
 	}
 	return protocol.UnpackDocument(resp, base)
 }
 
-// ForwardOnce sends a request that must not run twice to the owner of its key. Whatever
-// goes wrong on the way, the result is may-have-run: even if no byte of this
-// attempt was written, an earlier one with the same key may have run, which
-// only the owner knows.
+// ForwardOnce sends a request that must not run twice to the owner of its key. Any
+// failure on the way results in MayHaveRun: even if no byte of this attempt was
+// written, an earlier attempt with the same key may have run, which only the owner
+// knows.
 func (p *Peers) ForwardOnce(ctx context.Context, owner state.Member, r *OnceRequest) OnceResult {
 	m := p.encodeRun(ctx, r)
 	m.Challenge = p.challenges.get(owner.Address)
@@ -125,7 +124,7 @@
 		resp, err = p.to(owner.Address, p.once).Run(ctx, m)
 	}
 	if err != nil {
-		p.recorder.Record(coordination.EventOnce, owner.ID, r.ID, "owner of the key could not be reached: %v", err)
+		p.recorder.Record(coordination.EventOnce, owner.ID, r.ID, "owner of the key is unreachable: %v", err)
 		reason := coordination.ReasonOwnerUnreachable
 		if ctx.Err() != nil {
 			reason = coordination.ReasonDeadline
--- a/transport/gateway/peerserver.go
+++ b/transport/gateway/peerserver.go
@@ -1,5 +1,5 @@
-// This file serves other daemons: exchanges, documents, and requests for keys that
-// this daemon owns.
+// This file implements the server for other daemons: exchanges, documents, and
+// requests whose key this daemon owns.
 
 package gateway
 
@@ -29,8 +29,8 @@
 	packed packedDocuments
 }
 
-// packedDocuments keeps the last packed document of each kind: when a document
-// spreads, all neighbours ask for the difference from the same content.
+// packedDocuments caches the last packed document of each kind: when a document
+// spreads, all neighbours request the difference from the same version.
 type packedDocuments struct {
 	mu   sync.Mutex
 	kept map[peer.DocumentKind]packedDocument
@@ -64,7 +64,7 @@
 // Handler returns the HTTP handler of the server.
 func (s *PeerServer) Handler() http.Handler { return peer.NewPeerServer(s) }
 
-// Exchange takes in a peer's message and returns this daemon's.
+// Exchange processes a peer's message and returns this daemon's.
 func (s *PeerServer) Exchange(ctx context.Context, m *peer.News) (*peer.News, error) {
 	n := protocol.DecodeGossip(m)
 	if n.Sender == "" {
@@ -79,7 +79,7 @@
 	return protocol.EncodeGossip(answer), nil
 }
 
-// Fetch returns a document.
+// Fetch returns the newest document of a kind, as a difference if possible.
 func (s *PeerServer) Fetch(_ context.Context, m *peer.FetchRequest) (*peer.FetchResponse, error) {
 	have := protocol.DecodeHead(m.GetHave())
 	head, text, base := s.Documents.Document(m.GetKind(), have)
--- a/transport/gateway/plain.go
+++ b/transport/gateway/plain.go
@@ -1,4 +1,4 @@
-// This file serves plain services and the tickets for requests that must not be
+// This file serves plain services, and the tickets for requests that must not be
 // repeated.
 
 package gateway
@@ -50,8 +50,8 @@
 	g.relayWhole(c, resp)
 }
 
-// ruleFor returns the strictest rule of a path as it stands and as it reads
-// when its escapes are undone, so that no spelling of a path escapes its rule.
+// ruleFor returns the stricter of the rules for the path as sent and for the unescaped
+// path, so that no spelling of a path evades its rule.
 func ruleFor(svc *state.Service, method, escaped string) state.RepeatRule {
 	plain, err := url.PathUnescape(escaped)
 	if err != nil || svc.Rule(method, plain) == state.RepeatNever {
@@ -60,7 +60,7 @@
 	return svc.Rule(method, escaped)
 }
 
-// service finds the service that a path names, and the target at its replicas.
+// service returns the service that a path names, and the target at its upstreams.
 func (g *Gateway) service(c *call) (*state.Service, string, bool) {
 	rest := strings.TrimPrefix(c.r.URL.EscapedPath(), PathServices)
 	name, path, _ := strings.Cut(rest, "/")
@@ -75,7 +75,7 @@
 	}
 	target := "/" + path
 	if hasDotSegment(target) {
-		g.reject(c, http.StatusBadRequest, "invalid_path", "", "path holds . or .. segments; send it without them")
+		g.reject(c, http.StatusBadRequest, "invalid_path", "", "path has . or .. segments; send it without them")
 		return nil, "", false
 	}
 	if c.r.URL.RawQuery != "" {
@@ -84,8 +84,8 @@
 	return svc, target, true
 }
 
-// hasDotSegment reports segments that a service may resolve to another path
-// than the one whose rule was looked up, also if they are escaped.
+// hasDotSegment reports whether a path has segments, possibly escaped, that a service
+// may resolve to a path other than the one whose rule was looked up.
 func hasDotSegment(path string) bool {
 	plain, err := url.PathUnescape(path)
 	if err != nil {
@@ -99,7 +99,7 @@
 	return strings.Contains(plain, "//")
 }
 
-// maxKeyBytes is the longest key that is taken.
+// maxKeyBytes is the longest key that is accepted.
 const maxKeyBytes = 512
 
 func (g *Gateway) serveOnce(c *call, r *OnceRequest) {
@@ -125,8 +125,8 @@
 	Service state.ServiceID `json:"service"`
 }
 
-// TicketAnswer is the answer to it. The ticket is sent as the Idempotency-Key
-// of one request and of its repeats.
+// TicketAnswer is the response to POST /v1/tickets. The ticket is sent as the
+// Idempotency-Key of one request and its repeats.
 type TicketAnswer struct {
 	Ticket    string `json:"ticket"`
 	ExpiresMS int64  `json:"expires_in_ms"`
--- a/transport/gateway/platform.go
+++ b/transport/gateway/platform.go
@@ -1,5 +1,5 @@
-// This file reads what the platform publishes. It is the one place to change
-// for another platform's transport; the shapes stand in the protocol package.
+// This file reads the documents that the platform publishes. To support the transport
+// of another platform, change this file; the formats are defined in package protocol.
 
 package gateway
 
@@ -14,7 +14,7 @@
 	"hingewinch.org/hingewinch/protocol"
 )
 
-// PlatformWait is how long one call waits at the platform for a change.
+// PlatformWait is how long a call waits at the platform for a change (long polling).
 const PlatformWait = 4 * time.Second
 
 // Platform is a client of the platform.
@@ -24,7 +24,7 @@
 	metrics *Metrics
 }
 
-// NewPlatform returns a reader of the platform at a base URL.
+// NewPlatform returns a client of the platform at a base URL.
 func NewPlatform(base string, meter *Meter, m *Metrics) *Platform {
 	rt := &http.Transport{DialContext: meter.Dial(nil), ResponseHeaderTimeout: 2 * PlatformWait, DisableCompression: true}
 	return &Platform{base: base, client: &http.Client{Transport: rt}, metrics: m}
@@ -33,16 +33,15 @@
 // Reader returns the reader of one document.
 func (p *Platform) Reader(path string) *PlatformReader { return &PlatformReader{p: p, path: path} }
 
-// PlatformReader reads one document. It must be used by one goroutine at a
-// time.
+// PlatformReader reads one document. It is not safe for concurrent use.
 type PlatformReader struct {
 	p    *Platform
 	path string
 	etag string
 }
 
-// Read waits for the document to differ from the one that was read last. A nil
-// text without an error means that it did not change.
+// Read waits until the document differs from the one read last, or PlatformWait has
+// passed. A nil text without an error means that it did not change.
 func (r *PlatformReader) Read(ctx context.Context) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*PlatformWait)
 	defer cancel()
@@ -64,7 +63,7 @@
 		return nil, nil
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, eris.Errorf("platform answered status %d for %s", resp.StatusCode, r.path)
+		return nil, eris.Errorf("platform responded with status %d to %s", resp.StatusCode, r.path)
 	}
 	text, err := protocol.ReadBounded(resp.Body, resp.ContentLength, protocol.MaxDocumentBytes)
 	if err != nil {
--- a/transport/gateway/refuse.go
+++ b/transport/gateway/refuse.go
@@ -1,5 +1,5 @@
-// This file gives callers the final answer to a request that gets none: what was
-// wrong with it, or whether it has run and when to come back.
+// This file writes error responses: what was wrong with a request, or whether it has
+// run and when to retry it.
 
 package gateway
 
@@ -15,7 +15,7 @@
 	"hingewinch.org/hingewinch/protocol"
 )
 
-// reject answers a request that was wrong. It was not run.
+// reject responds to an invalid request. It was not run.
 func (g *Gateway) reject(c *call, status int, code, param, message string) {
 	g.Metrics.Rejected.Inc(1)
 	c.w.Header().Set(protocol.HeaderOutcome, protocol.OutcomeNotRun)
@@ -31,7 +31,7 @@
 	g.reject(c, http.StatusBadRequest, "invalid_request", "", err.Error())
 }
 
-// refuse answers a request that could not be answered, at once.
+// refuse responds at once to a request for which there is no upstream response.
 func (g *Gateway) refuse(c *call, o coordination.Outcome) {
 	reason, retry := g.count(o)
 	h := c.w.Header()
@@ -55,8 +55,8 @@
 	return "", 0
 }
 
-// refusalStatus maps a refusal to a status. A request that may have run never
-// gets 429 or 503, which client libraries take as leave to send it again.
+// refusalStatus maps a refusal to a status. A request that may have run never gets 429
+// or 503, because client libraries retry after these.
 func refusalStatus(o coordination.Outcome, reason coordination.Reason) int {
 	if coordination.MayRetry(o) {
 		return http.StatusServiceUnavailable
@@ -67,8 +67,8 @@
 	return http.StatusBadGateway
 }
 
-// spreadRetry turns a time into whole seconds with up to half of it added at
-// random, so that refused callers do not come back together.
+// spreadRetry converts a delay to whole seconds and adds up to half of it at random, so
+// that refused callers do not retry at the same time.
 func spreadRetry(d time.Duration) int {
 	if d <= 0 {
 		d = defaultRetryTime
--- a/transport/gateway/relay.go
+++ b/transport/gateway/relay.go
@@ -1,7 +1,7 @@
-// This file relays a streamed answer event by event. Only whole events in their
-// order are passed on, and only the terminator makes the answer whole: a stream
-// that can't be finished ends in an explicit error, and the connection is
-// broken so that not even a caller who skips the error takes it as whole.
+// This file relays a streamed response event by event. Only complete events in their
+// order are forwarded, and only the terminator completes the response. A stream that
+// can't be completed ends with an error event and an aborted connection, so that even
+// a caller that ignores the error does not take it as complete.
 
 package gateway
 
@@ -20,17 +20,17 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// errCaller marks the end of a stream whose caller is gone.
+// errCaller reports that the caller closed the connection.
 var errCaller = errors.New("caller closed the connection")
 
-// stream is one answer on its way.
+// stream is the state of one streamed response.
 type stream struct {
 	g        *Gateway
 	c        *call
 	engine   *state.Candidate
 	asm      fleet.Assembler
 	sent     bool
-	deadline time.Time // of the caller's connection
+	deadline time.Time // write deadline of the caller's connection
 	out      *http.ResponseController
 }
 
@@ -52,7 +52,7 @@
 	}
 }
 
-// run relays the stream, and its continuations if it breaks and can be resumed.
+// run relays the stream, and resumes it if it breaks and can be resumed.
 func (s *stream) run(resp *http.Response) error {
 	id := resp.Header.Get(protocol.HeaderStreamID)
 	backoff := s.g.Limits.ResumeBackoff
@@ -87,7 +87,7 @@
 	}
 }
 
-// relay passes the events of one upstream response on.
+// relay forwards the events of one upstream response.
 func (s *stream) relay(resp *http.Response, id string) error {
 	defer resp.Body.Close()
 	idle := time.AfterFunc(s.g.Limits.StreamIdle, func() { _ = resp.Body.Close() })
@@ -122,7 +122,7 @@
 	return err
 }
 
-// forward writes one event and flushes it. The headers go out with the first.
+// forward writes and flushes one event. The header is written before the first event.
 func (s *stream) forward(ev *protocol.StreamEvent) error {
 	if !s.sent {
 		s.sent = true
@@ -141,11 +141,11 @@
 	return nil
 }
 
-// deadlineShare is the part of the limit that must have passed before the
-// deadline is set again: that costs more than the write of a token should.
+// deadlineShare is the fraction of the limit, as a divisor, that must have passed
+// before the deadline is set again: setting it costs more than writing a token should.
 const deadlineShare = 8
 
-// extendDeadline gives a slow caller time for the next event.
+// extendDeadline gives a slow caller time to take the next event.
 func (s *stream) extendDeadline() {
 	want := time.Now().Add(s.g.Limits.CallerStall)
 	if want.Sub(s.deadline) < s.g.Limits.CallerStall/deadlineShare {
@@ -155,8 +155,8 @@
 	_ = s.out.SetWriteDeadline(want)
 }
 
-// fail ends a stream that has begun: an error event, and then a connection that
-// breaks without the end of the body.
+// fail ends a stream that has started: it sends an error event and aborts the
+// connection without the end of the body.
 func (s *stream) fail(cause error) {
 	s.g.count(coordination.MayHaveRun{Reason: coordination.ReasonBrokenAnswer})
 	s.g.Recorder.Record(coordination.EventAttemptFailed, string(s.engine.ID), s.c.id, "stream could not be finished: %v", cause)
--- a/transport/gateway/runmessage.go
+++ b/transport/gateway/runmessage.go
@@ -1,5 +1,5 @@
-// This file translates requests for keys, and how they ended, between the types of
-// this package and the messages between daemons.
+// This file converts requests with keys, and their results, between the types of this
+// package and the messages between daemons.
 
 package gateway
 
@@ -55,7 +55,7 @@
 	return OnceRefusal{coordination.MayHaveRun{Reason: reason, RetryAfter: retry}}
 }
 
-// maxRunTimeout caps what a peer can ask for.
+// maxRunTimeout limits the timeout that a peer can request.
 const maxRunTimeout = 10 * time.Minute
 
 func encodeRunResult(r OnceResult) *peer.RunResponse {
--- a/transport/gateway/upstream.go
+++ b/transport/gateway/upstream.go
@@ -1,6 +1,6 @@
-// This file defines the client towards engines, services and peers. net/http
-// repeats a request by itself when its body can be replayed; here it can't, so
-// that whether a request is sent again is this project's decision alone.
+// This file defines the client for engines, services and peers. net/http repeats a
+// request by itself if it can replay the body. This client makes the body impossible
+// to replay, so that only this project's code decides whether a request is sent again.
 
 package gateway
 
@@ -34,12 +34,12 @@
 
 // UpstreamOptions are the settings of an Upstreams.
 type UpstreamOptions struct {
-	// TLS is used for upstreams if it is not nil.
+	// TLS is the TLS configuration for upstreams; nil stands for plain connections.
 	TLS *tls.Config
-	// AnswerTimeout is the longest wait for the header of an answer after the
-	// request is written; 0 waits as long as the caller does.
+	// AnswerTimeout is the longest wait for the header of a response after the request
+	// is written; 0 means no limit apart from the caller's.
 	AnswerTimeout time.Duration
-	// Dial replaces the network in tests.
+	// Dial replaces the default dialer.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
@@ -60,8 +60,7 @@
 	return u
 }
 
-// evidenceTransport returns an HTTP/1.1 transport whose connections carry
-// evidence.
+// evidenceTransport returns an HTTP/1.1 transport on connections of type evidenceConn.
 func evidenceTransport(o UpstreamOptions) *http.Transport {
 	dial := o.Dial
 	if dial == nil {
@@ -96,24 +95,24 @@
 	u.fresh.CloseIdleConnections()
 }
 
-// UpstreamRequest is one request as it goes to one upstream.
+// UpstreamRequest is one request to one upstream.
 type UpstreamRequest struct {
 	Method  string
 	Address string // host:port
 	Target  string // path and query
 	Header  http.Header
 	Body    []byte
-	// Fresh asks for a connection of its own. A reused one may have been closed
-	// by the upstream a moment ago; what is written to it is lost, and whether
-	// the upstream read it can't be known.
+	// Fresh requires a new connection. The upstream may just have closed a reused one;
+	// a request written to it is lost, and whether the upstream has read it can't be
+	// known.
 	Fresh bool
-	// Permit is asked right before the first byte; it may be nil.
+	// Permit is called right before the first byte; it may be nil.
 	Permit func() error
 }
 
-// Send sends a request once. Either the response is not nil, and its body is to
-// be read and closed, or the outcome says how the attempt ended. The error
-// gives the cause for logs.
+// Send sends a request once. Either the response is not nil and its body must be read
+// and closed, or the outcome says how the attempt ended. The error gives the cause for
+// logs.
 func (u *Upstreams) Send(ctx context.Context, r UpstreamRequest) (*http.Response, coordination.Outcome, error) {
 	target, err := url.Parse(u.scheme + "://" + r.Address + r.Target)
 	if err != nil {
@@ -128,8 +127,8 @@
 		Proto:      "HTTP/1.1",
 		ProtoMajor: 1,
 		ProtoMinor: 1,
-		// Without GetBody, which only http.NewRequest would set, the client can't
-		// replay the body; a body that is nil it could always send again.
+		// Only http.NewRequest sets GetBody; without it the client can't replay the
+		// body. A nil body could always be sent again.
 		Body:          io.NopCloser(bytes.NewReader(r.Body)),
 		ContentLength: int64(len(r.Body)),
 	}
@@ -142,7 +141,7 @@
 	if err != nil {
 		return nil, failedOutcome(ctx, a), eris.Wrapf(err, "send to %s", r.Address)
 	}
-	// An open stream must not hold on to the request's body.
+	// An open stream must not retain the request's body.
 	resp.Request = nil
 	if protocol.RefusedByUpstream(resp) {
 		retry := retryAfter(resp.Header)
@@ -152,8 +151,8 @@
 	return resp, nil, nil
 }
 
-// failedOutcome finds from the evidence how an attempt without a response
-// ended.
+// failedOutcome returns the outcome of an attempt without a response, depending on
+// whether bytes were written.
 func failedOutcome(ctx context.Context, a *Attempt) coordination.Outcome {
 	if a.Seal() {
 		reason := coordination.ReasonConnect
@@ -168,8 +167,8 @@
 	return coordination.MayHaveRun{Reason: coordination.ReasonNoAnswer, RetryAfter: defaultRetryTime}
 }
 
-// maxDiscard bounds what is read of an answer that nobody wants, to be able to
-// use its connection again.
+// maxDiscard limits what is read of an unwanted response to make its connection
+// reusable.
 const maxDiscard = 16 << 10
 
 func discard(resp *http.Response) {
@@ -177,7 +176,7 @@
 	_ = resp.Body.Close()
 }
 
-// maxRetryAfter caps what an upstream can ask callers to wait.
+// maxRetryAfter limits the delay that an upstream can ask of callers.
 const maxRetryAfter = 5 * time.Minute
 
 func retryAfter(h http.Header) time.Duration {
--- a/transport/gateway/watch.go
+++ b/transport/gateway/watch.go
@@ -1,5 +1,5 @@
-// This file watches upstreams: one goroutine for each asks it for its state and
-// hands what it says to the control loop.
+// This file watches upstreams: one goroutine per upstream queries its state and posts
+// the result to the control loop.
 
 package gateway
 
@@ -14,7 +14,7 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// Times of a watch.
+// Intervals, timeouts and limits of a watch.
 const (
 	watchWait    = 2 * time.Second // how long an upstream holds a query without a change
 	watchTimeout = 4 * time.Second
@@ -39,14 +39,14 @@
 	cancel context.CancelFunc
 }
 
-// NewWatcher returns a watcher that works until ctx ends. up should count its
-// bytes as control traffic.
+// NewWatcher returns a watcher that runs until ctx ends. up should count its bytes as
+// control traffic.
 func NewWatcher(ctx context.Context, up *Upstreams, post func(fleet.Event)) *Watcher {
 	return &Watcher{ctx: ctx, upstreams: up, post: post, running: make(map[state.UpstreamID]*watch)}
 }
 
-// Set replaces the set of watched upstreams. A watch of an upstream that stays
-// goes on.
+// Set replaces the set of watched upstreams. Watches of upstreams that are in both sets
+// continue.
 func (w *Watcher) Set(members []state.Member) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -73,7 +73,7 @@
 	w.wg.Go(func() { w.run(ctx, id, m.Address) })
 }
 
-// Wait waits until all watches have ended after the context did.
+// Wait waits until all watches have ended, which they do when the context ends.
 func (w *Watcher) Wait() { w.wg.Wait() }
 
 func (w *Watcher) run(ctx context.Context, id state.UpstreamID, address string) {
