--- a/coordination/example_test.go
+++ b/coordination/example_test.go
@@ -6,7 +6,7 @@
 	"hingewinch.org/hingewinch/coordination"
 )
 
-// Example finds the home of a key: the same in every daemon.
+// Example determines the home of a key, which is the same in every daemon.
 func Example() {
 	key := coordination.Hash("chat")
 	home, best := "", uint64(0)
--- a/coordination/fleet/arrange_bench_test.go
+++ b/coordination/fleet/arrange_bench_test.go
@@ -10,8 +10,8 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// BenchmarkTakeList measures what a daemon does with a new member list of the
-// size of two years: neighbours, duties, snapshot.
+// BenchmarkTakeList measures how long a daemon takes to apply a new member list of the
+// size expected in two years: neighbours, duties, snapshot.
 func BenchmarkTakeList(b *testing.B) {
 	var members []state.Member
 	for i := range 930 + 4500 {
@@ -33,8 +33,8 @@
 	}
 }
 
-// BenchmarkMayRunKey measures the keeper's check, which runs twice for a request
-// with a caller's own key, at the size of two years and eight lists of history.
+// BenchmarkMayRunKey measures the owner's check, which runs twice for a request with a
+// caller's own key, at the size expected in two years and with eight lists of history.
 func BenchmarkMayRunKey(b *testing.B) {
 	var members []state.Member
 	for i := range 930 + 4500 {
--- a/coordination/fleet/decisions_test.go
+++ b/coordination/fleet/decisions_test.go
@@ -14,9 +14,9 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// TestAssembler plays an upstream that repeats, loses, delays and mixes chunks
-// and breaks at any point, and a relay that resumes when it is told to. What is
-// forwarded must always be a beginning of the answer, and whole only at its end.
+// TestAssembler simulates an upstream that repeats, loses, delays and mixes chunks and
+// fails at any point, and a relay that resumes when required. The forwarded chunks must
+// always be a prefix of the response, and complete only at its end.
 func TestAssembler(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const total = 12
@@ -28,7 +28,7 @@
 		for range 200 {
 			c := fleet.Chunk{Stream: "s", Seq: next}
 			switch rapid.IntRange(0, 9).Draw(t, "fault") {
-			case 0: // an old chunk comes late
+			case 0: // a late chunk
 				c.Seq = uint64(rapid.IntRange(1, int(next)).Draw(t, "late"))
 			case 1: // chunks are lost
 				c.Seq = next + uint64(rapid.IntRange(1, 4).Draw(t, "lost"))
@@ -53,7 +53,7 @@
 			case fleet.Drop:
 			}
 			if asm.Whole() != (forwarded == total) {
-				t.Fatalf("whole is %v after %d of %d", asm.Whole(), forwarded, total)
+				t.Fatalf("Whole is %v after %d of %d", asm.Whole(), forwarded, total)
 			}
 		}
 	})
@@ -88,7 +88,7 @@
 	})
 }
 
-// poolOf returns a pool of n engines with full gates.
+// poolOf returns a pool of n engines with full admission.
 func poolOf(n int) *state.Pool {
 	p := &state.Pool{}
 	for i := range n {
@@ -107,7 +107,7 @@
 		before, _ := fleet.Choose(p, key, nil)
 		after, _ := fleet.Choose(smaller, key, nil)
 		if before.ID != p.Candidates[i].ID && before.ID != after.ID {
-			t.Fatal("a chat moved although its home stayed")
+			t.Fatal("a chat moved although its home was not removed")
 		}
 	})
 }
@@ -127,12 +127,12 @@
 	It("spreads chats evenly", func() {
 		Expect(share(poolOf(10), "engine-3")).To(BeNumerically("~", 0.1, 0.01))
 	})
-	It("takes away the share that an admission says", func() {
+	It("sends away the fraction of chats that the admission excludes", func() {
 		p := poolOf(10)
 		p.Candidates[3].Admission = state.AdmitAll / 2
 		Expect(share(p, "engine-3")).To(BeNumerically("~", 0.05, 0.01))
 	})
-	It("takes the highest admission if none lets the chat in", func() {
+	It("chooses the highest admission if no candidate admits the chat", func() {
 		p := poolOf(3)
 		for i := range p.Candidates {
 			p.Candidates[i].Admission = 0
@@ -142,18 +142,18 @@
 		Expect(ok).To(BeTrue())
 		Expect(c.ID).To(Equal(state.UpstreamID("engine-1")))
 	})
-	It("says so if all are avoided", func() {
+	It("reports that all candidates are avoided", func() {
 		_, ok := fleet.Choose(poolOf(1), 7, []state.UpstreamID{"engine-0"})
 		Expect(ok).To(BeFalse())
 	})
-	It("allocates nothing", func() {
+	It("does not allocate", func() {
 		p := poolOf(190)
 		Expect(testing.AllocsPerRun(100, func() { fleet.Choose(p, 7, nil) })).To(BeZero())
 	})
 })
 
 var _ = Describe("NextAdmission", func() {
-	It("narrows under load and opens again", func() {
+	It("decreases under load and recovers", func() {
 		g := state.AdmitAll
 		for range 60 {
 			g = fleet.NextAdmission(g, 20_000, 5_000, 1.25)
@@ -164,7 +164,7 @@
 		}
 		Expect(g).To(Equal(state.AdmitAll))
 	})
-	It("does not limit a load that no bound could keep out", func() {
+	It("does not limit a load within the slack", func() {
 		Expect(fleet.NextAdmission(state.AdmitAll, 1_000, 10, 1.25)).To(Equal(state.AdmitAll))
 	})
 })
--- a/coordination/fleet/fleet_test.go
+++ b/coordination/fleet/fleet_test.go
@@ -14,7 +14,7 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// settledMesh returns a running fleet that has its first configuration.
+// settledMesh returns a running fleet that has applied its first configuration.
 func settledMesh(n, domains, engines int) *mesh {
 	m := newMesh(n, domains)
 	m.publishConfig(1, "first")
@@ -28,7 +28,7 @@
 	return func(n *meshNode) bool { return !holds(n) }
 }
 
-// see lets the watcher of an engine hear what it says of itself.
+// see delivers a state report of an engine to the daemons that watch it.
 func (m *mesh) see(engine string, st state.MemberState, load state.Load) {
 	for _, n := range m.nodes {
 		for _, u := range n.watched {
@@ -40,13 +40,13 @@
 }
 
 var _ = Describe("a fleet", func() {
-	It("has a configuration in force everywhere within 3 s", func() {
+	It("applies a configuration everywhere within 3 s", func() {
 		m := settledMesh(88, 11, 40)
 		Expect(m.share(runs(1))).To(Equal(1.0))
 		m.publishConfig(2, "second")
 		Expect(m.timeUntil(7*time.Second, runs(2))).To(BeNumerically("<=", 3*time.Second))
 	})
-	It("keeps a new configuration in a part that is cut off, and takes it after healing", func() {
+	It("serves in a part that is cut off, and applies a new configuration after the cut", func() {
 		m := settledMesh(24, 3, 6)
 		alone := func(n *meshNode) bool { return n.self.Domain == "fd-0" }
 		m.cut = func(a, b *meshNode) bool { return alone(a) != alone(b) }
@@ -58,7 +58,7 @@
 		m.cut = nil
 		Expect(m.timeUntil(15*time.Second, runs(2))).To(BeNumerically("<", 12*time.Second))
 	})
-	It("takes one of two contents under a version everywhere and says so", func() {
+	It("applies the same one of two configurations with equal versions everywhere and records the clash", func() {
 		m := settledMesh(8, 2, 2)
 		one, two := meshConfig(2, "by one operator"), meshConfig(2, "by another")
 		m.tell(m.nodes[0], fleet.ConfigLearned{Config: one})
@@ -86,7 +86,7 @@
 		m.config = meshConfig(1, "first")
 		n := m.nodes[3]
 		m.restart(n)
-		// The platform answers before any peer does.
+		// The platform responds before any peer.
 		m.cut = func(a, b *meshNode) bool { return a == n || b == n }
 		m.run(time.Second)
 		m.cut = nil
@@ -116,7 +116,7 @@
 		m.run(5 * time.Second)
 		Expect(m.share(serves("e1"))).To(Equal(1.0))
 	})
-	It("holds back a list that lost most members and takes it when it stays", func() {
+	It("defers a list that lost most members and applies it if no other follows", func() {
 		m := settledMesh(6, 2, 12)
 		m.publishList(2, 1)
 		m.run(5 * time.Second)
@@ -124,7 +124,7 @@
 		m.run(25 * time.Second)
 		Expect(m.share(serves("e9"))).To(BeZero())
 	})
-	It("takes a whole list that follows one that was held back", func() {
+	It("applies a complete list that follows a deferred one", func() {
 		m := settledMesh(6, 2, 12)
 		m.publishList(2, 1)
 		m.run(5 * time.Second)
@@ -132,7 +132,7 @@
 		m.run(40 * time.Second)
 		Expect(m.share(serves("e9"))).To(Equal(1.0))
 	})
-	It("finds a pause and takes its list as unconfirmed until it is read again", func() {
+	It("detects a pause and treats its list as unconfirmed until it is read again", func() {
 		m := settledMesh(4, 1, 2)
 		n := m.nodes[0]
 		n.frozen = true
@@ -155,14 +155,14 @@
 		m.run(10 * time.Second)
 		Expect(m.reads - before).To(BeNumerically("<=", 2*11*11))
 	})
-	It("confirms the list through peers where the platform is out of reach", func() {
+	It("confirms the list through peers if the platform is unreachable", func() {
 		m := settledMesh(6, 1, 0)
 		n := m.nodes[2]
 		m.away = func(o *meshNode) bool { return o == n }
 		m.run(time.Minute)
 		Expect(m.now.Sub(n.snapshot.Ownership.Confirmed)).To(BeNumerically("<", 10*time.Second))
 	})
-	It("watches each engine by one daemon of its failure domain", func() {
+	It("watches each engine from one daemon of its failure domain", func() {
 		m := settledMesh(12, 3, 9)
 		watchers := map[string]int{}
 		for _, n := range m.nodes {
@@ -176,7 +176,7 @@
 			Expect(count).To(Equal(1))
 		}
 	})
-	It("keeps the budget when everything changes, and still reports a leaving engine at once", func() {
+	It("stays within the budget when all loads change, and still reports a leaving engine at once", func() {
 		m := settledMesh(12, 1, 600)
 		m.run(time.Minute)
 		for _, n := range m.nodes {
@@ -195,7 +195,7 @@
 		m.see("e7", state.Leaving, 0)
 		Expect(m.timeUntil(10*time.Second, not(serves("e7")))).To(BeNumerically("<=", 3*time.Second))
 	})
-	It("learns of every engine when more leave than one message holds", func() {
+	It("reports every leaving engine when more leave than one message holds", func() {
 		m := settledMesh(4, 1, 300)
 		m.run(10 * time.Second)
 		for e := range 300 {
@@ -206,7 +206,7 @@
 		m.run(20 * time.Second)
 		Expect(m.share(func(n *meshNode) bool { return len(n.snapshot.Model("m").Candidates) == 0 })).To(Equal(1.0))
 	})
-	It("goes on receiving reports of an engine when its watcher has restarted", func() {
+	It("still accepts reports of an engine after its watcher has restarted", func() {
 		m := settledMesh(2, 1, 1)
 		watcher, other := m.nodes[0], m.nodes[1]
 		if len(watcher.watched) == 0 {
@@ -224,7 +224,7 @@
 		m.run(5 * time.Second)
 		Expect(load()).To(BeNumerically("<", 50_000))
 	})
-	It("hands duties on when a daemon stops as planned", func() {
+	It("reassigns duties when a daemon shuts down gracefully", func() {
 		m := settledMesh(3, 1, 9)
 		n := m.nodes[0]
 		Expect(n.watched).NotTo(BeEmpty())
@@ -238,8 +238,9 @@
 	})
 })
 
-// TestConfigNeverGoesBack draws publications, stale platforms, restarts, cuts
-// and races, and checks that no process ever follows a version by an older one.
+// TestConfigNeverGoesBack generates publications, stale platforms, restarts, cuts and
+// concurrent publications, and checks that no process replaces a configuration by an
+// older one.
 func TestConfigNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := settledMesh(5, 2, 1)
@@ -273,9 +274,8 @@
 	})
 }
 
-// BenchmarkControl measures what one daemon spends on exchanges as the fleet
-// grows: messages and encoded bytes a second, quiet and with engines whose load
-// moves.
+// BenchmarkControl measures the cost of exchanges per daemon for growing fleets: messages
+// and encoded bytes a second, with steady and with changing loads of the engines.
 func BenchmarkControl(b *testing.B) {
 	for _, size := range []struct{ daemons, domains, engines int }{{8, 4, 20}, {80, 11, 400}, {320, 11, 1600}, {930, 11, 4500}} {
 		for _, busy := range []bool{false, true} {
@@ -301,7 +301,7 @@
 		if !busy {
 			continue
 		}
-		// One engine in a hundred reports a load that is news.
+		// One engine in a hundred reports a significant change of its load.
 		for range max(1, engines/100) {
 			m.see(fmt.Sprintf("e%d", m.rng.IntN(engines)), state.Live, state.Load(m.rng.IntN(40_000)))
 		}
--- a/coordination/fleet/mesh_test.go
+++ b/coordination/fleet/mesh_test.go
@@ -14,9 +14,9 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// mesh joins fleet state machines by messages in virtual time. It is a fake at
-// the interface of the control loop: effects become events after a delay,
-// unless the test cuts the way.
+// mesh connects Fleet state machines by messages in virtual time. It replaces the
+// control loop and the network: effects become events after a delay, unless the test
+// cuts the connection.
 type mesh struct {
 	now       time.Time
 	rng       *rand.Rand
@@ -25,9 +25,10 @@
 	nodes     []*meshNode
 	byAddress map[string]*meshNode
 	delay     time.Duration
-	// cut tells whether a message is lost; nil loses none.
+	// cut reports whether a message is lost; nil loses none.
 	cut func(from, to *meshNode) bool
-	// platform is what the platform publishes; away says that nobody reaches it.
+	// list and config are what the platform publishes; away reports whether it is
+	// unreachable for a node.
 	list   *state.MemberList
 	config *state.Config
 	away   func(n *meshNode) bool
@@ -42,11 +43,11 @@
 	lists    []*state.MemberList
 	watched  []state.Member
 	notes    []fleet.TimelineEntry
-	served   []state.Head // configurations that traffic was given, in order
+	served   []state.Head // published configurations, in order
 	frozen   bool
 	held     []func()
-	sent     int // messages
-	bytes    int // of their encoding
+	sent     int // number of messages
+	bytes    int // size of their encoding
 }
 
 type meshEvent struct {
@@ -95,7 +96,7 @@
 	return n
 }
 
-// restart gives a node a new process that knows nothing.
+// restart replaces the process of a node by one without state.
 func (m *mesh) restart(n *meshNode) {
 	n.self.Incarnation += 1000
 	n.fleet = fleet.New(n.self, rand.New(rand.NewPCG(uint64(n.self.Incarnation), 3)))
@@ -107,7 +108,7 @@
 	heap.Push(&m.queue, meshEvent{m.now.Add(after), m.order, do})
 }
 
-// start lets every node tick, each at a phase of its own.
+// start starts the ticks of every node, each with its own phase.
 func (m *mesh) start() {
 	for _, n := range m.nodes {
 		m.at(time.Duration(m.rng.Int64N(int64(fleet.TickInterval))), func() { m.tick(n) })
@@ -119,7 +120,7 @@
 	m.at(fleet.TickInterval, func() { m.tick(n) })
 }
 
-// run lets time pass.
+// run advances the virtual time by d.
 func (m *mesh) run(d time.Duration) {
 	end := m.now.Add(d)
 	for m.queue.Len() > 0 && !m.queue[0].at.After(end) {
@@ -130,7 +131,7 @@
 	m.now = end
 }
 
-// tell hands an event to a node; a frozen one gets it when it wakes.
+// tell delivers an event to a node; a frozen node receives it when it wakes.
 func (m *mesh) tell(n *meshNode, ev fleet.Event) {
 	if n.frozen {
 		if _, isTick := ev.(fleet.Tick); !isTick {
@@ -187,7 +188,7 @@
 	}
 }
 
-// remember keeps what was taken, in its order, for fetches and checks.
+// remember keeps the applied documents in order, for fetches and checks.
 func (n *meshNode) remember(note fleet.TimelineEntry) {
 	switch note.Kind {
 	case coordination.EventConfigTaken:
@@ -304,7 +305,7 @@
 	return l
 }
 
-// share returns the part of the nodes for which a condition holds.
+// share returns the fraction of the nodes for which a condition holds.
 func (m *mesh) share(holds func(n *meshNode) bool) float64 {
 	n := 0
 	for _, node := range m.nodes {
@@ -315,8 +316,8 @@
 	return float64(n) / float64(len(m.nodes))
 }
 
-// timeUntil lets time pass until a condition holds for all nodes, and returns
-// how long that took, or the limit.
+// timeUntil advances the time until a condition holds for all nodes, and returns how
+// long that took, or the limit.
 func (m *mesh) timeUntil(limit time.Duration, holds func(n *meshNode) bool) time.Duration {
 	const step = 10 * time.Millisecond
 	for d := time.Duration(0); d < limit; d += step {
@@ -334,7 +335,7 @@
 	}
 }
 
-// serves tells whether a node would choose an engine.
+// serves reports whether an engine is in the pool of a node.
 func serves(engine string) func(*meshNode) bool {
 	return func(n *meshNode) bool {
 		if n.snapshot == nil {
--- a/coordination/fleet/once_test.go
+++ b/coordination/fleet/once_test.go
@@ -14,7 +14,7 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// checkAtMostOnce lets rapid look for a schedule in which a key runs twice.
+// checkAtMostOnce searches for a schedule in which a key runs twice.
 func checkAtMostOnce(w way) func(*rapid.T) {
 	return func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -34,8 +34,8 @@
 
 func TestOwnerRunsAtMostOnce(t *testing.T) { rapid.Check(t, checkAtMostOnce(wayOwner)) }
 
-// runSchedules plays fixed random schedules and returns how many keys ran more
-// than once, how many there were, and the share of sendings that were refused.
+// runSchedules simulates a fixed set of random schedules. It returns how many keys ran
+// more than once, the number of keys, and the fraction of requests that were refused.
 func runSchedules(w way, schedules, steps int) (double, total int, refused float64) {
 	asked, refusals := 0, 0
 	for s := range schedules {
@@ -57,7 +57,7 @@
 	return double, total, float64(refusals) / float64(max(asked, 1))
 }
 
-// The naive ways must fail in the same world, or the world proves nothing.
+// The incomplete strategies must fail in the same simulation, or it proves nothing.
 var _ = Describe("requests that must not be repeated", func() {
 	DescribeTable("in a world that breaks naive ways", func(w way, safe bool) {
 		double, total, _ := runSchedules(w, 300, 300)
@@ -71,7 +71,7 @@
 		Entry("a ledger in each daemon", wayLocal, false),
 		Entry("an owner without a grace period", wayNoGrace, false),
 		Entry("an owner that trusts a list of any age", wayNoLease, false),
-		Entry("an owner that takes what was held up on the way", wayNoChallenge, false),
+		Entry("an owner that accepts delayed requests", wayNoChallenge, false),
 		Entry("the owner", wayOwner, true),
 		Entry("the ticket", wayTicket, true),
 	)
@@ -109,7 +109,7 @@
 		Expect(wait.First.Done).To(BeClosed())
 		Expect(begin(2 * time.Second)).To(Equal(fleet.Replay{Answer: answer}))
 	})
-	It("refuses another request under the key", func() {
+	It("refuses a different request with the same key", func() {
 		begin(0)
 		Expect(l.Begin(epoch, key, fleet.Fingerprint{2}, time.Minute)).To(Equal(fleet.Conflict{}))
 	})
@@ -120,14 +120,14 @@
 		l.Finish(key, coordination.MayHaveRun{}, nil)
 		Expect(begin(0)).To(BeAssignableToTypeOf(fleet.Deny{}))
 	})
-	It("answers those who wait that the first was not run, and starts none of them", func() {
+	It("reports to waiting repeats that the first attempt was not run, and starts none of them", func() {
 		begin(0)
 		wait := begin(0).(fleet.Wait)
 		l.Finish(key, coordination.NotRun{Reason: coordination.ReasonConnect}, nil)
 		Expect(wait.First.Done).To(BeClosed())
 		Expect(wait.First.Outcome).To(Equal(coordination.NotRun{Reason: coordination.ReasonConnect}))
 	})
-	It("keeps a key that is still running beyond its window", func() {
+	It("keeps a running key beyond its window", func() {
 		begin(0)
 		Expect(begin(3 * time.Minute)).To(BeAssignableToTypeOf(fleet.Wait{}))
 	})
@@ -155,7 +155,7 @@
 		_, refusal, err := i.Admit(t, w, "gate", age)
 		return refusal, err
 	}
-	It("is taken by the incarnation that issued it", func() {
+	It("is accepted by the incarnation that issued it", func() {
 		refusal, err := admit(issuer, "w", time.Second)
 		Expect(refusal).To(BeNil())
 		Expect(err).NotTo(HaveOccurred())
--- a/coordination/fleet/once_world_test.go
+++ b/coordination/fleet/once_world_test.go
@@ -10,20 +10,20 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// way is a way of keeping a request from running twice.
+// way is a strategy that is meant to keep a request from running twice.
 type way int
 
 const (
-	wayLocal       way = iota // each daemon has a ledger of its own and asks nobody
-	wayNoGrace                // the keeper acts as soon as it ranks first
-	wayNoLease                // the keeper acts on a list of any age
-	wayNoChallenge            // the keeper takes what was held up on the way
-	wayOwner                  // the product's way for a caller's own key
-	wayTicket                 // the product's way for a ticket
+	wayLocal       way = iota // each daemon uses its own ledger and asks no other daemon
+	wayNoGrace                // the owner acts as soon as it ranks first
+	wayNoLease                // the owner acts on a list of any age
+	wayNoChallenge            // the owner accepts delayed requests
+	wayOwner                  // the strategy in use for a caller's own key
+	wayTicket                 // the strategy in use for a ticket
 )
 
-// onceWorld is a few daemons around one service: lists differ, processes are
-// paused, restarted and cut off, clocks drift. The decisions are the product's.
+// onceWorld simulates a few daemons in front of one service: lists differ, processes are
+// paused, restarted and cut off, clocks drift. The decisions are made by package fleet.
 type onceWorld struct {
 	way     way
 	rules   fleet.OwnerRules
@@ -43,9 +43,9 @@
 type onceDaemon struct {
 	n       int
 	born    time.Time
-	rate    float64 // of its clock against true time
+	rate    float64 // of its clock relative to true time
 	frozen  bool
-	cut     bool // learns no lists
+	cut     bool // receives no lists
 	epoch   state.OwnershipState
 	ledger  *fleet.Ledger
 	issuer  *fleet.TicketIssuer
@@ -53,7 +53,7 @@
 	started time.Time // own clock
 }
 
-// onceForward is a request that was passed on and may be held up.
+// onceForward is a forwarded request that may be delayed.
 type onceForward struct {
 	to        *onceDaemon
 	life      state.Incarnation
@@ -85,14 +85,14 @@
 	for i := range n {
 		ow.restart(i, rng)
 	}
-	// The fleet is settled when the test begins.
+	// The grace periods have passed when the test begins.
 	ow.passTicks(int((ow.rules.GracePeriod() + time.Minute) / time.Second))
 	return ow
 }
 
 func (ow *onceWorld) pass(d time.Duration) { ow.now = ow.now.Add(d) }
 
-// clock is the daemon's own clock.
+// clock returns the time by the daemon's own clock.
 func (ow *onceWorld) clock(d *onceDaemon) time.Time {
 	return epoch.Add(time.Duration(float64(ow.now.Sub(d.born)) * d.rate))
 }
@@ -118,7 +118,7 @@
 	return out
 }
 
-// publish changes the platform's list.
+// publish adds a daemon to the platform's list or removes it.
 func (ow *onceWorld) publish(n int) {
 	ow.listed[n] = !ow.listed[n]
 	ow.rev++
@@ -134,7 +134,7 @@
 	return state.NewMemberList(ow.rev, fmt.Appendf(nil, "%d", ow.rev), members)
 }
 
-// learn lets a daemon read the platform.
+// learn makes a daemon read the platform.
 func (ow *onceWorld) learn(d *onceDaemon) {
 	if d.frozen {
 		return
@@ -155,8 +155,8 @@
 	}
 }
 
-// send lets a caller send a key through a daemon. The caller keeps to the
-// contract: it repeats a key within the window only.
+// send sends a key through a daemon. The caller observes the contract: it repeats a key
+// only within the window.
 func (ow *onceWorld) send(key string, via *onceDaemon) {
 	if via.frozen || len(via.epoch.History) == 0 {
 		return
@@ -183,7 +183,7 @@
 	}
 }
 
-// arrive delivers a request that was passed on, however late.
+// arrive delivers a forwarded request, however late.
 func (ow *onceWorld) arrive(i int) {
 	f := ow.flying[i]
 	if f.to.frozen {
@@ -218,7 +218,7 @@
 	return nil
 }
 
-// decide asks the daemon's rules and ledger; a request that may start waits for
+// decide applies the daemon's rules and its ledger. A request that may start waits for
 // its first byte.
 func (ow *onceWorld) decide(d *onceDaemon, k fleet.LedgerKey) bool {
 	if !ow.may(d, k) {
@@ -254,8 +254,8 @@
 	return fleet.MayRunKey(now, daemonID(d.n), epoch, k, ow.rules) == nil
 }
 
-// firstByte lets one waiting attempt write, unless its daemon may not any more.
-// lost says that the answer does not come back.
+// firstByte makes one waiting attempt write, unless its daemon is no longer allowed to.
+// lost means that the response does not arrive.
 func (ow *onceWorld) firstByte(i int, lost bool) {
 	a := ow.pending[i]
 	if a.d.frozen {
@@ -274,7 +274,7 @@
 	a.d.ledger.Finish(a.key, coordination.Answered{}, &fleet.StoredAnswer{Status: 200})
 }
 
-// newKey returns a key as a caller of this way would get it.
+// newKey returns a new key for the strategy.
 func (ow *onceWorld) newKey(n int, via *onceDaemon) string {
 	if ow.way != wayTicket {
 		return fmt.Sprintf("key-%d", n)
@@ -291,9 +291,9 @@
 	return most
 }
 
-// step does one random thing; the common ones are many times as likely as the
-// faults, so that a fault lasts long enough to matter. intn draws a number below
-// its argument.
+// step performs one random action. Ordinary actions are many times as likely as faults,
+// so that a fault lasts long enough to have an effect. intn returns a random number
+// below its argument.
 func (ow *onceWorld) step(intn func(int) int, rng *rand.Rand, keys *[]string) {
 	d := ow.daemons[intn(len(ow.daemons))]
 	switch draw := intn(100); {
@@ -329,7 +329,8 @@
 	}
 }
 
-// passTicks lets time pass, in which who is not cut off or paused keeps up.
+// passTicks advances the time; daemons that are not cut off or paused read the platform
+// every second.
 func (ow *onceWorld) passTicks(seconds int) {
 	for range seconds {
 		ow.pass(time.Second)
--- a/coordination/fleet/suite_test.go
+++ b/coordination/fleet/suite_test.go
@@ -11,5 +11,5 @@
 
 func TestSuite(t *testing.T) { spec.Run(t, "fleet") }
 
-// epoch is the time at which tests begin.
+// epoch is the start time of the tests.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
--- a/coordination/suite_test.go
+++ b/coordination/suite_test.go
@@ -9,5 +9,5 @@
 
 func TestCoordination(t *testing.T) { spec.Run(t, "coordination") }
 
-// epoch is the time at which tests begin.
+// epoch is the start time of the tests.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
--- a/coordination/timeline_test.go
+++ b/coordination/timeline_test.go
@@ -16,18 +16,18 @@
 })
 
 var _ = Describe("HybridClock", func() {
-	It("stamps an effect after its cause although the clock is behind", func() {
+	It("stamps an effect after its cause although the local clock is behind", func() {
 		var ahead, behind coordination.HybridClock
 		cause := ahead.Next(epoch.Add(5 * time.Second))
 		behind.Observe(epoch, cause)
 		Expect(behind.Next(epoch).Compare(cause)).To(BeNumerically(">", 0))
 	})
-	It("is not dragged far by a wrong clock", func() {
+	It("limits the influence of a wrong remote clock", func() {
 		var c coordination.HybridClock
 		c.Observe(epoch, coordination.Stamp{Wall: epoch.Add(24 * time.Hour).UnixNano()})
 		Expect(c.Next(epoch).Wall).To(BeNumerically("<=", epoch.Add(coordination.MaxStampLead).UnixNano()))
 	})
-	It("orders a merged time line by cause", func() {
+	It("orders a merged timeline by causality", func() {
 		var a, b coordination.HybridClock
 		first := coordination.TimelineEvent{Stamp: a.Next(epoch.Add(time.Minute)), Daemon: "a", Text: "cause"}
 		b.Observe(epoch, first.Stamp)
@@ -38,7 +38,7 @@
 })
 
 var _ = Describe("Ring", func() {
-	It("keeps the newest", func() {
+	It("keeps the newest events", func() {
 		r := coordination.NewRing(2)
 		for _, text := range []string{"a", "b", "c"} {
 			r.Add(coordination.TimelineEvent{Text: text})
