--- a/coordination/fleet/fleet_test.go
+++ b/coordination/fleet/fleet_test.go
@@ -46,7 +46,7 @@
 		m.publishConfig(2, "second")
 		Expect(m.timeUntil(7*time.Second, runs(2))).To(BeNumerically("<=", 3*time.Second))
 	})
-	It("serves in a part that is cut off, and applies a new configuration after the cut", func() {
+	It("serves in a part that is cut off, and applies a new configuration after healing", func() {
 		m := settledMesh(24, 3, 6)
 		alone := func(n *meshNode) bool { return n.self.Domain == "fd-0" }
 		m.cut = func(a, b *meshNode) bool { return alone(a) != alone(b) }
@@ -58,7 +58,7 @@
 		m.cut = nil
 		Expect(m.timeUntil(15*time.Second, runs(2))).To(BeNumerically("<", 12*time.Second))
 	})
-	It("applies the same one of two configurations with equal versions everywhere and records the clash", func() {
+	It("applies one of two contents under a version everywhere and records the clash", func() {
 		m := settledMesh(8, 2, 2)
 		one, two := meshConfig(2, "by one operator"), meshConfig(2, "by another")
 		m.tell(m.nodes[0], fleet.ConfigLearned{Config: one})
@@ -224,7 +224,7 @@
 		m.run(5 * time.Second)
 		Expect(load()).To(BeNumerically("<", 50_000))
 	})
-	It("reassigns duties when a daemon shuts down gracefully", func() {
+	It("reassigns duties when a daemon stops as planned", func() {
 		m := settledMesh(3, 1, 9)
 		n := m.nodes[0]
 		Expect(n.watched).NotTo(BeEmpty())
--- a/daemon/openai/bench_test.go
+++ b/daemon/openai/bench_test.go
@@ -22,7 +22,7 @@
 	"hingewinch.org/hingewinch/transport/gateway"
 )
 
-// metric reads one metric of a daemon.
+// metric returns the value of one metric of a daemon, or 0.
 func (r *running) metric(name string) float64 {
 	resp, err := http.Get("http://" + r.d.OperatorAddress() + gateway.PathMetrics)
 	if err != nil {
@@ -39,10 +39,9 @@
 	return 0
 }
 
-// BenchmarkControlTraffic runs real daemons without requests and reads what
-// their control connections carried, HTTP framing included: TLS and TCP headers
-// are not in it. Each daemon of the real fleet watches about five engines, as
-// here at the larger size.
+// BenchmarkControlTraffic runs real daemons without requests and measures the bytes on
+// their control connections, including HTTP framing but not TLS and TCP headers. At
+// the larger size each daemon watches about five engines, as in the real fleet.
 func BenchmarkControlTraffic(b *testing.B) {
 	for _, size := range []struct{ daemons, domains, engines int }{{8, 4, 20}, {24, 3, 120}} {
 		b.Run(fmt.Sprintf("daemons=%d/engines=%d", size.daemons, size.engines), func(b *testing.B) {
@@ -103,8 +102,7 @@
 	}
 }
 
-// processTime is the processor time of this process, engines and platform
-// included.
+// processTime returns the CPU time of this process, including engines and platform.
 func processTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
--- a/daemon/openai/daemon_test.go
+++ b/daemon/openai/daemon_test.go
@@ -43,7 +43,7 @@
 	patience = 20 * time.Second
 )
 
-// fleet is a few real daemons before a platform and an engine.
+// fleet is a few real daemons with a platform and an engine.
 type fleet struct {
 	platform *standin.Platform
 	engine   *standin.Engine
@@ -58,9 +58,9 @@
 	done     chan error
 }
 
-// testPort is the port of all listeners of daemons. It lies below the ports that the
-// system draws for others: a port that was drawn and given back may be drawn again
-// before the daemon listens on it.
+// testPort is the port of all listeners of daemons. It is below the ephemeral port range:
+// an ephemeral port that a test reserves and releases may be allocated again before the
+// daemon listens on it.
 const testPort = 7350
 
 var (
@@ -68,7 +68,7 @@
 	addressesUsed = mrand.IntN(1 << 20)
 )
 
-// freeAddress returns a loopback address that no other listener of the tests has.
+// freeAddress returns a loopback address that no other listener of the tests uses.
 func freeAddress() string {
 	addressesMu.Lock()
 	defer addressesMu.Unlock()
@@ -152,7 +152,7 @@
 	return a
 }
 
-// chat sends one streamed chat and tells whether its answer came whole.
+// chat sends one streamed chat and reports whether its response was complete.
 func (r *running) chat() (whole bool, err error) {
 	req, _ := http.NewRequest(http.MethodPost, r.url(protocol.PathChat), strings.NewReader(`{"model":"m","stream":true,"messages":[{"role":"user","content":"x"}]}`))
 	req.Header.Set("Authorization", "Bearer "+key)
@@ -166,7 +166,7 @@
 }
 
 var _ = Describe("a planned stop", func() {
-	DescribeTable("cuts no request", func(stopped int, platformAway bool) {
+	DescribeTable("interrupts no request", func(stopped int, platformAway bool) {
 		f := newFleet(3, 30*time.Millisecond, nil)
 		f.platform.SetAway(platformAway)
 		results := make(chan bool, 60)
@@ -195,9 +195,9 @@
 	},
 		Entry("of one daemon", 1, false),
 		Entry("of several at once", 2, false),
-		Entry("of all, with the platform away", 3, true),
+		Entry("of all, with the platform unreachable", 3, true),
 	)
-	It("serves what comes until the balancer has noticed", func() {
+	It("serves new requests during the notice period", func() {
 		f := newFleet(1, 0, func(s *openai.Settings) { s.Stop.Notice = time.Second })
 		r := f.daemons[0]
 		r.stop()
@@ -207,7 +207,7 @@
 })
 
 var _ = Describe("daemons", func() {
-	It("take a configuration and spread it with the platform away", func() {
+	It("apply a configuration and spread it while the platform is unreachable", func() {
 		f := newFleet(3, 0, nil)
 		f.platform.Publish(protocol.PathConfig, config(2))
 		for _, r := range f.daemons {
@@ -218,7 +218,8 @@
 		f.platform.SetAway(true)
 		f.daemons[0].stop()
 		Eventually(f.daemons[0].done, patience).Should(Receive(BeNil()))
-		// A daemon that starts with the platform away learns all from a peer.
+		// A daemon that starts while the platform is unreachable gets all documents from a
+		// peer.
 		s := *f.daemons[0].settings
 		s.Seeds = []string{f.daemons[1].settings.Peer}
 		fresh := &running{settings: &s}
@@ -227,7 +228,7 @@
 		Expect(fresh.status().Config).To(HavePrefix("2@"))
 		Expect(fresh.chat()).To(BeTrue())
 	})
-	It("say so and refuse as not-run while they know no configuration", func() {
+	It("fail the health check and refuse as not-run while they have no configuration", func() {
 		platform := standin.NewPlatform()
 		text := fmt.Sprintf("id: d0\ndomain: a\nplatform: http://%s\nlisten: {callers: 127.0.0.1:0, peers: 127.0.0.1:0, operators: 127.0.0.1:0}\nstop: {notice: 0s}\n", serveHandler(platform))
 		s, err := openai.ParseSettings("settings", []byte(text))
@@ -240,7 +241,7 @@
 		defer resp.Body.Close()
 		Expect(resp.Header.Get(protocol.HeaderOutcome)).To(Equal("not-run"))
 	})
-	It("serve callers by TLS where the settings say so", func() {
+	It("serve callers over TLS if configured", func() {
 		dir := GinkgoT().TempDir()
 		newAuthority(dir).sign(dir, "callers")
 		text := fmt.Sprintf("id: d0\ndomain: a\nplatform: http://%s\nlisten: {callers: 127.0.0.1:0, peers: 127.0.0.1:0, operators: 127.0.0.1:0}\nstop: {notice: 0s}\ntls: {callers: {certificate: %s/callers.pem, key: %s/callers.key}}\n", serveHandler(standin.NewPlatform()), dir, dir)
@@ -257,9 +258,9 @@
 			defer resp.Body.Close()
 			return resp.StatusCode
 		}, patience).Should(Equal(http.StatusServiceUnavailable))
-		Expect(r.ready()).To(Equal(http.StatusBadRequest)) // plain HTTP gets no further
+		Expect(r.ready()).To(Equal(http.StatusBadRequest)) // plain HTTP is rejected
 	})
-	It("talk to each other by mutual TLS only", func() {
+	It("accept peers only over mutual TLS", func() {
 		dir := GinkgoT().TempDir()
 		ca := newAuthority(dir)
 		ca.sign(dir, "fleet")
@@ -280,12 +281,12 @@
 		resp, err := client.Post("https://"+f.daemons[0].settings.Peer+"/twirp/hingewinch.peer.Peer/Exchange", "application/json", strings.NewReader("{}"))
 		Expect(err).NotTo(HaveOccurred())
 		defer resp.Body.Close()
-		Expect(resp.StatusCode).To(Equal(http.StatusBadRequest)) // news without a sender
+		Expect(resp.StatusCode).To(Equal(http.StatusBadRequest)) // gossip without a sender
 	})
 })
 
 var _ = Describe("settings", func() {
-	DescribeTable("are refused with line and remedy", func(text, want string) {
+	DescribeTable("are rejected with line and remedy", func(text, want string) {
 		_, err := openai.ParseSettings("d.yaml", []byte(text))
 		Expect(err).To(MatchError(ContainSubstring(want)))
 	},
@@ -293,10 +294,10 @@
 		Entry("an unknown key", "id: d\nlisten_on: x\n", `d.yaml:2: unknown key "listen_on"; remove it`),
 		Entry("a wrong address", "id: d\ndomain: a\nplatform: http://p:1\nlisten:\n  callers: nowhere\n", `d.yaml:5: address "nowhere" is not HOST:PORT`),
 		Entry("a wrong platform", "id: d\nplatform: p\n", `d.yaml:2: platform "p" is not a base URL`),
-		Entry("half a TLS identity", "id: d\ntls:\n  peers: {key: k}\n", "d.yaml:3: tls for peers lacks"),
+		Entry("an incomplete TLS identity", "id: d\ntls:\n  peers: {key: k}\n", "d.yaml:3: tls for peers lacks"),
 		Entry("a limit of zero", "id: d\nlimits: {timeout: 0s}\n", "d.yaml:2: timeout is not above 0"),
 	)
-	It("of the examples are right", func() {
+	It("of the examples are valid", func() {
 		files, err := filepath.Glob("../../examples/*/hingewinchd-*.yaml")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(files).NotTo(BeEmpty())
@@ -307,7 +308,7 @@
 	})
 })
 
-// authority signs certificates for a test.
+// authority is a certificate authority for tests.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
--- a/transport/gateway/attempt_test.go
+++ b/transport/gateway/attempt_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestSealedAttemptWritesNothing brings about the moment between an attempt's
-// end and its writer's waking: the seal falls while the permit is asked.
+// TestSealedAttemptWritesNothing seals an attempt while its writer is inside the permit
+// call, as happens when a call is cancelled right before its first byte.
 func TestSealedAttemptWritesNothing(t *testing.T) {
 	asked, sealed := make(chan struct{}), make(chan struct{})
 	a := newAttempt(func() error {
@@ -18,11 +18,11 @@
 	go func() { result <- a.beforeWrite() }()
 	<-asked
 	if !a.Seal() {
-		t.Fatal("an attempt that has written nothing could not be sealed")
+		t.Fatal("Seal returned false for an attempt without a write")
 	}
 	close(sealed)
 	if err := <-result; !errors.Is(err, errSealed) {
-		t.Fatalf("a sealed attempt may write: %v", err)
+		t.Fatalf("write on a sealed attempt: got %v, want errSealed", err)
 	}
 }
 
@@ -32,6 +32,6 @@
 		t.Fatal(err)
 	}
 	if a.Seal() {
-		t.Fatal("an attempt that may have written was sealed")
+		t.Fatal("Seal returned true for an attempt that may have written")
 	}
 }
--- a/transport/gateway/bench_test.go
+++ b/transport/gateway/bench_test.go
@@ -22,8 +22,8 @@
 	"hingewinch.org/hingewinch/transport/gateway"
 )
 
-// tokensEngine answers at once with n tokens, or holds the stream open after
-// the first token until the caller leaves if n is 0.
+// tokensEngine responds at once with n tokens. If n is 0, it sends one token and keeps
+// the stream open until the caller disconnects.
 func tokensEngine(n int) http.Handler {
 	const token = `{"id":"c","object":"chat.completion.chunk","model":"m","choices":[{"index":0,"delta":{"content":"word"}}]}`
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -43,7 +43,7 @@
 	})
 }
 
-// benchFixture returns a gateway before one engine, and the engine's own URL.
+// benchFixture returns a gateway in front of one engine, and the engine's own URL.
 func benchFixture(b *testing.B, h http.Handler) (f *fixture, direct string) {
 	f = newFixture(b, fixtureOptions{extra: []http.Handler{h}})
 	f.engines[0].SetFaults(standin.Faults{Refuse: true})
@@ -79,8 +79,8 @@
 	return float64(d[int(q*float64(len(d)-1))]) / float64(time.Microsecond)
 }
 
-// BenchmarkAddedLatency sends each request directly and through the gateway in
-// turn, so that both meet the same moments of the machine.
+// BenchmarkAddedLatency alternates requests to the engine with requests through the
+// gateway, so that both are measured under the same load of the machine.
 func BenchmarkAddedLatency(b *testing.B) {
 	f, direct := benchFixture(b, tokensEngine(1))
 	client := &http.Client{Transport: &http.Transport{}}
@@ -100,14 +100,14 @@
 	b.ReportMetric(quantile(through, 0.99)-quantile(plain, 0.99), "µs-added-p99")
 }
 
-// cpuTime is the processor time of this process.
+// cpuTime returns the CPU time of this process.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// cpuOf returns the processor time of n calls by some callers at a time.
+// cpuOf returns the CPU time of n calls by 16 concurrent callers.
 func cpuOf(b *testing.B, n int, url string) time.Duration {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	begun := cpuTime()
@@ -126,8 +126,8 @@
 	return cpuTime() - begun
 }
 
-// BenchmarkAddedCPU takes the processor time of the same calls with and without
-// the gateway; the rest is the gateway's, its sockets' kernel time included.
+// BenchmarkAddedCPU measures the CPU time of the same calls with and without the gateway.
+// The difference is the gateway's, including the kernel time of its sockets.
 func BenchmarkAddedCPU(b *testing.B) {
 	for _, tokens := range []int{1, 1000} {
 		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) {
@@ -147,7 +147,7 @@
 	}
 }
 
-// memoryInUse is the memory of heap and stacks after a collection.
+// memoryInUse returns the memory of heap and stacks after a garbage collection.
 func memoryInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
@@ -156,7 +156,7 @@
 	return m.HeapInuse + m.StackInuse
 }
 
-// openStreams opens n streams and returns the memory that they take.
+// openStreams opens n streams and returns the memory used per stream.
 func openStreams(b *testing.B, n int, url string) float64 {
 	client := &http.Client{Transport: &http.Transport{}}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -180,11 +180,11 @@
 	return float64(used) / float64(n)
 }
 
-// BenchmarkStreamMemory takes the memory of open streams with and without the
-// gateway between the same callers and engine.
+// BenchmarkStreamMemory measures the memory of open streams with and without the gateway
+// between the same callers and engine.
 func BenchmarkStreamMemory(b *testing.B) {
 	f, direct := benchFixture(b, tokensEngine(0))
-	// Pools and caches of the library fill up in a first round.
+	// Warm-up: fills the pools and caches of the HTTP library.
 	openStreams(b, 2000, f.gateway.URL)
 	time.Sleep(time.Second)
 	for range b.N {
@@ -197,8 +197,8 @@
 	}
 }
 
-// BenchmarkRefusal measures the cheapest refusal: a request that no engine
-// takes, decided without a connection.
+// BenchmarkRefusal measures the refusal of a request without a candidate engine, which
+// needs no connection.
 func BenchmarkRefusal(b *testing.B) {
 	f := newFixture(b, fixtureOptions{})
 	f.snapshot.Model("m").Candidates = nil
@@ -210,8 +210,8 @@
 	}
 }
 
-// BenchmarkExchange measures one exchange of news between two daemons on the
-// wire: bytes with HTTP framing, and processor time of both sides.
+// BenchmarkExchange measures one gossip exchange between two daemons: bytes including HTTP
+// framing, and CPU time of both sides.
 func BenchmarkExchange(b *testing.B) {
 	rec, m := transport.NewRecorder("d0", nil), gateway.NewMetrics()
 	defer m.Close()
--- a/transport/gateway/evidence_test.go
+++ b/transport/gateway/evidence_test.go
@@ -20,8 +20,8 @@
 	"hingewinch.org/hingewinch/transport/gateway"
 )
 
-// rawServer accepts connections and does with each what serve says. It counts
-// the bytes that it read.
+// rawServer accepts connections and handles each with a function. It counts the bytes
+// that it reads.
 type rawServer struct {
 	net.Listener
 	read     atomic.Int64
@@ -48,7 +48,7 @@
 	return s
 }
 
-// take reads until n bytes or a whole request have come.
+// take reads until at least n bytes have arrived or the connection is closed.
 func (s *rawServer) take(c net.Conn, n int) {
 	buf := make([]byte, 4096)
 	for got := 0; got < n; {
@@ -62,9 +62,9 @@
 	s.requests.Add(1)
 }
 
-// resetUnread waits until bytes have come, and resets the connection without
-// reading them. A reset before they come could reach the client before it writes,
-// which would rightly be not-run.
+// resetUnread waits until bytes have arrived, and resets the connection without reading
+// them. An earlier reset could reach the client before it writes, which would correctly
+// be reported as not-run.
 func resetUnread(_ *rawServer, c net.Conn) {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -110,20 +110,20 @@
 	},
 		Entry("closed before anything is read", resetUnread, coordination.MayHaveRun{}),
 		Entry("closed after the first bytes", func(s *rawServer, c net.Conn) { s.take(c, 1) }, coordination.MayHaveRun{}),
-		Entry("closed after the whole request", func(s *rawServer, c net.Conn) { s.take(c, 100) }, coordination.MayHaveRun{}),
+		Entry("closed after the complete request", func(s *rawServer, c net.Conn) { s.take(c, 100) }, coordination.MayHaveRun{}),
 		Entry("half a response header", func(s *rawServer, c net.Conn) {
 			s.take(c, 100)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-")
 		}, coordination.MayHaveRun{}),
-		Entry("a body that is cut", func(s *rawServer, c net.Conn) {
+		Entry("a truncated body", func(s *rawServer, c net.Conn) {
 			s.take(c, 100)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
 		}, coordination.MayHaveRun{}),
-		Entry("a chunked body without its end", func(s *rawServer, c net.Conn) {
+		Entry("a chunked body without its last chunk", func(s *rawServer, c net.Conn) {
 			s.take(c, 100)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n")
 		}, coordination.MayHaveRun{}),
-		Entry("a whole answer", func(s *rawServer, c net.Conn) {
+		Entry("a complete response", func(s *rawServer, c net.Conn) {
 			s.take(c, 100)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood")
 		}, coordination.Answered{}),
@@ -137,7 +137,7 @@
 		}, coordination.Answered{}),
 	)
 
-	It("is not-run when nobody listens", func() {
+	It("is not-run when the connection is refused", func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		address := l.Addr().String()
@@ -152,7 +152,7 @@
 		up = gateway.NewUpstreams(gateway.UpstreamOptions{TLS: &tls.Config{InsecureSkipVerify: true}})
 		Expect(send(context.Background(), s.Addr().String())).To(BeAssignableToTypeOf(coordination.NotRun{}))
 	})
-	It("is not-run when the permit is refused at the first byte", func() {
+	It("is not-run when the permit fails at the first byte", func() {
 		s := newRawServer(func(s *rawServer, c net.Conn) { s.take(c, 100) })
 		r := post(s.Addr().String())
 		r.Permit = func() error { return errors.New("too late") }
@@ -161,8 +161,9 @@
 		Expect(s.read.Load()).To(BeZero())
 	})
 
-	// The HTTP client writes in a goroutine of its own. Cancelled at any moment,
-	// an attempt that is called not-run must never have written, nor write later.
+	// The HTTP client writes in a goroutine of its own. Whenever an attempt is
+	// cancelled, if it is reported as not-run it must not have written anything, nor
+	// write later.
 	It("is never not-run after a byte has been written, whenever it is cancelled", func() {
 		notRun, mayHave := 0, 0
 		for i := range 1000 {
@@ -177,7 +178,7 @@
 					cancel()
 				case 1: // while the first bytes are written
 					conn.during = cancel
-				default: // somewhere in between
+				default: // at a time in between
 					go func() {
 						for range i {
 							runtime.Gosched()
@@ -203,7 +204,7 @@
 		Expect(mayHave).To(BeNumerically(">", 0))
 	})
 
-	It("is counted once although the client library could send again", func() {
+	It("is of one attempt only, although the HTTP client could retry", func() {
 		var first sync.Once
 		s := newRawServer(func(s *rawServer, c net.Conn) {
 			s.take(c, 100)
@@ -218,14 +219,14 @@
 		Expect(err).NotTo(HaveOccurred())
 		_, _ = io.ReadAll(resp.Body)
 		_ = resp.Body.Close()
-		// The connection is used again, and closed as soon as the request came.
+		// The connection is reused, and closed as soon as the request has arrived.
 		_, outcome, _ := up.Send(context.Background(), r)
 		Expect(outcome).To(BeAssignableToTypeOf(coordination.MayHaveRun{}))
 		Expect(s.requests.Load()).To(Equal(int64(2)))
 	})
 })
 
-// countedConn counts what is written.
+// countedConn counts the bytes written.
 type countedConn struct {
 	net.Conn
 	written *atomic.Int64
--- a/transport/gateway/gateway_test.go
+++ b/transport/gateway/gateway_test.go
@@ -23,12 +23,12 @@
 	"hingewinch.org/hingewinch/transport/gateway"
 )
 
-var _ = Describe("a wrong request", func() {
+var _ = Describe("an invalid request", func() {
 	var f *fixture
 	BeforeEach(func() {
 		f = newFixture(GinkgoTB(), fixtureOptions{limits: func(l *gateway.Limits) { l.BodyBytes = 1000 }})
 	})
-	DescribeTable("gets a clear refusal and reaches no upstream", func(method, path, key, body string, status int, remedy string) {
+	DescribeTable("is rejected with a remedy and reaches no upstream", func(method, path, key, body string, status int, remedy string) {
 		resp, err := f.do(context.Background(), method, path, []byte(body), map[string]string{"Authorization": key})
 		Expect(err).NotTo(HaveOccurred())
 		defer resp.Body.Close()
@@ -53,7 +53,7 @@
 		Entry("no model", "POST", protocol.PathChat, "Bearer "+testKey, `{"messages":[]}`, 400, "model is missing"),
 		Entry("no messages", "POST", protocol.PathChat, "Bearer "+testKey, `{"model":"m"}`, 400, "messages is missing"),
 		Entry("a model that is not allowed", "POST", protocol.PathChat, "Bearer "+testKey, `{"model":"secret","messages":[{"role":"user"}]}`, 403, "may not use model"),
-		Entry("a second model behind the first", "POST", protocol.PathChat, "Bearer "+testKey, `{"model":"m","model":"secret","messages":[{"role":"user"}]}`, 400, "stands twice"),
+		Entry("a second model after the first", "POST", protocol.PathChat, "Bearer "+testKey, `{"model":"m","model":"secret","messages":[{"role":"user"}]}`, 400, "stands twice"),
 		Entry("a body that is too large", "POST", protocol.PathChat, "Bearer "+testKey, strings.Repeat(" ", 2000), 413, "send less"),
 		Entry("an unknown service", "POST", "/services/none/x", "Bearer "+testKey, "", 404, "is not defined"),
 		Entry("a service that is not allowed", "POST", "/services/gate/passes", "Bearer "+otherKey, "", 403, "may not call service"),
@@ -61,8 +61,8 @@
 	)
 })
 
-var _ = Describe("a caller who sends a body too slowly", func() {
-	It("is refused as not-run, and holds nothing for long", func() {
+var _ = Describe("a caller that sends a body too slowly", func() {
+	It("is refused as not-run after the limit", func() {
 		f := newFixture(GinkgoTB(), fixtureOptions{limits: func(l *gateway.Limits) { l.CallerStall = 50 * time.Millisecond }})
 		c, err := net.Dial("tcp", f.gateway.Listener.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
@@ -74,7 +74,7 @@
 		Expect(resp.StatusCode).To(Equal(http.StatusBadRequest))
 		Expect(resp.Header.Get(protocol.HeaderOutcome)).To(Equal("not-run"))
 	})
-	It("gets an answer to a later request on the same connection", func() {
+	It("can send a later request on the same connection", func() {
 		f := newFixture(GinkgoTB(), fixtureOptions{limits: func(l *gateway.Limits) { l.CallerStall = 50 * time.Millisecond }})
 		client := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
 		for range 3 {
@@ -90,7 +90,7 @@
 			}
 		}
 	})
-	It("does not lose a stream that lasts longer than the limit", func() {
+	It("does not interrupt a stream that lasts longer than the limit", func() {
 		f := newFixture(GinkgoTB(), fixtureOptions{
 			engine: standin.EngineOptions{TokenTime: 20 * time.Millisecond},
 			limits: func(l *gateway.Limits) { l.CallerStall = 50 * time.Millisecond },
@@ -127,7 +127,7 @@
 })
 
 var _ = Describe("a plain service", func() {
-	It("gets any method with query and body, and the answer comes back whole", func() {
+	It("receives any method with query and body, and its response is returned complete", func() {
 		f := newFixture(GinkgoTB(), fixtureOptions{})
 		resp, err := f.do(context.Background(), "PUT", "/services/gate/exits/7?lane=2", []byte("plate"), nil)
 		Expect(err).NotTo(HaveOccurred())
@@ -137,7 +137,7 @@
 		Expect(string(text)).To(HaveSuffix("body=plate"))
 		Expect(resp.Header.Get("X-Served-Path")).To(Equal("/exits/7?lane=2"))
 	})
-	It("gets no field of the connection and no API key", func() {
+	It("receives no hop-by-hop header field and no API key", func() {
 		h := protocol.ForwardHeader(http.Header{
 			"Connection": {"X-Hop, close"}, "X-Hop": {"1"}, "Te": {"trailers"}, "Upgrade": {"h2c"}, "Transfer-Encoding": {"chunked"},
 			"Authorization": {"Bearer k"}, "X-Priority": {"high"}, "X-Kept": {"1"}, "Idempotency-Key": {"k"},
@@ -171,14 +171,15 @@
 	)
 })
 
-// onceNode is one daemon as far as requests with keys go, with a peer server.
+// onceNode is the part of a daemon that handles requests with keys, with a peer server.
 type onceNode struct {
 	runner *gateway.OnceRunner
 	server *httptest.Server
 	member state.Member
 }
 
-// onceFleet is n daemons before one service, with a settled member list.
+// onceFleet is a set of daemons in front of one service, with a member list that was
+// applied before the grace period.
 type onceFleet struct {
 	service  *standin.Service
 	nodes    []*onceNode
@@ -255,7 +256,7 @@
 			Expect(f.service.Runs()[key]).To(Equal(1))
 		}
 	})
-	It("runs once when all daemons get it at the same time", func() {
+	It("runs once when all daemons receive it at the same time", func() {
 		f := newOnceFleet(3)
 		f.service.SetFaults(standin.ServiceFaults{Delay: 20 * time.Millisecond})
 		done := make(chan gateway.OnceResult)
@@ -267,7 +268,7 @@
 		}
 		Expect(f.service.Runs()["own"]).To(Equal(1))
 	})
-	It("is refused as may-have-run for good once its end is unknown", func() {
+	It("is always refused as may-have-run once its outcome is unknown", func() {
 		f := newOnceFleet(2)
 		f.service.SetFaults(standin.ServiceFaults{BreakAfter: true})
 		ticket, _ := f.nodes[0].runner.Issue("w", "gate")
@@ -313,7 +314,7 @@
 		ticket, _ := f.nodes[0].runner.Issue("w", "gate")
 		Expect(f.run(1, ticket, "pass")).To(BeAssignableToTypeOf(gateway.OnceAnswer{}))
 	})
-	It("asks a peer for a fresh challenge before it takes a caller's own key", func() {
+	It("requires a fresh challenge from a peer that forwards a caller's own key", func() {
 		f := newOnceFleet(2)
 		r := &gateway.OnceRequest{Workspace: "w", Service: "gate", Key: "own", Method: "POST", Target: "/passes", Header: http.Header{}}
 		Expect(f.nodes[0].runner.RunForPeer(context.Background(), r, "")).To(BeAssignableToTypeOf(gateway.OnceChallenge{}))
--- a/transport/gateway/golden_test.go
+++ b/transport/gateway/golden_test.go
@@ -9,8 +9,8 @@
 	"hingewinch.org/hingewinch/transport/gateway"
 )
 
-// TestPublishedNamesAreKept holds the names on the metrics address and the fields
-// of the operators' answers.
+// TestPublishedNamesAreKept guards the metric names and the JSON fields of the operators'
+// responses against accidental changes.
 func TestPublishedNamesAreKept(t *testing.T) {
 	m := gateway.NewMetrics()
 	defer m.Close()
--- a/transport/gateway/relay_test.go
+++ b/transport/gateway/relay_test.go
@@ -24,7 +24,7 @@
 const words = 12
 
 var _ = Describe("a streamed answer", func() {
-	DescribeTable("under a fault of its engine", func(faults standin.Faults, whole bool) {
+	DescribeTable("with a fault of its engine", func(faults standin.Faults, whole bool) {
 		f := newFixture(GinkgoTB(), fixtureOptions{answer: 200 * time.Millisecond})
 		f.engines[0].SetFaults(faults)
 		r := f.chat(true, "where is my refund?")
@@ -36,7 +36,7 @@
 		}
 		if !whole {
 			Expect(r.outcome).To(Equal("may-have-run"))
-			Expect(r.broken).To(Equal(r.status == http.StatusOK), "a stream that failed must not end like a whole one")
+			Expect(r.broken).To(Equal(r.status == http.StatusOK), "a stream that failed must not end like a complete one")
 		}
 	},
 		Entry("none", standin.Faults{}, true),
@@ -50,12 +50,12 @@
 		Entry("resumed as another stream", standin.Faults{BreakAfter: 5, Foreign: true}, false),
 		Entry("unnumbered and broken", standin.Faults{BreakAfter: 5, Unnumbered: true}, false),
 		Entry("unnumbered and ended early", standin.Faults{EndAfter: 5, Unnumbered: true}, false),
-		Entry("unnumbered and whole", standin.Faults{Unnumbered: true}, true),
-		Entry("broken before the answer", standin.Faults{ResetBefore: true}, false),
-		Entry("stalled for good", standin.Faults{Stall: time.Hour}, false),
+		Entry("unnumbered and complete", standin.Faults{Unnumbered: true}, true),
+		Entry("broken before the response", standin.Faults{ResetBefore: true}, false),
+		Entry("stalled forever", standin.Faults{Stall: time.Hour}, false),
 	)
 
-	It("belongs to its caller, with thousands interleaved under changing faults", func() {
+	It("reaches only its caller, with thousands interleaved and changing faults", func() {
 		f := newFixture(GinkgoTB(), fixtureOptions{engines: 4, engine: standin.EngineOptions{TokenTime: 200 * time.Microsecond}})
 		stop := make(chan struct{})
 		var wg sync.WaitGroup
@@ -82,7 +82,7 @@
 				defer func() { <-slots }()
 				content := fmt.Sprintf("dispute %d", i)
 				r := f.chat(i%5 != 0, content)
-				Expect(r.whole || r.failed).To(BeTrue(), "neither whole nor an explicit error: %+v", r)
+				Expect(r.whole || r.failed).To(BeTrue(), "neither complete nor an explicit error: %+v", r)
 				Expect(wantAnswer(content, words)).To(HavePrefix(r.text))
 				if r.whole {
 					whole.Add(1)
@@ -99,7 +99,7 @@
 		Expect(failed.Load()).To(BeNumerically(">", 0))
 	})
 
-	It("is cancelled at the engine when its caller goes away", func() {
+	It("is cancelled at the engine when its caller disconnects", func() {
 		f := newFixture(GinkgoTB(), fixtureOptions{engine: standin.EngineOptions{TokenTime: 20 * time.Millisecond, AnswerWords: 10_000}})
 		ctx, cancel := context.WithCancel(context.Background())
 		resp, err := f.do(ctx, http.MethodPost, protocol.PathChat, chatJSON(true, "long"), nil)
@@ -110,7 +110,7 @@
 		Eventually(f.engines[0].Cancelled.Load, eventually).Should(Equal(int64(1)))
 	})
 
-	It("is held back by a slow caller alone, with bounded memory", func() {
+	It("is throttled by a slow caller without unbounded buffering", func() {
 		var sent atomic.Int64
 		endless := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Content-Type", "text/event-stream")
@@ -137,7 +137,7 @@
 			before = now
 			return stands
 		}, eventually, "200ms").Should(BeTrue())
-		// What is on the way fills socket buffers, and no memory of the daemon.
+		// The data in transit is limited by the socket buffers; the daemon does not buffer it.
 		Expect(sent.Load()).To(BeNumerically("<", 64<<20))
 		f.engines[0].SetFaults(standin.Faults{})
 		Expect(f.chat(false, "quick").status).To(Equal(http.StatusOK))
@@ -145,14 +145,14 @@
 })
 
 var _ = Describe("a chat", func() {
-	It("goes on to another engine when the first refuses, and only then", func() {
+	It("is retried at another engine when the first refuses", func() {
 		f := newFixture(GinkgoTB(), fixtureOptions{engines: 3})
 		f.engines[0].SetFaults(standin.Faults{Refuse: true})
 		for i := range 30 {
 			Expect(f.chat(true, fmt.Sprint(i)).whole).To(BeTrue())
 		}
 	})
-	It("is refused at once as not-run, with a time to come back, when no engine takes it", func() {
+	It("is refused at once as not-run, with Retry-After, when no engine accepts it", func() {
 		f := newFixture(GinkgoTB(), fixtureOptions{})
 		f.engines[0].SetFaults(standin.Faults{Refuse: true})
 		resp, err := f.do(context.Background(), http.MethodPost, protocol.PathChat, chatJSON(true, "x"), nil)
@@ -163,7 +163,7 @@
 		Expect(resp.Header.Get(protocol.HeaderRetryAfter)).NotTo(BeEmpty())
 		Expect(resp.Header.Get(protocol.HeaderRequestID)).NotTo(BeEmpty())
 	})
-	It("ends at its caller's deadline, at once", func() {
+	It("ends at its caller's deadline", func() {
 		f := newFixture(GinkgoTB(), fixtureOptions{})
 		f.engines[0].SetFaults(standin.Faults{Stall: time.Hour})
 		resp, err := f.do(context.Background(), http.MethodPost, protocol.PathChat, chatJSON(true, "x"), map[string]string{protocol.HeaderTimeoutMS: "100"})
@@ -172,7 +172,7 @@
 		Expect(resp.StatusCode).To(Equal(http.StatusGatewayTimeout))
 		Expect(resp.Header.Get(protocol.HeaderReason)).To(Equal(string(coordination.ReasonDeadline)))
 	})
-	It("works with an ordinary client library of the protocol", func() {
+	It("works with the OpenAI client library", func() {
 		f := newFixture(GinkgoTB(), fixtureOptions{})
 		client := openai.NewClient(option.WithBaseURL(f.gateway.URL+"/v1"), option.WithAPIKey(testKey))
 		params := openai.ChatCompletionNewParams{Model: "m", Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("hello")}}
@@ -196,7 +196,7 @@
 		var apiErr *openai.Error
 		Expect(err).To(BeAssignableToTypeOf(apiErr))
 	})
-	It("passes tools and unknown fields through untouched", func() {
+	It("forwards tools and unknown fields unchanged", func() {
 		var got atomic.Value
 		echo := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			body, _ := io.ReadAll(r.Body)
--- a/transport/gateway/suite_test.go
+++ b/transport/gateway/suite_test.go
@@ -43,7 +43,7 @@
   - {name: w2, keys: ["%s"], models: [m]}
 `, state.HashKey(testKey), state.HashKey(otherKey))
 
-// fixture is one gateway with its upstreams.
+// fixture is a gateway with its upstreams.
 type fixture struct {
 	engines  []*standin.Engine
 	service  *standin.Service
@@ -58,8 +58,8 @@
 	engine  standin.EngineOptions
 	engines int
 	limits  func(*gateway.Limits)
-	extra   []http.Handler // more engines
-	answer  time.Duration  // longest wait for an answer's header
+	extra   []http.Handler // handlers of additional engines
+	answer  time.Duration  // longest wait for a response header
 }
 
 func newFixture(tb testing.TB, o fixtureOptions) *fixture {
@@ -115,7 +115,7 @@
 	return body
 }
 
-// wantAnswer is what an engine answers to a content.
+// wantAnswer returns the response of a stand-in engine to a content.
 func wantAnswer(content string, words int) string {
 	raw, _ := json.Marshal(content)
 	return strings.Join(standin.Answer(string(raw), words), "")
@@ -134,12 +134,12 @@
 	return http.DefaultClient.Do(req)
 }
 
-// result is what a caller saw of a chat.
+// result is the response to a chat as its caller received it.
 type result struct {
 	status  int
 	text    string
 	whole   bool
-	failed  bool // an explicit error, as status or as event
+	failed  bool // an explicit error, by status or by event
 	broken  bool // the connection broke before the end of the body
 	outcome string
 }
@@ -209,5 +209,5 @@
 	}
 }
 
-// eventually is the patience of tests with work in other goroutines.
+// eventually is how long tests wait for work in other goroutines.
 const eventually = 10 * time.Second
--- a/transport/gateway/waiting_test.go
+++ b/transport/gateway/waiting_test.go
@@ -11,9 +11,9 @@
 	"hingewinch.org/hingewinch/transport"
 )
 
-// TestWaitersGetNotRun lets repeats wait for a first attempt that was surely
-// not run. If one of them ran the key in its place, not-run would have been said
-// to the first caller of a key that runs a moment later.
+// TestWaitersGetNotRun makes repeats wait for a first attempt that ends as not-run. None
+// of them may run the key in its place: the first caller would have been told not-run
+// for a key that runs a moment later.
 func TestWaitersGetNotRun(t *testing.T) {
 	m := NewMetrics()
 	defer m.Close()
@@ -41,10 +41,10 @@
 		for range cap(results) {
 			refusal, ok := (<-results).(OnceRefusal)
 			if !ok || !coordination.MayRetry(refusal.Outcome) {
-				t.Fatalf("a repeat that waited got %+v", refusal)
+				t.Fatalf("a waiting repeat got %+v", refusal)
 			}
 			if refusal.Outcome.(coordination.NotRun).Reason != coordination.ReasonConnect {
-				t.Fatalf("a repeat ran the key by itself: %+v", refusal.Outcome)
+				t.Fatalf("a waiting repeat ran the key: %+v", refusal.Outcome)
 			}
 		}
 	})
