--- a/coordination/fleet/assemble.go
+++ b/coordination/fleet/assemble.go
@@ -32,7 +32,7 @@
 	stream   string
 	position uint64
 	numbered bool
-	begun    bool
+	started    bool
 	final    bool
 }
 
@@ -41,8 +41,8 @@
 	if a.final {
 		return Drop
 	}
-	if !a.begun {
-		a.begun = true
+	if !a.started {
+		a.started = true
 		a.stream = c.Stream
 		a.numbered = c.Seq != 0
 	}
@@ -77,5 +77,5 @@
 // Resumable reports whether the upstream can be asked for the remaining events, and
 // after which position.
 func (a *Assembler) Resumable() (stream string, after uint64, ok bool) {
-	return a.stream, a.position, a.begun && a.numbered && a.stream != "" && !a.final
+	return a.stream, a.position, a.started && a.numbered && a.stream != "" && !a.final
 }
--- a/coordination/fleet/choose.go
+++ b/coordination/fleet/choose.go
@@ -18,15 +18,15 @@
 // that the same chats overflow in every daemon, and to the same second choice. When
 // an admission changes by a tenth, only a tenth of that candidate's chats move.
 func Choose(p *state.Pool, key state.ChatKey, avoid []state.UpstreamID) (*state.Candidate, bool) {
-	var best, widest *state.Candidate
+	var best, fallback *state.Candidate
 	var bestScore uint64
 	for i := range p.Candidates {
 		c := &p.Candidates[i]
 		if avoided(avoid, c.ID) {
 			continue
 		}
-		if widest == nil || c.Admission > widest.Admission {
-			widest = c
+		if fallback == nil || c.Admission > fallback.Admission {
+			fallback = c
 		}
 		s := coordination.Rank(uint64(key), c.Hash)
 		if best != nil && s <= bestScore {
@@ -37,7 +37,7 @@
 		}
 	}
 	if best == nil {
-		best = widest
+		best = fallback
 	}
 	return best, best != nil
 }
--- a/coordination/fleet/documents.go
+++ b/coordination/fleet/documents.go
@@ -33,7 +33,7 @@
 	return f.listHead()
 }
 
-func (f *Fleet) takeConfig(now time.Time, c *state.Config) {
+func (f *Fleet) applyConfig(now time.Time, c *state.Config) {
 	old, head := f.configHead(), c.Head()
 	if head.Version == old.Version && head != old && !old.IsZero() {
 		f.record(coordination.EventConfigClash, head.String(), "two configurations have version %d: %v and %v; the one with the higher digest is in force; publish a higher version", head.Version, old, head)
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -124,7 +124,7 @@
 	}
 	switch ev := ev.(type) {
 	case ConfigLearned:
-		f.takeConfig(now, ev.Config)
+		f.applyConfig(now, ev.Config)
 	case ConfigRefused:
 		f.refuseConfig(ev)
 	case ListLearned:
