--- a/coordination/fleet/assemble.go
+++ b/coordination/fleet/assemble.go
@@ -32,7 +32,7 @@
 	stream   string
 	position uint64
 	numbered bool
-	started    bool
+	started  bool
 	final    bool
 }
 
--- a/coordination/fleet/budget.go
+++ b/coordination/fleet/budget.go
@@ -7,7 +7,7 @@
 
 // Parameters of the budget, in retries per request.
 const (
-	retryShare = 0.1 // retries earned by one first attempt
+	retryRatio = 0.1 // retries earned by one first attempt
 	retryBurst = 10  // most retries that can be saved up
 )
 
@@ -19,7 +19,7 @@
 func NewRetryBudget() *RetryBudget { return &RetryBudget{tokens: retryBurst} }
 
 // Earn credits a first attempt.
-func (b *RetryBudget) Earn() { b.tokens = min(b.tokens+retryShare, retryBurst) }
+func (b *RetryBudget) Earn() { b.tokens = min(b.tokens+retryRatio, retryBurst) }
 
 // Spend takes one retry from the budget, or returns false if none is left.
 func (b *RetryBudget) Spend() bool {
--- a/coordination/fleet/documents.go
+++ b/coordination/fleet/documents.go
@@ -27,8 +27,8 @@
 
 // newestList returns the head of the newest known list, including a deferred one.
 func (f *Fleet) newestList() state.Head {
-	if f.suspectList != nil {
-		return f.suspectList.Head
+	if f.deferredList != nil {
+		return f.deferredList.Head
 	}
 	return f.listHead()
 }
@@ -42,17 +42,17 @@
 		return
 	}
 	if RulesOf(c).Window > RulesOf(f.config).Window {
-		f.windowSince = now
+		f.windowGrownAt = now
 	}
 	f.config = c
 	f.dirty = true
 	f.record(coordination.EventConfigTaken, head.String(), "configuration %v replaces %v", head, old)
-	f.settle(now)
-	f.arrange()
+	f.checkStartupSync(now)
+	f.updateDuties()
 	f.urgent = true
 }
 
-func (f *Fleet) refuseConfig(ev ConfigRefused) {
+func (f *Fleet) rejectConfig(ev ConfigRefused) {
 	if f.refused[ev.Head] {
 		return
 	}
@@ -60,24 +60,24 @@
 	f.record(coordination.EventConfigRefused, ev.Head.String(), "configuration is invalid and was not applied: %v", ev.Err)
 }
 
-// settlePeers is the number of peers that are asked at startup.
-const settlePeers = 2
+// startupSyncPeers is the number of peers that are asked at startup.
+const startupSyncPeers = 2
 
-// settle lets traffic use the configuration once enough peers have been asked for a
+// checkStartupSync lets traffic use the configuration once enough peers have been asked for a
 // newer one. Otherwise a platform that serves a stale value to a daemon that has just
 // started would bring an old configuration back.
-func (f *Fleet) settle(now time.Time) {
-	if f.settled || f.config == nil || f.list == nil {
+func (f *Fleet) checkStartupSync(now time.Time) {
+	if f.startupSynced || f.config == nil || f.list == nil {
 		return
 	}
-	wanted := min(max(len(f.list.Daemons())-1, len(f.self.Seeds)), settlePeers)
-	if len(f.peersMet) >= wanted || now.Sub(f.started) >= settleTime {
-		f.settled = true
+	wanted := min(max(len(f.list.Daemons())-1, len(f.self.Seeds)), startupSyncPeers)
+	if len(f.contactedPeers) >= wanted || now.Sub(f.started) >= startupSyncTimeout {
+		f.startupSynced = true
 		f.dirty = true
 	}
 }
 
-func (f *Fleet) learnList(now time.Time, ev ListLearned) {
+func (f *Fleet) receiveList(now time.Time, ev ListLearned) {
 	switch c := ev.List.Head.Compare(f.listHead()); {
 	case c < 0:
 		return
@@ -85,33 +85,33 @@
 		f.confirmList(ev.List.Head, ev.Asked)
 		return
 	}
-	if collapsed(f.list, ev.List) {
-		f.holdBack(now, ev.List)
+	if lostMostMembers(f.list, ev.List) {
+		f.deferList(now, ev.List)
 		return
 	}
-	f.takeList(now, ev.List)
+	f.applyList(now, ev.List)
 	f.confirmList(ev.List.Head, ev.Asked)
 }
 
 // confirmList updates the time at which the list in force was last confirmed. While a
 // newer list is deferred, the one in force can't be confirmed.
 func (f *Fleet) confirmList(head state.Head, asked time.Time) {
-	if asked.IsZero() || f.list == nil || head != f.list.Head || f.suspectList != nil || !asked.After(f.confirmed) {
+	if asked.IsZero() || f.list == nil || head != f.list.Head || f.deferredList != nil || !asked.After(f.confirmed) {
 		return
 	}
 	f.confirmed = asked
-	f.epochDirty = true
+	f.ownershipDirty = true
 }
 
-// collapseShare is the fraction of the live members that a new list must keep to be
-// applied at once. The rule applies to lists of at least collapseMin live members;
+// minKeptFraction is the fraction of the live members that a new list must keep to be
+// applied at once. The rule applies to lists of at least minMembersForCheck live members;
 // with fewer, the fraction means little.
 const (
-	collapseShare = 0.5
-	collapseMin   = 4
+	minKeptFraction    = 0.5
+	minMembersForCheck = 4
 )
 
-func collapsed(old, next *state.MemberList) bool {
+func lostMostMembers(old, next *state.MemberList) bool {
 	before, kept := 0, 0
 	if old == nil {
 		return false
@@ -126,43 +126,43 @@
 			kept++
 		}
 	}
-	return before >= collapseMin && float64(kept) < collapseShare*float64(before)
+	return before >= minMembersForCheck && float64(kept) < minKeptFraction*float64(before)
 }
 
-// holdBack defers a list that lost most members. It is applied if it is still the
-// newest after suspectListTime; until then the previous list stays in force, and
+// deferList defers a list that lost most members. It is applied if it is still the
+// newest after deferListTime; until then the previous list stays in force, and
 // reports of upstreams still count. Peers are told at once, so that the period ends
 // everywhere at about the same moment.
-func (f *Fleet) holdBack(now time.Time, l *state.MemberList) {
-	if f.suspectList != nil && l.Head.Compare(f.suspectList.Head) <= 0 {
+func (f *Fleet) deferList(now time.Time, l *state.MemberList) {
+	if f.deferredList != nil && l.Head.Compare(f.deferredList.Head) <= 0 {
 		return
 	}
-	if f.suspectList == nil {
-		f.suspectListUntil = now.Add(suspectListTime)
+	if f.deferredList == nil {
+		f.deferredListUntil = now.Add(deferListTime)
 	}
-	f.suspectList = l
+	f.deferredList = l
 	f.urgent = true
 	f.emit(RetainList{l})
-	f.record(coordination.EventListDoubted, l.Head.String(), "list %v lost most members; the previous list stays in force for up to %v", l.Head, suspectListTime)
+	f.record(coordination.EventListDoubted, l.Head.String(), "list %v lost most members; the previous list stays in force for up to %v", l.Head, deferListTime)
 }
 
-func (f *Fleet) acceptSuspectList(now time.Time) {
-	if f.suspectList == nil || now.Before(f.suspectListUntil) {
+func (f *Fleet) applyDeferredList(now time.Time) {
+	if f.deferredList == nil || now.Before(f.deferredListUntil) {
 		return
 	}
-	f.takeList(now, f.suspectList)
+	f.applyList(now, f.deferredList)
 }
 
-func (f *Fleet) takeList(now time.Time, l *state.MemberList) {
-	f.notePeers(l)
+func (f *Fleet) applyList(now time.Time, l *state.MemberList) {
+	f.recordRemovedPeers(l)
 	f.record(coordination.EventListTaken, l.Head.String(), "member list %v replaces %v", l.Head, f.listHead())
 	f.list = l
-	f.suspectList = nil
+	f.deferredList = nil
 	f.history = append([]state.AppliedList{{List: l, AppliedAt: now}}, f.history...)
 	f.pruneHistory(now)
 	f.dropReports()
 	f.dirty = true
-	f.arrange()
+	f.updateDuties()
 	f.urgent = true
 }
 
@@ -178,18 +178,18 @@
 	}
 }
 
-// readPlatform requests a read of the platform if this daemon is one of the readers
+// requestPlatformRead requests a read of the platform if this daemon is one of the readers
 // of its failure domain. If the list grows old all the same, the readers may have
 // failed; each daemon then reads with a probability that keeps the expected number
 // of calls of the domain equal to that of the readers.
-func (f *Fleet) readPlatform(now time.Time) {
+func (f *Fleet) requestPlatformRead(now time.Time) {
 	if now.Before(f.nextRead) {
 		return
 	}
-	near := f.domainDaemons()
-	if !f.isReader(near) && f.list != nil {
-		fresh := !f.confirmed.IsZero() && now.Sub(f.confirmed) < strayReadAge
-		if fresh || f.rng.IntN(len(near)+1) >= readersPerDomain {
+	local := f.domainDaemons()
+	if !f.isReader(local) && f.list != nil {
+		fresh := !f.confirmed.IsZero() && now.Sub(f.confirmed) < fallbackReadAge
+		if fresh || f.rng.IntN(len(local)+1) >= readersPerDomain {
 			return
 		}
 	}
@@ -211,9 +211,9 @@
 
 var readerDuties = [readersPerDomain]string{"platform/1", "platform/2"}
 
-func (f *Fleet) isReader(near []state.Member) bool {
+func (f *Fleet) isReader(local []state.Member) bool {
 	for _, duty := range readerDuties {
-		if hasDuty(near, f.self.ID, duty) {
+		if hasDuty(local, f.self.ID, duty) {
 			return true
 		}
 	}
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -36,81 +36,81 @@
 	platformInterval = time.Second
 	// readersPerDomain is the number of daemons per failure domain that read it.
 	readersPerDomain = 2
-	// strayReadAge is the age of the list from which other daemons read it as well.
-	strayReadAge = 9 * time.Second
-	// settleTime is how long a new daemon asks peers for a newer configuration before
+	// fallbackReadAge is the age of the list from which other daemons read it as well.
+	fallbackReadAge = 9 * time.Second
+	// startupSyncTimeout is how long a new daemon asks peers for a newer configuration before
 	// it uses the platform's alone. A daemon that is cut off from all peers refuses
 	// requests for at most this long after its start.
-	settleTime = 10 * time.Second
+	startupSyncTimeout = 10 * time.Second
 	// suspectTime is how long a peer or upstream that failed is excluded, and
-	// unsettledSuspectTime how long a daemon excludes a peer before it has settled.
-	suspectTime          = 5 * time.Second
-	unsettledSuspectTime = time.Second
-	// suspectListTime is how long a list that lost most members is deferred.
-	suspectListTime = 20 * time.Second
+	// startupSuspectTime how long until the startup synchronization is complete.
+	suspectTime        = 5 * time.Second
+	startupSuspectTime = time.Second
+	// deferListTime is how long a list that lost most members is deferred.
+	deferListTime = 20 * time.Second
 )
 
 // Fleet is the state of one daemon's control loop. One goroutine owns it.
 type Fleet struct {
-	self    Self
-	rng     *rand.Rand
-	started time.Time
-	now     time.Time // of the event being handled
-	ticked  time.Time // of the last tick
-	wall    time.Time // wall clock of the last tick
-	stopped bool
+	self     Self
+	rng      *rand.Rand
+	started  time.Time
+	now      time.Time // of the event being handled
+	lastTick time.Time // of the last tick
+	lastWall time.Time // wall clock of the last tick
+	stopped  bool
 
-	config           *state.Config
-	refused          map[state.Head]bool
-	settled          bool
-	peersMet         map[state.DaemonID]bool
-	list             *state.MemberList
-	history          []state.AppliedList
-	confirmed        time.Time
-	paused           time.Time // when a pause was last detected
-	windowSince      time.Time
-	suspectList      *state.MemberList
-	suspectListUntil time.Time
+	config            *state.Config
+	refused           map[state.Head]bool
+	startupSynced     bool
+	contactedPeers    map[state.DaemonID]bool
+	list              *state.MemberList
+	history           []state.AppliedList
+	confirmed         time.Time
+	lastPause         time.Time // when a pause was last detected
+	windowGrownAt     time.Time
+	deferredList      *state.MemberList
+	deferredListUntil time.Time
 
 	reports  map[state.UpstreamID]*knownReport
-	arrivals uint64
+	position uint64
 	suspects map[state.UpstreamID]time.Time
 	watched  map[state.UpstreamID]state.Member
 	loads    map[state.UpstreamID]float64 // mean loads of the watched upstreams
 
-	neighbours   []state.Member
-	edges        map[state.DaemonID]*edge
-	peerSuspects map[state.DaemonID]time.Time         // end of the exclusion
-	unreachable  map[state.DaemonID]bool              // failed, and no message received since
-	peerLeaving  map[state.DaemonID]state.Incarnation // incarnation that announced its departure
-	reportBudget reportBudget
-	turn         int
-	ticks        int
-	nextRead     time.Time
+	neighbours    []state.Member
+	edges         map[state.DaemonID]*edge
+	peerSuspects  map[state.DaemonID]time.Time         // end of the exclusion
+	unreachable   map[state.DaemonID]bool              // failed, and no message received since
+	peerLeaving   map[state.DaemonID]state.Incarnation // incarnation that announced its departure
+	reportBudget  reportBudget
+	nextNeighbour int
+	ticks         int
+	nextRead      time.Time
 
-	urgent     bool // exchange with all neighbours after this event
-	dirty      bool // the snapshot is out of date
-	stale      bool // loads or admissions changed: rebuild the snapshot at the next tick
-	epochDirty bool // only the snapshot's ownership state is out of date
-	current    *state.Snapshot
-	effects    []Effect
+	urgent         bool // exchange with all neighbours after this event
+	dirty          bool // the snapshot is out of date
+	statsDirty     bool // loads or admissions changed: rebuild the snapshot at the next tick
+	ownershipDirty bool // only the snapshot's ownership state is out of date
+	current        *state.Snapshot
+	effects        []Effect
 }
 
 // New returns the state of a daemon that has just started. rng must not be shared.
 func New(self Self, rng *rand.Rand) *Fleet {
 	return &Fleet{
-		self:         self,
-		rng:          rng,
-		refused:      make(map[state.Head]bool),
-		peersMet:     make(map[state.DaemonID]bool),
-		reports:      make(map[state.UpstreamID]*knownReport),
-		suspects:     make(map[state.UpstreamID]time.Time),
-		watched:      make(map[state.UpstreamID]state.Member),
-		loads:        make(map[state.UpstreamID]float64),
-		edges:        make(map[state.DaemonID]*edge),
-		peerSuspects: make(map[state.DaemonID]time.Time),
-		unreachable:  make(map[state.DaemonID]bool),
-		peerLeaving:  make(map[state.DaemonID]state.Incarnation),
+		self:           self,
+		rng:            rng,
+		refused:        make(map[state.Head]bool),
+		contactedPeers: make(map[state.DaemonID]bool),
+		reports:        make(map[state.UpstreamID]*knownReport),
+		suspects:       make(map[state.UpstreamID]time.Time),
+		watched:        make(map[state.UpstreamID]state.Member),
+		loads:          make(map[state.UpstreamID]float64),
+		edges:          make(map[state.DaemonID]*edge),
+		peerSuspects:   make(map[state.DaemonID]time.Time),
+		unreachable:    make(map[state.DaemonID]bool),
+		peerLeaving:    make(map[state.DaemonID]state.Incarnation),
 	}
 }
 
@@ -126,20 +126,20 @@
 	case ConfigLearned:
 		f.applyConfig(now, ev.Config)
 	case ConfigRefused:
-		f.refuseConfig(ev)
+		f.rejectConfig(ev)
 	case ListLearned:
-		f.learnList(now, ev)
+		f.receiveList(now, ev)
 	case ListConfirmed:
 		f.confirmList(ev.Head, ev.Asked)
 	case UpstreamSeen:
-		f.seeUpstream(ev)
+		f.observeUpstream(ev)
 	case UpstreamFailed:
 		f.suspects[ev.ID] = now.Add(suspectTime)
 		f.dirty = true
 	case GossipReceived:
 		f.receiveGossip(now, ev)
 	case PeerFailed:
-		f.failPeer(now, ev.ID)
+		f.excludePeer(now, ev.ID)
 	case Tick:
 		f.tick(now, ev.Wall)
 	case StopBegun:
@@ -167,12 +167,12 @@
 	switch {
 	case f.dirty:
 		f.current = f.snapshot()
-	case f.epochDirty && f.current != nil:
-		f.current = f.current.WithOwnership(f.epoch())
+	case f.ownershipDirty && f.current != nil:
+		f.current = f.current.WithOwnership(f.ownership())
 	default:
 		return
 	}
-	f.dirty, f.stale, f.epochDirty = false, false, false
+	f.dirty, f.statsDirty, f.ownershipDirty = false, false, false
 	f.emit(Publish{f.current})
 }
 
@@ -182,35 +182,35 @@
 		Status:    f.statuses(),
 		Domain:    f.self.Domain,
 		Hash:      coordination.Hash,
-		Ownership: f.epoch(),
+		Ownership: f.ownership(),
 	}
-	if f.settled {
+	if f.startupSynced {
 		in.Config = f.config
 	}
 	return state.BuildSnapshot(in)
 }
 
-// epoch returns the ownership state. The snapshot can share the history because
+// ownership returns the ownership state. The snapshot can share the history because
 // applying a list makes a new slice.
-func (f *Fleet) epoch() state.OwnershipState {
+func (f *Fleet) ownership() state.OwnershipState {
 	return state.OwnershipState{
 		Confirmed:     f.confirmed,
-		LastTick:      f.ticked,
-		LastPause:     f.paused,
-		WindowGrownAt: f.windowSince,
+		LastTick:      f.lastTick,
+		LastPause:     f.lastPause,
+		WindowGrownAt: f.windowGrownAt,
 		History:       f.history,
 	}
 }
 
 func (f *Fleet) tick(now, wall time.Time) {
 	f.checkPause(now, wall)
-	f.dirty = f.dirty || f.stale
-	f.settle(now)
-	f.acceptSuspectList(now)
-	f.forgetSuspects(now)
-	f.readPlatform(now)
-	if f.ticks++; f.ticks%exchangeTicks == 0 || !f.settled {
-		f.exchangeInTurn()
+	f.dirty = f.dirty || f.statsDirty
+	f.checkStartupSync(now)
+	f.applyDeferredList(now)
+	f.expireSuspects(now)
+	f.requestPlatformRead(now)
+	if f.ticks++; f.ticks%exchangeTicks == 0 || !f.startupSynced {
+		f.exchangeWithNext()
 	}
 }
 
@@ -218,21 +218,21 @@
 // a pause in which the monotonic clock stood still; setting the clock looks the same
 // and costs one confirmation.
 func (f *Fleet) checkPause(now, wall time.Time) {
-	late := now.Sub(f.ticked)
-	jump := wall.Sub(f.wall) - late
-	first := f.ticked.IsZero()
-	f.ticked, f.wall = now, wall
-	f.epochDirty = true
+	late := now.Sub(f.lastTick)
+	jump := wall.Sub(f.lastWall) - late
+	first := f.lastTick.IsZero()
+	f.lastTick, f.lastWall = now, wall
+	f.ownershipDirty = true
 	if first || (late < pauseLimit && jump < pauseLimit) {
 		return
 	}
 	f.record(coordination.EventPaused, string(f.self.ID), "control loop was paused for about %v; the member list is unconfirmed until it is read again", max(late, jump).Round(time.Millisecond))
 	f.confirmed = time.Time{}
-	f.paused = now
+	f.lastPause = now
 	f.nextRead = now
 }
 
-func (f *Fleet) forgetSuspects(now time.Time) {
+func (f *Fleet) expireSuspects(now time.Time) {
 	for id, until := range f.suspects {
 		if !until.After(now) {
 			delete(f.suspects, id)
@@ -247,7 +247,7 @@
 		}
 	}
 	if changed {
-		f.arrange()
+		f.updateDuties()
 	}
 }
 
--- a/coordination/fleet/gossip.go
+++ b/coordination/fleet/gossip.go
@@ -45,30 +45,30 @@
 		return !f.stopped
 	}
 	_, suspect := f.peerSuspects[state.DaemonID(m.ID)]
-	_, left := f.peerLeaving[state.DaemonID(m.ID)]
-	return !suspect && !left && m.State == state.Live
+	_, leaving := f.peerLeaving[state.DaemonID(m.ID)]
+	return !suspect && !leaving && m.State == state.Live
 }
 
-// arrange recomputes neighbours and duties after a change of the list, of the regions
+// updateDuties recomputes neighbours and duties after a change of the list, of the regions
 // or of the reachable peers.
-func (f *Fleet) arrange() {
+func (f *Fleet) updateDuties() {
 	if f.list == nil {
 		return
 	}
 	f.neighbours = neighbours(f.self, f.list.Daemons(), f.regionOf, f.usablePeer)
-	f.watch()
+	f.updateWatched()
 }
 
-// exchangeInTurn starts an exchange with the next neighbour, or with the next seed of
+// exchangeWithNext starts an exchange with the next neighbour, or with the next seed of
 // the settings while no list is known.
-func (f *Fleet) exchangeInTurn() {
-	f.turn++
+func (f *Fleet) exchangeWithNext() {
+	f.nextNeighbour++
 	if len(f.neighbours) > 0 {
-		f.send(f.neighbours[f.turn%len(f.neighbours)])
+		f.send(f.neighbours[f.nextNeighbour%len(f.neighbours)])
 		return
 	}
 	if len(f.self.Seeds) > 0 {
-		f.send(state.Member{Kind: state.KindDaemon, Address: f.self.Seeds[f.turn%len(f.self.Seeds)]})
+		f.send(state.Member{Kind: state.KindDaemon, Address: f.self.Seeds[f.nextNeighbour%len(f.self.Seeds)]})
 	}
 }
 
@@ -102,14 +102,14 @@
 		List:        f.newestList(),
 		ListAge:     neverConfirmed,
 	}
-	if !f.confirmed.IsZero() && f.suspectList == nil {
+	if !f.confirmed.IsZero() && f.deferredList == nil {
 		n.ListAge = f.now.Sub(f.confirmed)
 	}
 	if e == nil {
 		return n
 	}
 	n.Ack, n.AckIncarnation = e.received, e.incarnation
-	n.Upto = f.arrivals
+	n.Upto = f.position
 	if f.regionOf(domain) != f.regionOf(f.self.Domain) {
 		return n
 	}
@@ -122,35 +122,35 @@
 // sent oldest first and as many as the budget allows, so that frequent changes delay
 // the reports instead of increasing the traffic.
 func (f *Fleet) reportsAfter(position uint64, to source) ([]Report, uint64) {
-	if position >= f.arrivals {
-		return nil, f.arrivals
+	if position >= f.position {
+		return nil, f.position
 	}
-	var states, figures []*knownReport
+	var stateChanges, loads []*knownReport
 	for _, r := range f.reports {
 		switch {
-		case r.arrival <= position || r.from == to:
+		case r.position <= position || r.from == to:
 		case r.State != state.Live:
-			states = append(states, r)
+			stateChanges = append(stateChanges, r)
 		default:
-			figures = append(figures, r)
+			loads = append(loads, r)
 		}
 	}
-	byArrival := func(a, b *knownReport) int { return cmp.Compare(a.arrival, b.arrival) }
-	slices.SortFunc(states, byArrival)
-	slices.SortFunc(figures, byArrival)
-	allowed := f.reportBudget.take(f.now, min(len(figures), maxReports))
+	byArrival := func(a, b *knownReport) int { return cmp.Compare(a.position, b.position) }
+	slices.SortFunc(stateChanges, byArrival)
+	slices.SortFunc(loads, byArrival)
+	allowed := f.reportBudget.take(f.now, min(len(loads), maxReports))
 	var out []Report
-	upto := f.arrivals
+	upto := f.position
 	for _, part := range []struct {
 		reports []*knownReport
 		n       int
-	}{{states, min(len(states), maxReports)}, {figures, allowed}} {
+	}{{stateChanges, min(len(stateChanges), maxReports)}, {loads, allowed}} {
 		for _, r := range part.reports[:part.n] {
 			out = append(out, r.Report)
 		}
 		if part.n < len(part.reports) {
 			// The message is complete only up to the first omitted report.
-			upto = min(upto, part.reports[part.n].arrival-1)
+			upto = min(upto, part.reports[part.n].position-1)
 		}
 	}
 	return out, upto
@@ -190,15 +190,15 @@
 		}
 		return
 	}
-	f.meet(now, n)
+	f.recordPeerAlive(now, n)
 	e := f.edge(n.Sender)
 	e.reset(n.Incarnation)
-	if n.AckIncarnation == f.self.Incarnation && n.Ack <= f.arrivals {
+	if n.AckIncarnation == f.self.Incarnation && n.Ack <= f.position {
 		e.acked = max(e.acked, n.Ack)
 	}
 	for _, r := range n.Reports {
 		if f.list.Find(string(r.ID)) != nil {
-			f.takeReport(r, source{n.Sender, n.Incarnation})
+			f.mergeReport(r, source{n.Sender, n.Incarnation})
 		}
 	}
 	if n.List == f.newestList() {
@@ -210,10 +210,10 @@
 	}
 }
 
-// meet records that a peer is alive.
-func (f *Fleet) meet(now time.Time, n Gossip) {
-	f.peersMet[n.Sender] = true
-	f.settle(now)
+// recordPeerAlive records that a peer is alive.
+func (f *Fleet) recordPeerAlive(now time.Time, n Gossip) {
+	f.contactedPeers[n.Sender] = true
+	f.checkStartupSync(now)
 	changed := f.peerSuspects[n.Sender] != time.Time{}
 	delete(f.peerSuspects, n.Sender)
 	if f.unreachable[n.Sender] {
@@ -232,7 +232,7 @@
 		changed = true
 	}
 	if changed {
-		f.arrange()
+		f.updateDuties()
 	}
 }
 
@@ -253,8 +253,8 @@
 	}
 }
 
-// failPeer excludes a peer for suspectTime, or unsettledSuspectTime at startup.
-func (f *Fleet) failPeer(now time.Time, id state.DaemonID) {
+// excludePeer excludes a peer for suspectTime, or startupSuspectTime at startup.
+func (f *Fleet) excludePeer(now time.Time, id state.DaemonID) {
 	if id == "" {
 		return
 	}
@@ -263,15 +263,15 @@
 		f.record(coordination.EventPeerState, string(id), "peer can't be reached")
 	}
 	exclude := suspectTime
-	if !f.settled {
-		exclude = unsettledSuspectTime
+	if !f.startupSynced {
+		exclude = startupSuspectTime
 	}
 	f.peerSuspects[id] = now.Add(exclude)
-	f.arrange()
+	f.updateDuties()
 }
 
-// notePeers records which daemons are missing from a new list and drops their state.
-func (f *Fleet) notePeers(next *state.MemberList) {
+// recordRemovedPeers records which daemons are missing from a new list and drops their state.
+func (f *Fleet) recordRemovedPeers(next *state.MemberList) {
 	if f.list == nil {
 		return
 	}
--- a/coordination/fleet/ledger.go
+++ b/coordination/fleet/ledger.go
@@ -124,15 +124,15 @@
 // entries expire all the time.
 const ledgerFullRetry = 2 * time.Second
 
-// unknownEndRetry is the retry delay for a key whose outcome is unknown. It is long
+// unknownOutcomeRetry is the retry delay for a key whose outcome is unknown. It is long
 // because a retry can't change the outcome.
-const unknownEndRetry = 30 * time.Second
+const unknownOutcomeRetry = 30 * time.Second
 
 // Begin asks to run a request. keep is how long the key must be remembered.
 func (l *Ledger) Begin(now time.Time, key LedgerKey, fp Fingerprint, keep time.Duration) KeyDecision {
 	l.expire(now)
 	if el, ok := l.entries[key]; ok {
-		return l.repeat(el.Value.(*ledgerEntry), fp)
+		return l.decideRepeat(el.Value.(*ledgerEntry), fp)
 	}
 	if l.bytes+entryOverhead > l.limit {
 		return Deny{coordination.NotRun{Reason: coordination.ReasonLedgerFull, RetryAfter: ledgerFullRetry}}
@@ -143,7 +143,7 @@
 	return Start{}
 }
 
-func (l *Ledger) repeat(e *ledgerEntry, fp Fingerprint) KeyDecision {
+func (l *Ledger) decideRepeat(e *ledgerEntry, fp Fingerprint) KeyDecision {
 	switch {
 	case e.fingerprint != fp:
 		return Conflict{}
@@ -152,7 +152,7 @@
 	case e.answer != nil:
 		return Replay{Answer: e.answer}
 	}
-	return Deny{coordination.MayHaveRun{Reason: coordination.ReasonKeyUnknownEnd, RetryAfter: unknownEndRetry}}
+	return Deny{coordination.MayHaveRun{Reason: coordination.ReasonKeyUnknownEnd, RetryAfter: unknownOutcomeRetry}}
 }
 
 // insert keeps the list ordered by expiry. Most keys have the same window, so the
--- a/coordination/fleet/overlay.go
+++ b/coordination/fleet/overlay.go
@@ -36,7 +36,7 @@
 	for i, r := range rings {
 		salt := coordination.Hash("ring" + strconv.Itoa(i))
 		m := successor(self, daemons, salt, func(m *state.Member) bool {
-			return usable(m) && onRing(r, self, m, region) && !holds(out, m.ID)
+			return usable(m) && onRing(r, self, m, region) && !containsMember(out, m.ID)
 		})
 		if m != nil {
 			out = append(out, *m)
@@ -55,7 +55,7 @@
 	return true
 }
 
-func holds(members []state.Member, id string) bool {
+func containsMember(members []state.Member, id string) bool {
 	for i := range members {
 		if members[i].ID == id {
 			return true
--- a/coordination/fleet/owner.go
+++ b/coordination/fleet/owner.go
@@ -30,9 +30,9 @@
 // the same duration.
 const ownerMargin = 30 * time.Second
 
-// afterPause is how long after a pause a daemon forwards no request with a caller's
+// pauseHoldTime is how long after a pause a daemon forwards no request with a caller's
 // own key: what it reads then may have waited in a socket.
-const afterPause = 5 * time.Second
+const pauseHoldTime = 5 * time.Second
 
 // OwnerRules holds the window and the lease of the configuration file.
 type OwnerRules struct {
@@ -87,8 +87,8 @@
 			since = t
 		}
 	}
-	if left := r.GracePeriod() - now.Sub(since); left > 0 {
-		return coordination.MayHaveRun{Reason: coordination.ReasonOwnerNotSettled, RetryAfter: left}
+	if remaining := r.GracePeriod() - now.Sub(since); remaining > 0 {
+		return coordination.MayHaveRun{Reason: coordination.ReasonOwnerNotSettled, RetryAfter: remaining}
 	}
 	return nil
 }
@@ -102,8 +102,8 @@
 // MayForward decides whether a daemon may accept a request with a caller's own key and
 // forward it to the owner. A nil outcome means yes.
 func MayForward(now time.Time, epoch state.OwnershipState) coordination.Outcome {
-	if maybePaused(now, epoch) || (!epoch.LastPause.IsZero() && now.Sub(epoch.LastPause) < afterPause) {
-		return coordination.MayHaveRun{Reason: coordination.ReasonOwnerListStale, RetryAfter: afterPause}
+	if maybePaused(now, epoch) || (!epoch.LastPause.IsZero() && now.Sub(epoch.LastPause) < pauseHoldTime) {
+		return coordination.MayHaveRun{Reason: coordination.ReasonOwnerListStale, RetryAfter: pauseHoldTime}
 	}
 	return nil
 }
--- a/coordination/fleet/reports.go
+++ b/coordination/fleet/reports.go
@@ -17,8 +17,8 @@
 // below those that other daemons hold.
 type knownReport struct {
 	Report
-	arrival uint64
-	from    source
+	position uint64
+	from     source
 }
 
 // source identifies one process of a daemon.
@@ -27,18 +27,18 @@
 	incarnation state.Incarnation
 }
 
-// minAdmissionStep, minLoadStep and minLoadShare are the smallest changes that are
-// reported, so that a steady fleet sends no reports. minLoadShare is relative to the
+// minAdmissionStep, minLoadStep and minRelativeLoadStep are the smallest changes that are
+// reported, so that a steady fleet sends no reports. minRelativeLoadStep is relative to the
 // previous load.
 const (
-	minAdmissionStep = state.AdmitAll / 32
-	minLoadStep      = 500
-	minLoadShare     = 0.25
+	minAdmissionStep    = state.AdmitAll / 32
+	minLoadStep         = 500
+	minRelativeLoadStep = 0.25
 )
 
-// seeUpstream processes the report of a watched upstream, updates its admission, and
+// observeUpstream processes the report of a watched upstream, updates its admission, and
 // publishes the result if it changed enough.
-func (f *Fleet) seeUpstream(ev UpstreamSeen) {
+func (f *Fleet) observeUpstream(ev UpstreamSeen) {
 	known := f.reports[ev.ID]
 	if known != nil && known.Incarnation > ev.Incarnation {
 		return
@@ -54,14 +54,14 @@
 		next.Seq = known.Seq + 1
 		next.State = max(known.State, ev.State)
 		next.Admission = NextAdmission(known.Admission, mean, f.meanLoad(ev.ID), f.bound())
-		if !worthSending(known.Report, next) {
+		if !isSignificant(known.Report, next) {
 			return
 		}
 	}
-	f.takeReport(next, source{f.self.ID, f.self.Incarnation})
+	f.mergeReport(next, source{f.self.ID, f.self.Incarnation})
 }
 
-func worthSending(old, next Report) bool {
+func isSignificant(old, next Report) bool {
 	if next.State != old.State {
 		return true
 	}
@@ -70,7 +70,7 @@
 		return true
 	}
 	load := math.Abs(float64(next.Load) - float64(old.Load))
-	return load >= minLoadStep && load >= minLoadShare*float64(old.Load)
+	return load >= minLoadStep && load >= minRelativeLoadStep*float64(old.Load)
 }
 
 func (f *Fleet) bound() float64 {
@@ -106,8 +106,8 @@
 	return sum / float64(n)
 }
 
-// takeReport merges a report and queues it for sending if it changed anything.
-func (f *Fleet) takeReport(r Report, from source) {
+// mergeReport merges a report and queues it for sending if it changed anything.
+func (f *Fleet) mergeReport(r Report, from source) {
 	known := f.reports[r.ID]
 	if known == nil {
 		known = &knownReport{Report: Report{ID: r.ID}}
@@ -117,18 +117,18 @@
 	if merged == known.Report {
 		return
 	}
-	f.noteState(known.Report, merged)
+	f.recordStateChange(known.Report, merged)
 	known.Report = merged
 	known.from = from
-	f.arrivals++
-	known.arrival = f.arrivals
-	f.stale = true
+	f.position++
+	known.position = f.position
+	f.statsDirty = true
 }
 
-// noteState records a change of state and makes it urgent: an upstream that leaves
+// recordStateChange records a change of state and makes it urgent: an upstream that leaves
 // must get no new work within seconds. The first report that an upstream is live does
 // not count as a change.
-func (f *Fleet) noteState(old, next Report) {
+func (f *Fleet) recordStateChange(old, next Report) {
 	first := old.State == 0 && next.State == state.Live
 	if first || (old.State == next.State && old.Incarnation == next.Incarnation) {
 		return
@@ -172,10 +172,10 @@
 	return out
 }
 
-// watch updates the set of upstreams that this daemon watches: those for which it
+// updateWatched updates the set of upstreams that this daemon watches: those for which it
 // ranks first among the daemons of the upstream's failure domain or, if the domain
 // has no daemon, of its region.
-func (f *Fleet) watch() {
+func (f *Fleet) updateWatched() {
 	byDomain := make(map[state.FailureDomain][]state.Member)
 	var usable []state.Member
 	for _, m := range f.list.Daemons() {
@@ -201,7 +201,7 @@
 			next[state.UpstreamID(m.ID)] = m
 		}
 	}
-	if sameWatch(f.watched, next) {
+	if sameMembers(f.watched, next) {
 		return
 	}
 	f.watched = next
@@ -224,7 +224,7 @@
 	return out
 }
 
-func sameWatch(a, b map[state.UpstreamID]state.Member) bool {
+func sameMembers(a, b map[state.UpstreamID]state.Member) bool {
 	if len(a) != len(b) {
 		return false
 	}
