--- a/daemon/openai/control.go
+++ b/daemon/openai/control.go
@@ -31,7 +31,7 @@
 type control struct {
 	fleet    *fleet.Fleet
 	events   chan fleet.Event
-	converse chan conversation
+	inbound  chan inboundExchange
 	done     chan struct{}
 	snapshot atomic.Pointer[state.Snapshot]
 
@@ -43,13 +43,13 @@
 	readers   map[peer.DocumentKind]*documentReader
 
 	mu        sync.Mutex
-	exchanges map[string]*underWay       // by address of the peer
-	fetching  map[peer.DocumentKind]bool // kinds with a fetch in progress
+	exchanges map[string]*pendingExchange // by address of the peer
+	fetching  map[peer.DocumentKind]bool  // kinds with a fetch in progress
 	wg        sync.WaitGroup
 }
 
-// conversation is an exchange that a peer initiated.
-type conversation struct {
+// inboundExchange is an exchange that a peer initiated.
+type inboundExchange struct {
 	gossip fleet.Gossip
 	reply  chan fleet.Gossip
 }
@@ -58,11 +58,11 @@
 	c := &control{
 		fleet:     fleet.New(self, rng),
 		events:    make(chan fleet.Event, eventQueue),
-		converse:  make(chan conversation),
+		inbound:   make(chan inboundExchange),
 		done:      make(chan struct{}),
 		documents: newDocuments(),
 		readers:   make(map[peer.DocumentKind]*documentReader),
-		exchanges: make(map[string]*underWay),
+		exchanges: make(map[string]*pendingExchange),
 		fetching:  make(map[peer.DocumentKind]bool),
 	}
 	c.snapshot.Store(state.BuildSnapshot(state.Inputs{Hash: coordination.Hash}))
@@ -80,9 +80,9 @@
 	}
 }
 
-// hint sends an event to the loop and drops it if the queue is full. Request handlers
+// tryPost sends an event to the loop and drops it if the queue is full. Request handlers
 // use it, because a request must not wait for the control loop.
-func (c *control) hint(ev fleet.Event) {
+func (c *control) tryPost(ev fleet.Event) {
 	select {
 	case c.events <- ev:
 	default:
@@ -93,9 +93,9 @@
 
 // Converse processes a peer's message and returns this daemon's.
 func (c *control) Converse(ctx context.Context, n fleet.Gossip) (fleet.Gossip, error) {
-	conv := conversation{gossip: n, reply: make(chan fleet.Gossip, 1)}
+	conv := inboundExchange{gossip: n, reply: make(chan fleet.Gossip, 1)}
 	select {
-	case c.converse <- conv:
+	case c.inbound <- conv:
 	case <-ctx.Done():
 		return fleet.Gossip{}, ctx.Err()
 	case <-c.done:
@@ -121,7 +121,7 @@
 			return
 		case ev := <-c.events:
 			c.handle(ctx, ev, nil)
-		case conv := <-c.converse:
+		case conv := <-c.inbound:
 			c.handle(ctx, fleet.GossipReceived{Gossip: conv.gossip}, conv.reply)
 		case <-ticker.C:
 			c.handle(ctx, tick(), nil)
@@ -137,7 +137,7 @@
 		switch eff := eff.(type) {
 		case fleet.Publish:
 			c.snapshot.Store(eff.Snapshot)
-			c.hold(eff.Snapshot)
+			c.retainDocuments(eff.Snapshot)
 		case fleet.Reply:
 			if reply != nil {
 				reply <- eff.Gossip
@@ -154,7 +154,7 @@
 			c.watcher.Set(eff.Upstreams)
 		case fleet.ReadPlatform:
 			for _, r := range c.readers {
-				r.ask()
+				r.trigger()
 			}
 		case fleet.TimelineEntry:
 			c.recorder.Record(eff.Kind, eff.About, "", "%s", eff.Text)
@@ -162,8 +162,8 @@
 	}
 }
 
-// hold retains the texts of the documents in force, for peers that fetch them.
-func (c *control) hold(s *state.Snapshot) {
+// retainDocuments retains the texts of the documents in force, for peers that fetch them.
+func (c *control) retainDocuments(s *state.Snapshot) {
 	if s.Members != nil {
 		c.documents.put(peer.DocumentKind_DOCUMENT_KIND_LIST, s.Members.Head, s.Members.Text)
 	}
--- a/daemon/openai/daemon.go
+++ b/daemon/openai/daemon.go
@@ -57,7 +57,7 @@
 		d.close()
 		return nil, err
 	}
-	if err := d.wire(logger); err != nil {
+	if err := d.assemble(logger); err != nil {
 		d.close()
 		return nil, err
 	}
@@ -74,13 +74,13 @@
 	if err != nil {
 		return err
 	}
-	if d.callers, err = open(s.Listen.Callers, callerTLS, nil, logger); err != nil {
+	if d.callers, err = openListener(s.Listen.Callers, callerTLS, nil, logger); err != nil {
 		return err
 	}
-	if d.peers, err = open(s.Listen.Peers, peerTLS, d.meter, logger); err != nil {
+	if d.peers, err = openListener(s.Listen.Peers, peerTLS, d.meter, logger); err != nil {
 		return err
 	}
-	d.operators, err = open(s.Listen.Operators, nil, nil, logger)
+	d.operators, err = openListener(s.Listen.Operators, nil, nil, logger)
 	return err
 }
 
@@ -91,7 +91,7 @@
 	return transport.ServerTLS(files)
 }
 
-func open(address string, tlsConfig *tls.Config, meter *gateway.Meter, logger *log.Logger) (*daemon.Listener, error) {
+func openListener(address string, tlsConfig *tls.Config, meter *gateway.Meter, logger *log.Logger) (*daemon.Listener, error) {
 	l, err := daemon.Listen("tcp", address, serverLimits, stdlog.New(serverLog{logger}, "", 0))
 	if err != nil {
 		return nil, err
@@ -114,7 +114,7 @@
 	return len(p), nil
 }
 
-func (d *Daemon) wire(logger *log.Logger) error {
+func (d *Daemon) assemble(logger *log.Logger) error {
 	s := d.settings
 	self := fleet.Self{ID: s.ID, Incarnation: d.incarnation, Domain: s.Domain, Address: s.Peer, Seeds: s.Seeds}
 	seed, secret, err := randomSeed()
@@ -139,7 +139,7 @@
 		LedgerBytes: s.Limits.LedgerBytes, AnswerBytes: s.Limits.AnswerBytes,
 	})
 	d.gateway = gateway.New(gateway.Options{
-		Daemon: s.ID, Snapshot: d.control.Snapshot, Post: d.control.hint, Upstreams: d.upstreams, Once: once,
+		Daemon: s.ID, Snapshot: d.control.Snapshot, Post: d.control.tryPost, Upstreams: d.upstreams, Once: once,
 		Recorder: d.recorder, Metrics: d.metrics, Limits: s.limits(),
 	})
 	d.callers.Server.Handler = d.gateway
@@ -175,8 +175,8 @@
 // new requests are served for the configured notice period, and Run returns when the
 // last request in flight has been answered.
 func (d *Daemon) Run(ctx context.Context) error {
-	work, endWork := context.WithCancel(context.WithoutCancel(ctx))
-	defer endWork()
+	work, cancelWork := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancelWork()
 	probes := gateway.NewUpstreams(gateway.UpstreamOptions{Dial: d.meter.Dial(nil)})
 	defer probes.Close()
 	d.control.watcher = gateway.NewWatcher(work, probes, d.control.post)
@@ -196,7 +196,7 @@
 		d.stop()
 	case err = <-failed:
 	}
-	endWork()
+	cancelWork()
 	d.close()
 	d.control.watcher.Wait()
 	wg.Wait()
--- a/daemon/openai/documents.go
+++ b/daemon/openai/documents.go
@@ -11,9 +11,9 @@
 	"hingewinch.org/hingewinch/transport/gateway"
 )
 
-// documentsKept is the number of versions of each kind that are kept. A peer that is
+// maxVersionsKept is the number of versions of each kind that are kept. A peer that is
 // further behind gets the complete text.
-const documentsKept = 4
+const maxVersionsKept = 4
 
 type document struct {
 	head state.Head
@@ -41,7 +41,7 @@
 		return
 	}
 	kept = append([]document{{head, text}}, kept...)
-	d.kept[kind] = kept[:min(len(kept), documentsKept)]
+	d.kept[kind] = kept[:min(len(kept), maxVersionsKept)]
 }
 
 // newest returns the newest version; its text is nil if there is none.
--- a/daemon/openai/exchange.go
+++ b/daemon/openai/exchange.go
@@ -15,8 +15,8 @@
 	"hingewinch.org/hingewinch/transport"
 )
 
-// underWay is an exchange in progress, with the message to send after it.
-type underWay struct{ next *fleet.SendGossip }
+// pendingExchange is an exchange in progress, with the message to send after it.
+type pendingExchange struct{ next *fleet.SendGossip }
 
 // exchange starts an exchange. While one with the same peer is in progress, only the
 // newest message waits for it: a peer that hangs must not accumulate goroutines, and
@@ -28,17 +28,17 @@
 		t.next = &eff
 		return
 	}
-	t := &underWay{}
+	t := &pendingExchange{}
 	c.exchanges[eff.Peer.Address] = t
 	c.wg.Go(func() {
-		for next := &eff; next != nil; next = c.endExchange(t, next.Peer.Address) {
+		for next := &eff; next != nil; next = c.nextExchange(t, next.Peer.Address) {
 			c.exchangeOnce(ctx, *next)
 		}
 	})
 }
 
-// endExchange returns the waiting message, or nil.
-func (c *control) endExchange(t *underWay, address string) *fleet.SendGossip {
+// nextExchange returns the waiting message, or nil.
+func (c *control) nextExchange(t *pendingExchange, address string) *fleet.SendGossip {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	next := t.next
@@ -92,14 +92,14 @@
 			c.logger.Debug().Str("peer", from.ID).Err(err).Msg(transport.PrefixPeers + "fetch failed")
 			return
 		}
-		c.learn(kind, head, text, time.Time{})
+		c.receiveDocument(kind, head, text, time.Time{})
 	})
 }
 
-// learn parses a document, posts it to the loop and returns its head, which is zero if
+// receiveDocument parses a document, posts it to the loop and returns its head, which is zero if
 // the document is not valid. It runs outside the loop, because parsing a file of a
 // megabyte would block the loop. head is the announced head of the text.
-func (c *control) learn(kind peer.DocumentKind, head state.Head, text []byte, asked time.Time) state.Head {
+func (c *control) receiveDocument(kind peer.DocumentKind, head state.Head, text []byte, asked time.Time) state.Head {
 	if kind == peer.DocumentKind_DOCUMENT_KIND_CONFIG {
 		cfg, err := state.ParseConfig(configName, text)
 		if err != nil {
--- a/daemon/openai/reader.go
+++ b/daemon/openai/reader.go
@@ -27,7 +27,7 @@
 	c.readers[kind] = &documentReader{kind: kind, reader: r, wake: make(chan struct{}, 1)}
 }
 
-func (d *documentReader) ask() {
+func (d *documentReader) trigger() {
 	select {
 	case d.wake <- struct{}{}:
 	default:
@@ -54,32 +54,32 @@
 	}
 	if (err != nil) != d.failed {
 		d.failed = err != nil
-		c.notePlatform(d.failed, err)
+		c.recordPlatformState(d.failed, err)
 	}
 	switch {
 	case err != nil:
 		return
 	case text == nil && d.kind == peer.DocumentKind_DOCUMENT_KIND_LIST:
-		c.post(fleet.ListConfirmed{Head: d.last, Asked: heldUntil(asked, time.Now())})
+		c.post(fleet.ListConfirmed{Head: d.last, Asked: confirmedAt(asked, time.Now())})
 		return
 	case text == nil:
 		return
 	}
-	d.last = c.learn(d.kind, state.HeadOf(0, text), text, asked)
+	d.last = c.receiveDocument(d.kind, state.HeadOf(0, text), text, asked)
 }
 
-// heldUntil returns the time for which an unchanged response confirms the document. The
+// confirmedAt returns the time for which an unchanged response confirms the document. The
 // platform sends it only when the wait has ended, so the document was current for
 // nearly that long. A tenth is subtracted for drift between the clocks. A response
 // that came earlier confirms only the time of the request.
-func heldUntil(asked, answered time.Time) time.Time {
+func confirmedAt(asked, answered time.Time) time.Time {
 	if answered.Sub(asked) < gateway.PlatformWait {
 		return asked
 	}
 	return asked.Add(gateway.PlatformWait * 9 / 10)
 }
 
-func (c *control) notePlatform(failed bool, err error) {
+func (c *control) recordPlatformState(failed bool, err error) {
 	if failed {
 		c.recorder.Record(coordination.EventPlatform, "platform", "", "platform can't be read; the last documents stay in force: %v", err)
 		return
--- a/transport/gateway/challenge.go
+++ b/transport/gateway/challenge.go
@@ -13,21 +13,21 @@
 // challengeCache keeps the last challenge of each key owner for half its lifetime, so
 // that a busy daemon asks for one every few seconds instead of for each request.
 type challengeCache struct {
-	mu   sync.Mutex
-	kept map[string]datedChallenge
+	mu     sync.Mutex
+	cached map[string]cachedChallenge
 }
 
-type datedChallenge struct {
-	challenge string
-	taken     time.Time
+type cachedChallenge struct {
+	challenge  string
+	receivedAt time.Time
 }
 
 func (c *challengeCache) get(address string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	d := c.kept[address]
-	if time.Since(d.taken) > fleet.ChallengeLife/2 {
-		delete(c.kept, address)
+	d := c.cached[address]
+	if time.Since(d.receivedAt) > fleet.ChallengeLife/2 {
+		delete(c.cached, address)
 		return ""
 	}
 	return d.challenge
@@ -36,8 +36,8 @@
 func (c *challengeCache) put(address, challenge string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.kept == nil {
-		c.kept = make(map[string]datedChallenge)
+	if c.cached == nil {
+		c.cached = make(map[string]cachedChallenge)
 	}
-	c.kept[address] = datedChallenge{challenge, time.Now()}
+	c.cached[address] = cachedChallenge{challenge, time.Now()}
 }
--- a/transport/gateway/chat.go
+++ b/transport/gateway/chat.go
@@ -27,7 +27,7 @@
 	}
 	req, err := protocol.ParseChat(body)
 	if err != nil {
-		g.rejectBad(c, err)
+		g.rejectParseError(c, err)
 		return
 	}
 	if !c.workspace.MayUse(req.Model) {
@@ -47,12 +47,12 @@
 		return
 	}
 	c.w.Header().Set(protocol.HeaderUpstream, string(engine.ID))
-	g.Metrics.FirstByte.UpdateSince(c.begun)
+	g.Metrics.FirstByte.UpdateSince(c.started)
 	if isEventStream(resp.Header) {
 		g.relayStream(c, resp, engine)
 		return
 	}
-	g.relayWhole(c, resp)
+	g.relayComplete(c, resp)
 }
 
 // attempts prepares the attempts for a caller's request.
@@ -106,9 +106,9 @@
 	return coordination.MayHaveRun{Reason: coordination.ReasonDeadline, RetryAfter: defaultRetryTime}
 }
 
-// relayWhole returns a response that is not streamed. It reads the response to its end
+// relayComplete returns a response that is not streamed. It reads the response to its end
 // first, so that the caller gets all of it or an error.
-func (g *Gateway) relayWhole(c *call, resp *http.Response) {
+func (g *Gateway) relayComplete(c *call, resp *http.Response) {
 	defer resp.Body.Close()
 	body, err := protocol.ReadBounded(resp.Body, resp.ContentLength, g.Limits.AnswerBytes)
 	if err != nil {
@@ -119,15 +119,15 @@
 		g.refuse(c, g.deadlineOutcome(c, coordination.MayHaveRun{Reason: reason, RetryAfter: defaultRetryTime}))
 		return
 	}
-	g.answer(c, resp.StatusCode, protocol.ReturnHeader(resp.Header), body)
+	g.writeResponse(c, resp.StatusCode, protocol.ReturnHeader(resp.Header), body)
 }
 
-// answer writes a complete response. Content-Length lets the caller detect a truncated
+// writeResponse writes a complete response. Content-Length lets the caller detect a truncated
 // one.
-func (g *Gateway) answer(c *call, status int, header http.Header, body []byte) {
+func (g *Gateway) writeResponse(c *call, status int, header http.Header, body []byte) {
 	h := c.w.Header()
 	for k, vs := range header {
-		if !ownField(k) {
+		if !isGatewayField(k) {
 			h[k] = vs
 		}
 	}
@@ -142,8 +142,8 @@
 	}
 }
 
-// ownField reports whether a header field is set by this daemon and not by upstreams.
-func ownField(name string) bool {
+// isGatewayField reports whether a header field is set by this daemon and not by upstreams.
+func isGatewayField(name string) bool {
 	switch name {
 	case protocol.HeaderRequestID, protocol.HeaderDaemon, protocol.HeaderUpstream, protocol.HeaderStreamID, protocol.HeaderOutcome:
 		return true
--- a/transport/gateway/evidence.go
+++ b/transport/gateway/evidence.go
@@ -72,7 +72,7 @@
 func (a *Attempt) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
-			if c := evidenceOf(info.Conn); c != nil {
+			if c := trackedConnOf(info.Conn); c != nil {
 				c.attempt.Store(a)
 				return
 			}
@@ -83,16 +83,16 @@
 	}
 }
 
-// evidenceConn asks the attempt that uses it before each write. HTTP/1.1 gives a
+// trackedConn asks the attempt that uses it before each write. HTTP/1.1 gives a
 // connection to one request at a time, and HTTP/2 is disabled for upstreams.
-type evidenceConn struct {
+type trackedConn struct {
 	net.Conn
 	attempt atomic.Pointer[Attempt]
 }
 
 // Write writes unless the attempt was sealed. A TLS handshake precedes the binding of
 // an attempt and does not count, since it carries nothing of the request.
-func (c *evidenceConn) Write(p []byte) (int, error) {
+func (c *trackedConn) Write(p []byte) (int, error) {
 	if a := c.attempt.Load(); a != nil {
 		if err := a.beforeWrite(); err != nil {
 			return 0, err
@@ -101,11 +101,11 @@
 	return c.Conn.Write(p)
 }
 
-// evidenceOf returns the evidenceConn below TLS, or nil.
-func evidenceOf(c net.Conn) *evidenceConn {
+// trackedConnOf returns the trackedConn below TLS, or nil.
+func trackedConnOf(c net.Conn) *trackedConn {
 	for {
 		switch v := c.(type) {
-		case *evidenceConn:
+		case *trackedConn:
 			return v
 		case interface{ NetConn() net.Conn }:
 			c = v.NetConn()
--- a/transport/gateway/gateway.go
+++ b/transport/gateway/gateway.go
@@ -90,7 +90,7 @@
 	r         *http.Request
 	snapshot  *state.Snapshot
 	workspace *state.Workspace
-	begun     time.Time
+	started   time.Time
 }
 
 // ServeHTTP serves one request.
@@ -103,7 +103,7 @@
 		return
 	}
 	g.Metrics.Requests.Inc(1)
-	c := &call{id: requestID(r), w: w, r: r, snapshot: g.Snapshot(), begun: time.Now()}
+	c := &call{id: requestID(r), w: w, r: r, snapshot: g.Snapshot(), started: time.Now()}
 	w.Header().Set(protocol.HeaderRequestID, string(c.id))
 	w.Header().Set(protocol.HeaderDaemon, string(g.Daemon))
 	if !g.admit(c) {
@@ -120,7 +120,7 @@
 	case r.URL.Path == PathTickets:
 		g.serveTickets(c)
 	case strings.HasPrefix(r.URL.Path, PathServices):
-		g.servePlain(c)
+		g.serveService(c)
 	default:
 		g.reject(c, http.StatusNotFound, "not_found", "", "path is not served; use /v1/chat/completions, /v1/models, /v1/tickets or /services/NAME/")
 	}
@@ -164,13 +164,13 @@
 // one otherwise.
 func requestID(r *http.Request) state.RequestID {
 	id := r.Header.Get(protocol.HeaderRequestID)
-	if id != "" && len(id) <= maxRequestID && isPlain(id) {
+	if id != "" && len(id) <= maxRequestID && isPrintable(id) {
 		return state.RequestID(id)
 	}
 	return state.RequestID(randomID())
 }
 
-func isPlain(s string) bool {
+func isPrintable(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] > '~' {
 			return false
--- a/transport/gateway/once.go
+++ b/transport/gateway/once.go
@@ -65,8 +65,8 @@
 
 // Issue returns a ticket and how long it is valid.
 func (o *OnceRunner) Issue(w state.WorkspaceID, s state.ServiceID) (string, time.Duration) {
-	life := o.rules().Window
-	return o.issuer.Issue(w, s, o.age()+life, randomID()), life
+	lifetime := o.rules().Window
+	return o.issuer.Issue(w, s, o.age()+lifetime, randomID()), lifetime
 }
 
 func (o *OnceRunner) age() time.Duration { return o.Now().Sub(o.started) }
@@ -136,7 +136,7 @@
 	for {
 		switch a := o.begin(r, keep).(type) {
 		case fleet.Start:
-			return o.start(ctx, r, permit)
+			return o.sendOnce(ctx, r, permit)
 		case fleet.Replay:
 			return OnceAnswer{Answer: a.Answer, Replayed: true}
 		case fleet.Conflict:
@@ -147,7 +147,7 @@
 			select {
 			case <-a.First.Done:
 				if notRun, ok := a.First.Outcome.(coordination.NotRun); ok {
-					return refused(notRun)
+					return refusalResult(notRun)
 				}
 			case <-ctx.Done():
 				return OnceRefusal{coordination.MayHaveRun{Reason: coordination.ReasonDeadline, RetryAfter: defaultRetryTime}}
@@ -164,11 +164,11 @@
 		keep, result = o.admitTicket(r)
 		return keep, nil, result
 	}
-	if refusal := o.mayKeep(r); refusal != nil {
+	if refusal := o.checkOwner(r); refusal != nil {
 		return 0, nil, OnceRefusal{refusal}
 	}
 	permit = func() error {
-		if o.mayKeep(r) != nil {
+		if o.checkOwner(r) != nil {
 			return errNoLongerOwner
 		}
 		return nil
@@ -194,7 +194,7 @@
 // errNoLongerOwner stops an attempt whose daemon has lost ownership of the key.
 var errNoLongerOwner = errors.New("daemon no longer owns the key")
 
-func (o *OnceRunner) mayKeep(r *OnceRequest) coordination.Outcome {
+func (o *OnceRunner) checkOwner(r *OnceRequest) coordination.Outcome {
 	return fleet.MayRunKey(o.Now(), o.Self, o.Snapshot().Ownership, r.ledgerKey(), o.rules())
 }
 
@@ -213,9 +213,9 @@
 	o.ledger.Finish(r.ledgerKey(), out, answer)
 }
 
-// start sends the request once. It continues if the caller disconnects, since the
+// sendOnce sends the request once. It continues if the caller disconnects, since the
 // outcome is recorded for repeats.
-func (o *OnceRunner) start(ctx context.Context, r *OnceRequest, permit func() error) OnceResult {
+func (o *OnceRunner) sendOnce(ctx context.Context, r *OnceRequest, permit func() error) OnceResult {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), timeLeft(ctx))
 	defer cancel()
 	outcome, answer := o.send(ctx, r, permit)
@@ -224,13 +224,13 @@
 	if answer != nil {
 		return OnceAnswer{Answer: answer}
 	}
-	return refused(outcome)
+	return refusalResult(outcome)
 }
 
-// refused returns the refusal of a request that this daemon started. If it lost
+// refusalResult returns the refusal of a request that this daemon started. If it lost
 // ownership of the key before the first byte, it did not run the request itself but
 // can't know whether another daemon did.
-func refused(o coordination.Outcome) OnceResult {
+func refusalResult(o coordination.Outcome) OnceResult {
 	if n, ok := o.(coordination.NotRun); ok && n.Reason == coordination.ReasonOwnerListStale {
 		return OnceRefusal{coordination.MayHaveRun(n)}
 	}
--- a/transport/gateway/peers.go
+++ b/transport/gateway/peers.go
@@ -50,16 +50,16 @@
 	if tlsConfig != nil {
 		p.scheme = "https"
 	}
-	exchange := evidenceTransport(opts)
-	exchange.IdleConnTimeout = peerIdle
+	exchange := trackedTransport(opts)
+	exchange.IdleConnTimeout = peerIdleTimeout
 	p.client = &peerClient{exchange}
-	p.once = &peerClient{evidenceTransport(UpstreamOptions{TLS: tlsConfig, Dial: dial})}
+	p.once = &peerClient{trackedTransport(UpstreamOptions{TLS: tlsConfig, Dial: dial})}
 	return p
 }
 
-// peerIdle is how long idle connections to peers are kept: handshakes are the most
+// peerIdleTimeout is how long idle connections to peers are kept: handshakes are the most
 // expensive part of the control traffic.
-const peerIdle = 10 * time.Minute
+const peerIdleTimeout = 10 * time.Minute
 
 // peerClient sends each call once: net/http repeats a POST on a connection that was
 // closed before the first byte of a response only if it can replay the body.
@@ -75,7 +75,7 @@
 	return c.rt.RoundTrip(req)
 }
 
-func (p *Peers) to(address string, client peer.HTTPClient) peer.Peer {
+func (p *Peers) clientFor(address string, client peer.HTTPClient) peer.Peer {
 	return peer.NewPeerProtobufClient(p.scheme+"://"+address, client)
 }
 
@@ -85,7 +85,7 @@
 	defer cancel()
 	p.metrics.Exchanges.Inc(1)
 	n.Stamp = p.recorder.Stamp()
-	answer, err := p.to(address, p.client).Exchange(ctx, protocol.EncodeGossip(n))
+	answer, err := p.clientFor(address, p.client).Exchange(ctx, protocol.EncodeGossip(n))
 	if err != nil {
 		p.metrics.ExchangeFails.Inc(1)
 		return fleet.Gossip{}, eris.Wrapf(err, "exchange with %s", address)
@@ -100,7 +100,7 @@
 func (p *Peers) Fetch(ctx context.Context, address string, kind peer.DocumentKind, have state.Head, base []byte) (state.Head, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	resp, err := p.to(address, p.client).Fetch(ctx, &peer.FetchRequest{Kind: kind, Have: protocol.EncodeHead(have)})
+	resp, err := p.clientFor(address, p.client).Fetch(ctx, &peer.FetchRequest{Kind: kind, Have: protocol.EncodeHead(have)})
 	if err != nil {
 		return state.Head{}, nil, eris.Wrapf(err, "fetch from %s", address)
 	}
@@ -117,11 +117,11 @@
 func (p *Peers) ForwardOnce(ctx context.Context, owner state.Member, r *OnceRequest) OnceResult {
 	m := p.encodeRun(ctx, r)
 	m.Challenge = p.challenges.get(owner.Address)
-	resp, err := p.to(owner.Address, p.once).Run(ctx, m)
+	resp, err := p.clientFor(owner.Address, p.once).Run(ctx, m)
 	if err == nil && resp.GetOutcome() == peer.RunOutcome_RUN_OUTCOME_CHALLENGE {
 		p.challenges.put(owner.Address, resp.GetChallenge())
 		m.Challenge = resp.GetChallenge()
-		resp, err = p.to(owner.Address, p.once).Run(ctx, m)
+		resp, err = p.clientFor(owner.Address, p.once).Run(ctx, m)
 	}
 	if err != nil {
 		p.recorder.Record(coordination.EventOnce, owner.ID, r.ID, "owner of the key is unreachable: %v", err)
--- a/transport/gateway/peerserver.go
+++ b/transport/gateway/peerserver.go
@@ -32,8 +32,8 @@
 // packedDocuments caches the last packed document of each kind: when a document
 // spreads, all neighbours request the difference from the same version.
 type packedDocuments struct {
-	mu   sync.Mutex
-	kept map[peer.DocumentKind]packedDocument
+	mu     sync.Mutex
+	cached map[peer.DocumentKind]packedDocument
 }
 
 type packedDocument struct {
@@ -44,7 +44,7 @@
 func (p *packedDocuments) get(kind peer.DocumentKind, head, have state.Head) *peer.FetchResponse {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if d := p.kept[kind]; d.head == head && d.have == have {
+	if d := p.cached[kind]; d.head == head && d.have == have {
 		return d.resp
 	}
 	return nil
@@ -53,10 +53,10 @@
 func (p *packedDocuments) put(kind peer.DocumentKind, d packedDocument) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.kept == nil {
-		p.kept = make(map[peer.DocumentKind]packedDocument)
+	if p.cached == nil {
+		p.cached = make(map[peer.DocumentKind]packedDocument)
 	}
-	p.kept[kind] = d
+	p.cached[kind] = d
 }
 
 var _ peer.Peer = (*PeerServer)(nil)
--- a/transport/gateway/plain.go
+++ b/transport/gateway/plain.go
@@ -15,7 +15,7 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-func (g *Gateway) servePlain(c *call) {
+func (g *Gateway) serveService(c *call) {
 	svc, target, ok := g.service(c)
 	if !ok {
 		return
@@ -29,7 +29,7 @@
 	header.Set(protocol.HeaderPriority, string(c.workspace.Priority))
 	path, _, _ := strings.Cut(target, "?")
 	key := c.r.Header.Get(protocol.HeaderIdempotencyKey)
-	never := ruleFor(svc, c.r.Method, path) == state.RepeatNever
+	never := strictestRule(svc, c.r.Method, path) == state.RepeatNever
 	if never && key != "" {
 		g.serveOnce(c, &OnceRequest{
 			ID: c.id, Workspace: c.workspace.Name, Service: svc.Name, Key: key,
@@ -47,12 +47,12 @@
 		return
 	}
 	c.w.Header().Set(protocol.HeaderUpstream, string(upstream.ID))
-	g.relayWhole(c, resp)
+	g.relayComplete(c, resp)
 }
 
-// ruleFor returns the stricter of the rules for the path as sent and for the unescaped
+// strictestRule returns the stricter of the rules for the path as sent and for the unescaped
 // path, so that no spelling of a path evades its rule.
-func ruleFor(svc *state.Service, method, escaped string) state.RepeatRule {
+func strictestRule(svc *state.Service, method, escaped string) state.RepeatRule {
 	plain, err := url.PathUnescape(escaped)
 	if err != nil || svc.Rule(method, plain) == state.RepeatNever {
 		return state.RepeatNever
@@ -103,7 +103,7 @@
 const maxKeyBytes = 512
 
 func (g *Gateway) serveOnce(c *call, r *OnceRequest) {
-	if len(r.Key) > maxKeyBytes || !isPlain(r.Key) {
+	if len(r.Key) > maxKeyBytes || !isPrintable(r.Key) {
 		g.reject(c, http.StatusBadRequest, "invalid_key", "", fmt.Sprintf("%s must be at most %d printable characters without spaces", protocol.HeaderIdempotencyKey, maxKeyBytes))
 		return
 	}
@@ -112,7 +112,7 @@
 		if res.Replayed {
 			c.w.Header().Set(protocol.HeaderReplayed, "true")
 		}
-		g.answer(c, res.Answer.Status, res.Answer.Header, res.Answer.Body)
+		g.writeResponse(c, res.Answer.Status, res.Answer.Header, res.Answer.Body)
 	case OnceConflict:
 		g.reject(c, http.StatusUnprocessableEntity, "idempotency_key_conflict", "", res.Err.Error())
 	case OnceRefusal:
@@ -149,7 +149,7 @@
 		g.reject(c, http.StatusForbidden, "service_not_allowed", "service", fmt.Sprintf("workspace %q may not call service %q; ask the operators", c.workspace.Name, req.Service))
 		return
 	}
-	ticket, life := g.Once.Issue(c.workspace.Name, req.Service)
+	ticket, lifetime := g.Once.Issue(c.workspace.Name, req.Service)
 	g.count(coordination.Answered{Status: http.StatusOK})
-	g.writeJSON(c, http.StatusOK, TicketAnswer{Ticket: ticket, ExpiresMS: life.Milliseconds()})
+	g.writeJSON(c, http.StatusOK, TicketAnswer{Ticket: ticket, ExpiresMS: lifetime.Milliseconds()})
 }
--- a/transport/gateway/refuse.go
+++ b/transport/gateway/refuse.go
@@ -22,7 +22,7 @@
 	g.writeError(c, status, code, param, message, protocol.OutcomeNotRun)
 }
 
-func (g *Gateway) rejectBad(c *call, err error) {
+func (g *Gateway) rejectParseError(c *call, err error) {
 	var bad *protocol.BadRequestError
 	if errors.As(err, &bad) {
 		g.reject(c, http.StatusBadRequest, "invalid_request", bad.Param, bad.Error())
@@ -37,7 +37,7 @@
 	h := c.w.Header()
 	h.Set(protocol.HeaderOutcome, coordination.OutcomeName(o))
 	h.Set(protocol.HeaderReason, string(reason))
-	h.Set(protocol.HeaderRetryAfter, strconv.Itoa(spreadRetry(retry)))
+	h.Set(protocol.HeaderRetryAfter, strconv.Itoa(jitterRetry(retry)))
 	g.writeError(c, refusalStatus(o, reason), string(reason), "", reason.Remedy(), coordination.OutcomeName(o))
 }
 
@@ -67,9 +67,9 @@
 	return http.StatusBadGateway
 }
 
-// spreadRetry converts a delay to whole seconds and adds up to half of it at random, so
+// jitterRetry converts a delay to whole seconds and adds up to half of it at random, so
 // that refused callers do not retry at the same time.
-func spreadRetry(d time.Duration) int {
+func jitterRetry(d time.Duration) int {
 	if d <= 0 {
 		d = defaultRetryTime
 	}
--- a/transport/gateway/relay.go
+++ b/transport/gateway/relay.go
@@ -20,8 +20,8 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// errCaller reports that the caller closed the connection.
-var errCaller = errors.New("caller closed the connection")
+// errCallerGone reports that the caller closed the connection.
+var errCallerGone = errors.New("caller closed the connection")
 
 // stream is the state of one streamed response.
 type stream struct {
@@ -42,7 +42,7 @@
 	switch {
 	case err == nil:
 		g.count(coordination.Answered{Status: resp.StatusCode})
-	case errors.Is(err, errCaller) || c.r.Context().Err() == context.Canceled:
+	case errors.Is(err, errCallerGone) || c.r.Context().Err() == context.Canceled:
 		g.Metrics.CallerGone.Inc(1)
 		panic(http.ErrAbortHandler)
 	case !s.sent:
@@ -58,7 +58,7 @@
 	backoff := s.g.Limits.ResumeBackoff
 	for resumes := 0; ; resumes++ {
 		err := s.relay(resp, id)
-		if err == nil || errors.Is(err, errCaller) {
+		if err == nil || errors.Is(err, errCallerGone) {
 			return err
 		}
 		stream, after, ok := s.asm.Resumable()
@@ -96,7 +96,7 @@
 	for {
 		ev, err := events.Read()
 		if err != nil {
-			return broken(err)
+			return streamError(err)
 		}
 		idle.Reset(s.g.Limits.StreamIdle)
 		switch s.asm.Accept(fleet.Chunk{Stream: id, Seq: ev.Seq, Final: ev.IsEnd()}) {
@@ -115,7 +115,7 @@
 	}
 }
 
-func broken(err error) error {
+func streamError(err error) error {
 	if errors.Is(err, io.EOF) {
 		return errors.New("stream ended without its terminator")
 	}
@@ -133,22 +133,22 @@
 	}
 	s.extendDeadline()
 	if _, err := s.c.w.Write(ev.Raw); err != nil {
-		return errCaller
+		return errCallerGone
 	}
 	if err := s.out.Flush(); err != nil {
-		return errCaller
+		return errCallerGone
 	}
 	return nil
 }
 
-// deadlineShare is the fraction of the limit, as a divisor, that must have passed
+// deadlineFraction is the fraction of the limit, as a divisor, that must have passed
 // before the deadline is set again: setting it costs more than writing a token should.
-const deadlineShare = 8
+const deadlineFraction = 8
 
 // extendDeadline gives a slow caller time to take the next event.
 func (s *stream) extendDeadline() {
 	want := time.Now().Add(s.g.Limits.CallerStall)
-	if want.Sub(s.deadline) < s.g.Limits.CallerStall/deadlineShare {
+	if want.Sub(s.deadline) < s.g.Limits.CallerStall/deadlineFraction {
 		return
 	}
 	s.deadline = want
--- a/transport/gateway/upstream.go
+++ b/transport/gateway/upstream.go
@@ -52,7 +52,7 @@
 
 // NewUpstreams returns a client.
 func NewUpstreams(o UpstreamOptions) *Upstreams {
-	u := &Upstreams{scheme: "http", reused: evidenceTransport(o), fresh: evidenceTransport(o)}
+	u := &Upstreams{scheme: "http", reused: trackedTransport(o), fresh: trackedTransport(o)}
 	u.fresh.DisableKeepAlives = true
 	if o.TLS != nil {
 		u.scheme = "https"
@@ -60,8 +60,8 @@
 	return u
 }
 
-// evidenceTransport returns an HTTP/1.1 transport on connections of type evidenceConn.
-func evidenceTransport(o UpstreamOptions) *http.Transport {
+// trackedTransport returns an HTTP/1.1 transport on connections of type trackedConn.
+func trackedTransport(o UpstreamOptions) *http.Transport {
 	dial := o.Dial
 	if dial == nil {
 		d := &net.Dialer{Timeout: dialTimeout, KeepAlive: keepAliveProbe}
@@ -73,7 +73,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return &evidenceConn{Conn: c}, nil
+			return &trackedConn{Conn: c}, nil
 		},
 		TLSClientConfig:        o.TLS,
 		TLSHandshakeTimeout:    dialTimeout,
@@ -139,7 +139,7 @@
 	}
 	resp, err := rt.RoundTrip(req)
 	if err != nil {
-		return nil, failedOutcome(ctx, a), eris.Wrapf(err, "send to %s", r.Address)
+		return nil, outcomeOfFailure(ctx, a), eris.Wrapf(err, "send to %s", r.Address)
 	}
 	// An open stream must not retain the request's body.
 	resp.Request = nil
@@ -151,9 +151,9 @@
 	return resp, nil, nil
 }
 
-// failedOutcome returns the outcome of an attempt without a response, depending on
+// outcomeOfFailure returns the outcome of an attempt without a response, depending on
 // whether bytes were written.
-func failedOutcome(ctx context.Context, a *Attempt) coordination.Outcome {
+func outcomeOfFailure(ctx context.Context, a *Attempt) coordination.Outcome {
 	if a.Seal() {
 		reason := coordination.ReasonConnect
 		if ctx.Err() != nil {
--- a/transport/gateway/watch.go
+++ b/transport/gateway/watch.go
@@ -62,12 +62,12 @@
 	}
 	for id, m := range wanted {
 		if w.running[id] == nil {
-			w.begin(id, m)
+			w.start(id, m)
 		}
 	}
 }
 
-func (w *Watcher) begin(id state.UpstreamID, m state.Member) {
+func (w *Watcher) start(id state.UpstreamID, m state.Member) {
 	ctx, cancel := context.WithCancel(w.ctx)
 	w.running[id] = &watch{member: m, cancel: cancel}
 	w.wg.Go(func() { w.run(ctx, id, m.Address) })
@@ -80,7 +80,7 @@
 	var seq uint64
 	for ctx.Err() == nil {
 		pause := watchPause
-		ev, next, err := w.ask(ctx, id, address, seq)
+		ev, next, err := w.query(ctx, id, address, seq)
 		switch {
 		case err == nil:
 			seq = next
@@ -93,7 +93,7 @@
 	}
 }
 
-func (w *Watcher) ask(ctx context.Context, id state.UpstreamID, address string, seq uint64) (ev fleet.UpstreamSeen, next uint64, err error) {
+func (w *Watcher) query(ctx context.Context, id state.UpstreamID, address string, seq uint64) (ev fleet.UpstreamSeen, next uint64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	resp, _, err := w.upstreams.Send(ctx, UpstreamRequest{
