--- a/coordination/fleet/ticket.go
+++ b/coordination/fleet/ticket.go
@@ -36,7 +36,7 @@
 // Errors of ticket parsing and verification.
 var (
 	errTicketMalformed = errors.New("ticket is malformed; send it exactly as it was issued")
-	ErrTicketForged    = errors.New("ticket was not issued for this workspace and service; request a new one")
+	ErrTicketForged    = errors.New("ticket was not issued for this workspace and service; take a new one")
 )
 
 // IsTicket reports whether a caller's key claims to be a ticket.
--- a/daemon/openai/exchange.go
+++ b/daemon/openai/exchange.go
@@ -96,9 +96,9 @@
 	})
 }
 
-// receiveDocument parses a document, posts it to the loop and returns its head, which is zero if
-// the document is not valid. It runs outside the loop, because parsing a file of a
-// megabyte would block the loop. head is the announced head of the text.
+// receiveDocument parses a document, posts it to the loop and returns its head, which
+// is zero if the document is not valid. It runs outside the loop, because parsing a
+// file of a megabyte would block the loop. head is the announced head of the text.
 func (c *control) receiveDocument(kind peer.DocumentKind, head state.Head, text []byte, asked time.Time) state.Head {
 	if kind == peer.DocumentKind_DOCUMENT_KIND_CONFIG {
 		cfg, err := state.ParseConfig(configName, text)
--- a/transport/gateway/gateway.go
+++ b/transport/gateway/gateway.go
@@ -132,7 +132,7 @@
 	case g.draining.Load():
 		http.Error(w, "stopping", http.StatusServiceUnavailable)
 	case s == nil || s.Config == nil || s.Members == nil:
-		http.Error(w, "no configuration or member list yet", http.StatusServiceUnavailable)
+		http.Error(w, "no configuration or member list is known", http.StatusServiceUnavailable)
 	default:
 		fmt.Fprintln(w, "ready")
 	}
@@ -151,7 +151,7 @@
 	}
 	c.workspace = c.snapshot.Config.Authenticate(strings.TrimSpace(key))
 	if c.workspace == nil {
-		g.reject(c, http.StatusUnauthorized, "invalid_api_key", "", "API key is not known; check it or ask the operators for a key of your workspace")
+		g.reject(c, http.StatusUnauthorized, "invalid_api_key", "", "API key is not known; check it or ask the operators for one of your workspace")
 		return false
 	}
 	return true
@@ -214,7 +214,7 @@
 		g.reject(c, http.StatusRequestEntityTooLarge, "body_too_large", "", fmt.Sprintf("body is larger than %d bytes; send less", g.Limits.BodyBytes))
 	default:
 		c.w.Header().Set("Connection", "close")
-		g.reject(c, http.StatusBadRequest, "body_incomplete", "", "body was incomplete; send it again")
+		g.reject(c, http.StatusBadRequest, "body_incomplete", "", "body could not be read to its end; send it again")
 	}
 	return nil, false
 }
@@ -238,7 +238,7 @@
 func (g *Gateway) writeJSON(c *call, status int, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
-		g.reject(c, http.StatusInternalServerError, "internal", "", "response could not be encoded; report this request id")
+		g.reject(c, http.StatusInternalServerError, "internal", "", "answer could not be encoded; report this request id")
 		return
 	}
 	c.w.Header().Set("Content-Type", "application/json")
--- a/transport/gateway/operator.go
+++ b/transport/gateway/operator.go
@@ -136,7 +136,7 @@
 func (o *Operator) place(ctx iris.Context) {
 	s := o.Snapshot()
 	if s == nil {
-		ctx.StopWithText(http.StatusServiceUnavailable, "no member list yet")
+		ctx.StopWithText(http.StatusServiceUnavailable, "no member list is known")
 		return
 	}
 	w, m, chat := ctx.URLParam("workspace"), ctx.URLParam("model"), ctx.URLParam("chat")
--- a/transport/gateway/plain.go
+++ b/transport/gateway/plain.go
@@ -75,7 +75,7 @@
 	}
 	target := "/" + path
 	if hasDotSegment(target) {
-		g.reject(c, http.StatusBadRequest, "invalid_path", "", "path has . or .. segments; send it without them")
+		g.reject(c, http.StatusBadRequest, "invalid_path", "", "path holds . or .. segments; send it without them")
 		return nil, "", false
 	}
 	if c.r.URL.RawQuery != "" {
