--- a/coordination/fleet/arrange_bench_test.go
+++ b/coordination/fleet/arrange_bench_test.go
@@ -22,14 +22,14 @@
 		members = append(members, m)
 	}
 	f := fleet.New(fleet.Self{ID: "vm-000000", Incarnation: 1, Domain: "fd-0"}, rand.New(rand.NewPCG(1, 1)))
-	f.Handle(epoch, fleet.ConfigLearned{Config: meshConfig(1, "x")})
+	f.Handle(epoch, fleet.ConfigReceived{Config: meshConfig(1, "x")})
 	lists := make([]*state.MemberList, b.N)
 	for i := range lists {
 		lists[i] = state.NewMemberList(state.ListRevision(i+1), nil, members)
 	}
 	b.ResetTimer()
 	for i := range b.N {
-		f.Handle(epoch.Add(time.Duration(i)*time.Minute), fleet.ListLearned{List: lists[i]})
+		f.Handle(epoch.Add(time.Duration(i)*time.Minute), fleet.ListReceived{List: lists[i]})
 	}
 }
 
--- a/coordination/fleet/documents.go
+++ b/coordination/fleet/documents.go
@@ -77,7 +77,7 @@
 	}
 }
 
-func (f *Fleet) receiveList(now time.Time, ev ListLearned) {
+func (f *Fleet) receiveList(now time.Time, ev ListReceived) {
 	switch c := ev.List.Head.Compare(f.listHead()); {
 	case c < 0:
 		return
--- a/coordination/fleet/events.go
+++ b/coordination/fleet/events.go
@@ -13,8 +13,8 @@
 // Event is an input of a [Fleet].
 type Event interface{ isEvent() }
 
-// ConfigLearned carries a parsed configuration from the platform or a peer.
-type ConfigLearned struct{ Config *state.Config }
+// ConfigReceived carries a parsed configuration from the platform or a peer.
+type ConfigReceived struct{ Config *state.Config }
 
 // ConfigRefused reports that the configuration with this head does not parse. It is
 // not fetched again.
@@ -23,9 +23,9 @@
 	Err  error
 }
 
-// ListLearned carries a member list. Asked is when the request to the platform was
+// ListReceived carries a member list. Asked is when the request to the platform was
 // sent; it is zero if the list comes from a peer.
-type ListLearned struct {
+type ListReceived struct {
 	List  *state.MemberList
 	Asked time.Time
 }
@@ -37,8 +37,8 @@
 	Asked time.Time
 }
 
-// UpstreamSeen carries an upstream's report to the daemon that watches it.
-type UpstreamSeen struct {
+// UpstreamReported carries an upstream's report to the daemon that watches it.
+type UpstreamReported struct {
 	ID          state.UpstreamID
 	Incarnation state.Incarnation
 	State       state.MemberState
@@ -66,11 +66,11 @@
 // StopBegun reports that the daemon has started its graceful shutdown.
 type StopBegun struct{}
 
-func (ConfigLearned) isEvent()  {}
+func (ConfigReceived) isEvent()  {}
 func (ConfigRefused) isEvent()  {}
-func (ListLearned) isEvent()    {}
+func (ListReceived) isEvent()    {}
 func (ListConfirmed) isEvent()  {}
-func (UpstreamSeen) isEvent()   {}
+func (UpstreamReported) isEvent()   {}
 func (UpstreamFailed) isEvent() {}
 func (GossipReceived) isEvent() {}
 func (PeerFailed) isEvent()     {}
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -123,15 +123,15 @@
 		f.started = now
 	}
 	switch ev := ev.(type) {
-	case ConfigLearned:
+	case ConfigReceived:
 		f.applyConfig(now, ev.Config)
 	case ConfigRefused:
 		f.rejectConfig(ev)
-	case ListLearned:
+	case ListReceived:
 		f.receiveList(now, ev)
 	case ListConfirmed:
 		f.confirmList(ev.Head, ev.Asked)
-	case UpstreamSeen:
+	case UpstreamReported:
 		f.observeUpstream(ev)
 	case UpstreamFailed:
 		f.suspects[ev.ID] = now.Add(suspectTime)
--- a/coordination/fleet/fleet_test.go
+++ b/coordination/fleet/fleet_test.go
@@ -33,7 +33,7 @@
 	for _, n := range m.nodes {
 		for _, u := range n.watched {
 			if u.ID == engine {
-				m.tell(n, fleet.UpstreamSeen{ID: state.UpstreamID(engine), Incarnation: 1, State: st, Load: load})
+				m.tell(n, fleet.UpstreamReported{ID: state.UpstreamID(engine), Incarnation: 1, State: st, Load: load})
 			}
 		}
 	}
@@ -61,8 +61,8 @@
 	It("applies one of two contents under a version everywhere and records the clash", func() {
 		m := settledMesh(8, 2, 2)
 		one, two := meshConfig(2, "by one operator"), meshConfig(2, "by another")
-		m.tell(m.nodes[0], fleet.ConfigLearned{Config: one})
-		m.tell(m.nodes[7], fleet.ConfigLearned{Config: two})
+		m.tell(m.nodes[0], fleet.ConfigReceived{Config: one})
+		m.tell(m.nodes[7], fleet.ConfigReceived{Config: two})
 		m.run(5 * time.Second)
 		winner := one
 		if two.Head().Compare(one.Head()) > 0 {
@@ -111,7 +111,7 @@
 		m.run(5 * time.Second)
 		Expect(m.share(serves("e1"))).To(BeZero())
 		for _, n := range m.nodes {
-			m.tell(n, fleet.UpstreamSeen{ID: "e1", Incarnation: 2, State: state.Live})
+			m.tell(n, fleet.UpstreamReported{ID: "e1", Incarnation: 2, State: state.Live})
 		}
 		m.run(5 * time.Second)
 		Expect(m.share(serves("e1"))).To(Equal(1.0))
@@ -256,7 +256,7 @@
 			case 1:
 				m.config = meshConfig(rapid.IntRange(1, version).Draw(t, "stale"), "stale")
 			case 2:
-				m.tell(n, fleet.ConfigLearned{Config: meshConfig(version, fmt.Sprint("race ", rapid.IntRange(0, 3).Draw(t, "race")))})
+				m.tell(n, fleet.ConfigReceived{Config: meshConfig(version, fmt.Sprint("race ", rapid.IntRange(0, 3).Draw(t, "race")))})
 			case 3:
 				cut[n.self.ID] = !cut[n.self.ID]
 			case 4:
--- a/coordination/fleet/mesh_test.go
+++ b/coordination/fleet/mesh_test.go
@@ -167,14 +167,14 @@
 			if len(p.known) == 0 {
 				return nil
 			}
-			return fleet.ConfigLearned{Config: p.known[len(p.known)-1]}
+			return fleet.ConfigReceived{Config: p.known[len(p.known)-1]}
 		})
 	case fleet.FetchList:
 		m.fetch(n, eff.Peer, func(p *meshNode) fleet.Event {
 			if len(p.lists) == 0 {
 				return nil
 			}
-			return fleet.ListLearned{List: p.lists[len(p.lists)-1]}
+			return fleet.ListReceived{List: p.lists[len(p.lists)-1]}
 		})
 	case fleet.ReadPlatform:
 		m.readPlatform(n)
@@ -258,10 +258,10 @@
 	asked := m.now
 	m.at(2*m.delay, func() {
 		if m.config != nil {
-			m.tell(n, fleet.ConfigLearned{Config: m.config})
+			m.tell(n, fleet.ConfigReceived{Config: m.config})
 		}
 		if m.list != nil {
-			m.tell(n, fleet.ListLearned{List: m.list, Asked: asked})
+			m.tell(n, fleet.ListReceived{List: m.list, Asked: asked})
 		}
 	})
 }
--- a/coordination/fleet/reports.go
+++ b/coordination/fleet/reports.go
@@ -38,7 +38,7 @@
 
 // observeUpstream processes the report of a watched upstream, updates its admission, and
 // publishes the result if it changed enough.
-func (f *Fleet) observeUpstream(ev UpstreamSeen) {
+func (f *Fleet) observeUpstream(ev UpstreamReported) {
 	known := f.reports[ev.ID]
 	if known != nil && known.Incarnation > ev.Incarnation {
 		return
--- a/daemon/openai/exchange.go
+++ b/daemon/openai/exchange.go
@@ -106,7 +106,7 @@
 			c.post(fleet.ConfigRefused{Head: head, Err: err})
 			return state.Head{}
 		}
-		c.post(fleet.ConfigLearned{Config: cfg})
+		c.post(fleet.ConfigReceived{Config: cfg})
 		return cfg.Head()
 	}
 	list, err := protocol.ParseMemberList(text)
@@ -114,6 +114,6 @@
 		c.recorder.Record(coordination.EventPlatform, "member list", "", "member list is refused: %v", err)
 		return state.Head{}
 	}
-	c.post(fleet.ListLearned{List: list, Asked: asked})
+	c.post(fleet.ListReceived{List: list, Asked: asked})
 	return list.Head
 }
--- a/protocol/engine.go
+++ b/protocol/engine.go
@@ -57,20 +57,20 @@
 
 // ParseUpstreamState reads an upstream's state into an event for the control
 // loop.
-func ParseUpstreamState(id state.UpstreamID, body []byte) (fleet.UpstreamSeen, uint64, error) {
+func ParseUpstreamState(id state.UpstreamID, body []byte) (fleet.UpstreamReported, uint64, error) {
 	var s UpstreamState
 	if err := json.Unmarshal(body, &s); err != nil {
-		return fleet.UpstreamSeen{}, 0, fmt.Errorf("state of %s is not valid JSON: %w", id, err)
+		return fleet.UpstreamReported{}, 0, fmt.Errorf("state of %s is not valid JSON: %w", id, err)
 	}
 	st, err := state.ParseMemberState(s.State)
 	if err != nil {
-		return fleet.UpstreamSeen{}, 0, fmt.Errorf("state of %s: %w", id, err)
+		return fleet.UpstreamReported{}, 0, fmt.Errorf("state of %s: %w", id, err)
 	}
 	work := 1000 * uint64(max(s.Running, 0)+max(s.Queued, 0))
 	if s.Work != nil {
 		work = uint64(*s.Work)
 	}
-	ev := fleet.UpstreamSeen{
+	ev := fleet.UpstreamReported{
 		ID:          id,
 		Incarnation: state.Incarnation(s.Incarnation),
 		State:       st,
--- a/transport/gateway/watch.go
+++ b/transport/gateway/watch.go
@@ -93,7 +93,7 @@
 	}
 }
 
-func (w *Watcher) query(ctx context.Context, id state.UpstreamID, address string, seq uint64) (ev fleet.UpstreamSeen, next uint64, err error) {
+func (w *Watcher) query(ctx context.Context, id state.UpstreamID, address string, seq uint64) (ev fleet.UpstreamReported, next uint64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	resp, _, err := w.upstreams.Send(ctx, UpstreamRequest{
