--- a/coordination/fleet/ledger.go
+++ b/coordination/fleet/ledger.go
@@ -152,7 +152,7 @@
 	case e.answer != nil:
 		return Replay{Answer: e.answer}
 	}
-	return Deny{coordination.MayHaveRun{Reason: coordination.ReasonKeyUnknownEnd, RetryAfter: unknownOutcomeRetry}}
+	return Deny{coordination.MayHaveRun{Reason: coordination.ReasonKeyOutcomeUnknown, RetryAfter: unknownOutcomeRetry}}
 }
 
 // insert keeps the list ordered by expiry. Most keys have the same window, so the
--- a/coordination/fleet/ticket.go
+++ b/coordination/fleet/ticket.go
@@ -130,7 +130,7 @@
 // ticket is always refused, because its entry may have been forgotten.
 func (i *TicketIssuer) Admit(t Ticket, w state.WorkspaceID, s state.ServiceID, age time.Duration) (left time.Duration, refusal coordination.Outcome, err error) {
 	if t.Daemon != i.daemon || t.Incarnation != i.incarnation {
-		return 0, coordination.MayHaveRun{Reason: coordination.ReasonTicketSpent, RetryAfter: unknownOutcomeRetry}, nil
+		return 0, coordination.MayHaveRun{Reason: coordination.ReasonTicketIssuerGone, RetryAfter: unknownOutcomeRetry}, nil
 	}
 	if !hmac.Equal([]byte(t.mac), []byte(i.sign(t, w, s))) {
 		return 0, nil, ErrTicketForged
--- a/coordination/outcome.go
+++ b/coordination/outcome.go
@@ -46,8 +46,8 @@
 	ReasonNoUpstream       Reason = "no_upstream"
 	ReasonEvacuated        Reason = "upstreams_evacuated"
 	ReasonCold             Reason = "upstreams_cold"
-	ReasonResting          Reason = "upstreams_resting"
-	ReasonHeldBack         Reason = "upstreams_end"
+	ReasonBackingOff          Reason = "upstreams_resting"
+	ReasonQuarantined         Reason = "upstreams_end"
 	ReasonConnect          Reason = "connect_failed"
 	ReasonUpstreamBusy     Reason = "upstream_refused"
 	ReasonBrokenAnswer     Reason = "answer_broken"
@@ -57,9 +57,9 @@
 	ReasonOwnerUnreachable Reason = "keeper_unreachable"
 	ReasonOwnerNotSettled  Reason = "keeper_not_settled"
 	ReasonOwnerListStale   Reason = "keeper_list_stale"
-	ReasonTicketSpent      Reason = "ticket_issuer_gone"
+	ReasonTicketIssuerGone      Reason = "ticket_issuer_gone"
 	ReasonTicketExpired    Reason = "ticket_expired"
-	ReasonKeyUnknownEnd    Reason = "earlier_attempt_unknown"
+	ReasonKeyOutcomeUnknown    Reason = "earlier_attempt_unknown"
 	ReasonLedgerFull       Reason = "ledger_full"
 	ReasonAnswerTooLarge   Reason = "answer_too_large"
 )
@@ -68,8 +68,8 @@
 	ReasonNoUpstream:       "no upstream is in service; send again after the time in Retry-After",
 	ReasonEvacuated:        "operators have evacuated all that serve this; send again after the time in Retry-After",
 	ReasonCold:             "all that serve this are cold and take few requests; send again after the time in Retry-After",
-	ReasonResting:          "all that could serve this have asked for a pause; send again after the time in Retry-After",
-	ReasonHeldBack:         "upstreams ended while they ran this request; it is held back. Change it, or ask the operators to release it",
+	ReasonBackingOff:          "all that could serve this have asked for a pause; send again after the time in Retry-After",
+	ReasonQuarantined:         "upstreams ended while they ran this request; it is held back. Change it, or ask the operators to release it",
 	ReasonConnect:          "no upstream took the connection; send again after the time in Retry-After",
 	ReasonUpstreamBusy:     "the upstream refused the request; send again after the time in Retry-After",
 	ReasonBrokenAnswer:     "the answer broke off; check the effect before sending again",
@@ -79,9 +79,9 @@
 	ReasonOwnerUnreachable: "the daemon that owns this key can't be reached; repeat with the same key after the time in Retry-After",
 	ReasonOwnerNotSettled:  "the daemon that owns this key took it over a short time ago; repeat with the same key after the time in Retry-After",
 	ReasonOwnerListStale:   "the member list can't be confirmed; repeat with the same key later, or use a ticket for new requests",
-	ReasonTicketSpent:      "the daemon that issued the ticket is gone; check the effect, then take a new ticket",
+	ReasonTicketIssuerGone:      "the daemon that issued the ticket is gone; check the effect, then take a new ticket",
 	ReasonTicketExpired:    "the ticket has expired; check the effect, then take a new ticket",
-	ReasonKeyUnknownEnd:    "an earlier attempt with this key has an unknown end; check the effect before using a new key",
+	ReasonKeyOutcomeUnknown:    "an earlier attempt with this key has an unknown end; check the effect before using a new key",
 	ReasonLedgerFull:       "this daemon holds too many keys; repeat after the time in Retry-After",
 	ReasonAnswerTooLarge:   "the answer is larger than the daemon holds; ask for a smaller or a streamed one",
 }
--- a/coordination/routing/ineligible.go
+++ b/coordination/routing/ineligible.go
@@ -60,7 +60,7 @@
 	case len(pool.Ready) == 0 && len(pool.Evacuated) > 0:
 		return coordination.NotRun{Reason: coordination.ReasonEvacuated, RetryAfter: retryAfterEvacuated}
 	case backingOff:
-		return coordination.NotRun{Reason: coordination.ReasonResting, RetryAfter: retryAfter}
+		return coordination.NotRun{Reason: coordination.ReasonBackingOff, RetryAfter: retryAfter}
 	case pool.allCold(now):
 		return coordination.NotRun{Reason: coordination.ReasonCold, RetryAfter: retryAfterCold}
 	}
--- a/coordination/routing/retry.go
+++ b/coordination/routing/retry.go
@@ -68,7 +68,7 @@
 func (a *Attempts) RecordNoReplica(why coordination.NotRun) {
 	o, ok := a.Outcome.(coordination.NotRun)
 	wasRefused := ok && o.Reason == coordination.ReasonUpstreamBusy
-	if ok && o.Reason == coordination.ReasonNoUpstream || wasRefused && why.Reason == coordination.ReasonResting {
+	if ok && o.Reason == coordination.ReasonNoUpstream || wasRefused && why.Reason == coordination.ReasonBackingOff {
 		a.Outcome = why
 	}
 }
@@ -77,7 +77,7 @@
 // does not replace the outcome of an attempt that may have run the request.
 func (a *Attempts) RecordQuarantined() {
 	if _, ok := a.Outcome.(coordination.NotRun); ok {
-		a.Outcome = coordination.NotRun{Reason: coordination.ReasonHeldBack, RetryAfter: retryAfterQuarantined}
+		a.Outcome = coordination.NotRun{Reason: coordination.ReasonQuarantined, RetryAfter: retryAfterQuarantined}
 	}
 }
 
--- a/coordination/routing/retry_test.go
+++ b/coordination/routing/retry_test.go
@@ -110,7 +110,7 @@
 		{"no replicas", routing.Pool{}, coordination.ReasonNoUpstream},
 		{"all evacuated", routing.Pool{Evacuated: []routing.Replica{warm}}, coordination.ReasonEvacuated},
 		{"all cold", routing.Pool{Ready: []routing.Replica{cold}}, coordination.ReasonCold},
-		{"one is backing off, others have terminated", routing.Pool{Ready: []routing.Replica{warm, resting}}, coordination.ReasonResting},
+		{"one is backing off, others have terminated", routing.Pool{Ready: []routing.Replica{warm, resting}}, coordination.ReasonBackingOff},
 		{"one warm and failing", routing.Pool{Ready: []routing.Replica{warm, cold}, Evacuated: []routing.Replica{warm}}, coordination.ReasonNoUpstream},
 	} {
 		v := &routing.View{Pools: map[routing.ServiceName]*routing.Pool{"s": &c.pool}}
--- a/daemon/routes/metrics.go
+++ b/daemon/routes/metrics.go
@@ -140,7 +140,7 @@
 	case coordination.MayHaveRun:
 		m.MayHaveRun.Inc(1)
 	}
-	if reasonOf(s.Outcome) == string(coordination.ReasonResting) {
+	if reasonOf(s.Outcome) == string(coordination.ReasonBackingOff) {
 		m.AllBackingOff.Inc(1)
 	}
 	if s.Gone {
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -163,7 +163,7 @@
 	body, err := io.ReadAll(resp.Body)
 	a := Answer{At: time.Now(), Begun: begun, Status: resp.StatusCode, Seal: standin.Sealed(resp.Header), Body: string(body), Whole: err == nil, Err: err}
 	a.Reason = resp.Header.Get(protocol.HeaderReason)
-	a.Held = a.Reason == string(coordination.ReasonHeldBack)
+	a.Held = a.Reason == string(coordination.ReasonQuarantined)
 	c.site.ledger.Answered(q.ID, a)
 	if c.uses--; err != nil || resp.Close || c.uses <= 0 {
 		c.hangUp()
--- a/internal/soak/serving.go
+++ b/internal/soak/serving.go
@@ -81,7 +81,7 @@
 }
 
 // findsNone are the reasons of refusals by a daemon that has found nothing to send to.
-var findsNone = []string{string(coordination.ReasonNoUpstream), string(coordination.ReasonCold), string(coordination.ReasonResting)}
+var findsNone = []string{string(coordination.ReasonNoUpstream), string(coordination.ReasonCold), string(coordination.ReasonBackingOff)}
 
 // judgeServing looks for a daemon in touch that refused all requests for a service, for too long,
 // because it found no replica, while one lived that was undisturbed, warm and ready all the time.
--- a/internal/soak/serving_test.go
+++ b/internal/soak/serving_test.go
@@ -48,7 +48,7 @@
 		}},
 		{"while it rests", false, func(l *Ledger) {
 			l.StandsAside("r", at(98), at(100.5))
-			refuse(l, 100, 101.5, 0, string(coordination.ReasonResting))
+			refuse(l, 100, 101.5, 0, string(coordination.ReasonBackingOff))
 		}},
 		{"while it is cold", false, func(l *Ledger) {
 			l.TurnsCold("r", coldSpan{span: span{at(99), at(101)}})
--- a/transport/gateway/once.go
+++ b/transport/gateway/once.go
@@ -111,7 +111,7 @@
 	}
 	m := list.Find(string(t.Daemon))
 	if m == nil || m.Kind != state.KindDaemon {
-		return state.Member{}, OnceRefusal{coordination.MayHaveRun{Reason: coordination.ReasonTicketSpent, RetryAfter: defaultRetryTime}}
+		return state.Member{}, OnceRefusal{coordination.MayHaveRun{Reason: coordination.ReasonTicketIssuerGone, RetryAfter: defaultRetryTime}}
 	}
 	return *m, nil
 }
--- a/transport/relay/crash_test.go
+++ b/transport/relay/crash_test.go
@@ -31,7 +31,7 @@
 		to, s := w.serve(c)
 		refusal, ok := to.refusal.(coordination.NotRun)
 		Expect(ok).To(BeTrue())
-		Expect(refusal.Reason).To(Equal(coordination.ReasonHeldBack))
+		Expect(refusal.Reason).To(Equal(coordination.ReasonQuarantined))
 		Expect(refusal.RetryAfter).To(BeNumerically(">=", 10*time.Second))
 		Expect(s.Attempts).To(BeEmpty(), "no replica is chosen and no connection is opened")
 		Expect(r.connections()).To(BeZero())
@@ -52,7 +52,7 @@
 			return w.view
 		}
 		to, _ := w.serve(c)
-		Expect(to.refusal).To(HaveField("Reason", coordination.ReasonHeldBack))
+		Expect(to.refusal).To(HaveField("Reason", coordination.ReasonQuarantined))
 		Expect(r.count()).To(BeZero())
 		w.serve(w.call("b", "POST", "y"))
 		Expect(r.connections()).To(Equal(1), "the connection is kept for the next request")
