--- a/coordination/fleet/documents.go
+++ b/coordination/fleet/documents.go
@@ -46,7 +46,7 @@
 	}
 	f.config = c
 	f.dirty = true
-	f.record(coordination.EventConfigTaken, head.String(), "configuration %v replaces %v", head, old)
+	f.record(coordination.EventConfigApplied, head.String(), "configuration %v replaces %v", head, old)
 	f.checkStartupSync(now)
 	f.updateDuties()
 	f.urgent = true
@@ -143,7 +143,7 @@
 	f.deferredList = l
 	f.urgent = true
 	f.emit(RetainList{l})
-	f.record(coordination.EventListDoubted, l.Head.String(), "list %v lost most members; the previous list stays in force for up to %v", l.Head, deferListTime)
+	f.record(coordination.EventListDeferred, l.Head.String(), "list %v lost most members; the previous list stays in force for up to %v", l.Head, deferListTime)
 }
 
 func (f *Fleet) applyDeferredList(now time.Time) {
@@ -155,7 +155,7 @@
 
 func (f *Fleet) applyList(now time.Time, l *state.MemberList) {
 	f.recordRemovedPeers(l)
-	f.record(coordination.EventListTaken, l.Head.String(), "member list %v replaces %v", l.Head, f.listHead())
+	f.record(coordination.EventListApplied, l.Head.String(), "member list %v replaces %v", l.Head, f.listHead())
 	f.list = l
 	f.deferredList = nil
 	f.history = append([]state.AppliedList{{List: l, AppliedAt: now}}, f.history...)
--- a/coordination/fleet/mesh_test.go
+++ b/coordination/fleet/mesh_test.go
@@ -191,9 +191,9 @@
 // remember keeps the applied documents in order, for fetches and checks.
 func (n *meshNode) remember(note fleet.TimelineEntry) {
 	switch note.Kind {
-	case coordination.EventConfigTaken:
+	case coordination.EventConfigApplied:
 		n.known = append(n.known, configByHead[note.About])
-	case coordination.EventListTaken:
+	case coordination.EventListApplied:
 		n.lists = append(n.lists, listByHead[note.About])
 	}
 }
--- a/daemon/routes/daemon_test.go
+++ b/daemon/routes/daemon_test.go
@@ -593,7 +593,7 @@
 			HaveField("ID", BeEquivalentTo("i1")), HaveField("Ejected", true), HaveField("Why", "unreachable"))))
 		var events []coordination.TimelineEvent
 		a.ask(transport.PathTimeline, &events)
-		Expect(events).To(ContainElement(HaveField("Kind", coordination.EventConfigTaken)))
+		Expect(events).To(ContainElement(HaveField("Kind", coordination.EventConfigApplied)))
 	})
 
 	It("serves metrics as text", func() {
--- a/daemon/routes/log.go
+++ b/daemon/routes/log.go
@@ -169,7 +169,7 @@
 
 // Config logs that a configuration became active.
 func (l *Log) Config(v routing.ConfigVersion, at feed.Revision, source string) {
-	l.timeline.Record(coordination.EventConfigTaken, strconv.FormatUint(uint64(v), 10), "", "%s", "from "+source)
+	l.timeline.Record(coordination.EventConfigApplied, strconv.FormatUint(uint64(v), 10), "", "%s", "from "+source)
 	l.logger.Info().Uint64("version", uint64(v)).Uint64("revision", uint64(at)).Str("source", source).Msg(prefixControl + "configuration is in force")
 }
 
--- a/daemon/routes/log_replicas.go
+++ b/daemon/routes/log_replicas.go
@@ -47,7 +47,7 @@
 // ExpiredKept logs that replicas of a service are kept in use although their entries expired.
 // left is the number of ready replicas with entries.
 func (l *Log) ExpiredKept(s routing.ServiceName, expired, left int) {
-	l.timeline.Record(coordination.EventListDoubted, string(s), "", "%d entries expired at about the same time, %d replicas are left", expired, left)
+	l.timeline.Record(coordination.EventListDeferred, string(s), "", "%d entries expired at about the same time, %d replicas are left", expired, left)
 	l.logger.Warn().Str("service", string(s)).Int("vanished", expired).Int("left", left).
 		Msg(prefixReplica + "entries expired while the store was unreachable; keeping the replicas in use")
 }
