--- a/coordination/fleet/assemble.go
+++ b/coordination/fleet/assemble.go
@@ -70,9 +70,9 @@
 	return Forward
 }
 
-// Whole reports whether the terminator has been forwarded. Only the terminator makes
+// IsComplete reports whether the terminator has been forwarded. Only the terminator makes
 // a response complete.
-func (a *Assembler) Whole() bool { return a.final }
+func (a *Assembler) IsComplete() bool { return a.final }
 
 // Resumable reports whether the upstream can be asked for the remaining events, and
 // after which position.
--- a/coordination/fleet/challenge.go
+++ b/coordination/fleet/challenge.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// ChallengeLife is how long a challenge is valid, by its issuer's clock. It bounds
+// ChallengeLifetime is how long a challenge is valid, by its issuer's clock. It bounds
 // how late a forwarded request can arrive.
-const ChallengeLife = 10 * time.Second
+const ChallengeLifetime = 10 * time.Second
 
 const (
 	challengeLabel = "challenge" // domain separation; see mac
@@ -24,7 +24,7 @@
 
 // Challenge returns a new challenge. age is the time since this daemon started.
 func (i *TicketIssuer) Challenge(age time.Duration) string {
-	b := binary.BigEndian.AppendUint64(nil, uint64((age + ChallengeLife).Milliseconds()))
+	b := binary.BigEndian.AppendUint64(nil, uint64((age + ChallengeLifetime).Milliseconds()))
 	return base64.RawURLEncoding.EncodeToString(append(b, i.mac(challengeLabel, string(b))...))
 }
 
--- a/coordination/fleet/decisions_test.go
+++ b/coordination/fleet/decisions_test.go
@@ -52,8 +52,8 @@
 				next = forwarded + 1
 			case fleet.Drop:
 			}
-			if asm.Whole() != (forwarded == total) {
-				t.Fatalf("Whole is %v after %d of %d", asm.Whole(), forwarded, total)
+			if asm.IsComplete() != (forwarded == total) {
+				t.Fatalf("Whole is %v after %d of %d", asm.IsComplete(), forwarded, total)
 			}
 		}
 	})
--- a/transport/gateway/challenge.go
+++ b/transport/gateway/challenge.go
@@ -26,7 +26,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	d := c.cached[address]
-	if time.Since(d.receivedAt) > fleet.ChallengeLife/2 {
+	if time.Since(d.receivedAt) > fleet.ChallengeLifetime/2 {
 		delete(c.cached, address)
 		return ""
 	}
--- a/transport/gateway/relay.go
+++ b/transport/gateway/relay.go
@@ -109,7 +109,7 @@
 		if err := s.forward(&ev); err != nil {
 			return err
 		}
-		if s.asm.Whole() {
+		if s.asm.IsComplete() {
 			return nil
 		}
 	}
