--- a/daemon/openai/control.go
+++ b/daemon/openai/control.go
@@ -91,8 +91,8 @@
 
 var errStopped = errors.New("daemon has stopped")
 
-// Converse processes a peer's message and returns this daemon's.
-func (c *control) Converse(ctx context.Context, n fleet.Gossip) (fleet.Gossip, error) {
+// HandleExchange processes a peer's message and returns this daemon's.
+func (c *control) HandleExchange(ctx context.Context, n fleet.Gossip) (fleet.Gossip, error) {
 	conv := inboundExchange{gossip: n, reply: make(chan fleet.Gossip, 1)}
 	select {
 	case c.inbound <- conv:
--- a/daemon/openai/daemon.go
+++ b/daemon/openai/daemon.go
@@ -143,7 +143,7 @@
 		Recorder: d.recorder, Metrics: d.metrics, Limits: s.limits(),
 	})
 	d.callers.Server.Handler = d.gateway
-	server := &gateway.PeerServer{Converse: d.control.Converse, Documents: d.control.documents, Once: once, Recorder: d.recorder}
+	server := &gateway.PeerServer{HandleExchange: d.control.HandleExchange, Documents: d.control.documents, Once: once, Recorder: d.recorder}
 	d.peers.Server.Handler = server.Handler()
 	op := &gateway.Operator{
 		Self: s.ID, Incarnation: d.incarnation, Domain: s.Domain, Version: daemon.Version,
--- a/transport/gateway/bench_test.go
+++ b/transport/gateway/bench_test.go
@@ -219,7 +219,7 @@
 	peers := gateway.NewPeers(nil, meter, rec, m, nil)
 	news := fleet.Gossip{Sender: "gj-ahd-a-0007", Incarnation: 1 << 60, Domain: "ahd-a", Address: "10.0.1.11:8081", ListAge: time.Second}
 	news.Config.Version, news.List.Version = 5000, 9000
-	server := &gateway.PeerServer{Recorder: rec, Converse: func(context.Context, fleet.Gossip) (fleet.Gossip, error) { return news, nil }}
+	server := &gateway.PeerServer{Recorder: rec, HandleExchange: func(context.Context, fleet.Gossip) (fleet.Gossip, error) { return news, nil }}
 	srv := httptest.NewServer(server.Handler())
 	defer srv.Close()
 	begun := cpuTime()
--- a/transport/gateway/peerserver.go
+++ b/transport/gateway/peerserver.go
@@ -21,7 +21,7 @@
 
 // PeerServer serves other daemons.
 type PeerServer struct {
-	Converse  func(ctx context.Context, n fleet.Gossip) (fleet.Gossip, error)
+	HandleExchange  func(ctx context.Context, n fleet.Gossip) (fleet.Gossip, error)
 	Documents Documents
 	Once      *OnceRunner
 	Recorder  *transport.Recorder
@@ -71,7 +71,7 @@
 		return nil, twirp.RequiredArgumentError("sender")
 	}
 	s.Recorder.Observe(n.Stamp)
-	answer, err := s.Converse(ctx, n)
+	answer, err := s.HandleExchange(ctx, n)
 	if err != nil {
 		return nil, twirp.InternalErrorWith(err)
 	}
