--- a/coordination/fleet/events.go
+++ b/coordination/fleet/events.go
@@ -66,16 +66,16 @@
 // StopBegun reports that the daemon has started its graceful shutdown.
 type StopBegun struct{}
 
-func (ConfigReceived) isEvent()  {}
-func (ConfigRefused) isEvent()  {}
-func (ListReceived) isEvent()    {}
-func (ListConfirmed) isEvent()  {}
-func (UpstreamReported) isEvent()   {}
-func (UpstreamFailed) isEvent() {}
-func (GossipReceived) isEvent() {}
-func (PeerFailed) isEvent()     {}
-func (Tick) isEvent()           {}
-func (StopBegun) isEvent()      {}
+func (ConfigReceived) isEvent()   {}
+func (ConfigRefused) isEvent()    {}
+func (ListReceived) isEvent()     {}
+func (ListConfirmed) isEvent()    {}
+func (UpstreamReported) isEvent() {}
+func (UpstreamFailed) isEvent()   {}
+func (GossipReceived) isEvent()   {}
+func (PeerFailed) isEvent()       {}
+func (Tick) isEvent()             {}
+func (StopBegun) isEvent()        {}
 
 // Effect is an action that a [Fleet] requests from its owner.
 type Effect interface{ isEffect() }
--- a/coordination/outcome.go
+++ b/coordination/outcome.go
@@ -43,47 +43,47 @@
 
 // The reasons of refusals.
 const (
-	ReasonNoUpstream       Reason = "no_upstream"
-	ReasonEvacuated        Reason = "upstreams_evacuated"
-	ReasonCold             Reason = "upstreams_cold"
-	ReasonBackingOff          Reason = "upstreams_resting"
-	ReasonQuarantined         Reason = "upstreams_end"
-	ReasonConnect          Reason = "connect_failed"
-	ReasonUpstreamBusy     Reason = "upstream_refused"
-	ReasonBrokenAnswer     Reason = "answer_broken"
-	ReasonNoAnswer         Reason = "no_answer"
-	ReasonDeadline         Reason = "deadline"
-	ReasonNoConfig         Reason = "no_configuration"
-	ReasonOwnerUnreachable Reason = "keeper_unreachable"
-	ReasonOwnerNotSettled  Reason = "keeper_not_settled"
-	ReasonOwnerListStale   Reason = "keeper_list_stale"
-	ReasonTicketIssuerGone      Reason = "ticket_issuer_gone"
-	ReasonTicketExpired    Reason = "ticket_expired"
-	ReasonKeyOutcomeUnknown    Reason = "earlier_attempt_unknown"
-	ReasonLedgerFull       Reason = "ledger_full"
-	ReasonAnswerTooLarge   Reason = "answer_too_large"
+	ReasonNoUpstream        Reason = "no_upstream"
+	ReasonEvacuated         Reason = "upstreams_evacuated"
+	ReasonCold              Reason = "upstreams_cold"
+	ReasonBackingOff        Reason = "upstreams_resting"
+	ReasonQuarantined       Reason = "upstreams_end"
+	ReasonConnect           Reason = "connect_failed"
+	ReasonUpstreamBusy      Reason = "upstream_refused"
+	ReasonBrokenAnswer      Reason = "answer_broken"
+	ReasonNoAnswer          Reason = "no_answer"
+	ReasonDeadline          Reason = "deadline"
+	ReasonNoConfig          Reason = "no_configuration"
+	ReasonOwnerUnreachable  Reason = "keeper_unreachable"
+	ReasonOwnerNotSettled   Reason = "keeper_not_settled"
+	ReasonOwnerListStale    Reason = "keeper_list_stale"
+	ReasonTicketIssuerGone  Reason = "ticket_issuer_gone"
+	ReasonTicketExpired     Reason = "ticket_expired"
+	ReasonKeyOutcomeUnknown Reason = "earlier_attempt_unknown"
+	ReasonLedgerFull        Reason = "ledger_full"
+	ReasonAnswerTooLarge    Reason = "answer_too_large"
 )
 
 var remedies = map[Reason]string{
-	ReasonNoUpstream:       "no upstream is in service; send again after the time in Retry-After",
-	ReasonEvacuated:        "operators have evacuated all that serve this; send again after the time in Retry-After",
-	ReasonCold:             "all that serve this are cold and take few requests; send again after the time in Retry-After",
-	ReasonBackingOff:          "all that could serve this have asked for a pause; send again after the time in Retry-After",
-	ReasonQuarantined:         "upstreams ended while they ran this request; it is held back. Change it, or ask the operators to release it",
-	ReasonConnect:          "no upstream took the connection; send again after the time in Retry-After",
-	ReasonUpstreamBusy:     "the upstream refused the request; send again after the time in Retry-After",
-	ReasonBrokenAnswer:     "the answer broke off; check the effect before sending again",
-	ReasonNoAnswer:         "the upstream gave no answer; check the effect before sending again",
-	ReasonDeadline:         "the deadline passed; allow more time or send again later",
-	ReasonNoConfig:         "this daemon knows no configuration yet; send again after the time in Retry-After",
-	ReasonOwnerUnreachable: "the daemon that owns this key can't be reached; repeat with the same key after the time in Retry-After",
-	ReasonOwnerNotSettled:  "the daemon that owns this key took it over a short time ago; repeat with the same key after the time in Retry-After",
-	ReasonOwnerListStale:   "the member list can't be confirmed; repeat with the same key later, or use a ticket for new requests",
-	ReasonTicketIssuerGone:      "the daemon that issued the ticket is gone; check the effect, then take a new ticket",
-	ReasonTicketExpired:    "the ticket has expired; check the effect, then take a new ticket",
-	ReasonKeyOutcomeUnknown:    "an earlier attempt with this key has an unknown end; check the effect before using a new key",
-	ReasonLedgerFull:       "this daemon holds too many keys; repeat after the time in Retry-After",
-	ReasonAnswerTooLarge:   "the answer is larger than the daemon holds; ask for a smaller or a streamed one",
+	ReasonNoUpstream:        "no upstream is in service; send again after the time in Retry-After",
+	ReasonEvacuated:         "operators have evacuated all that serve this; send again after the time in Retry-After",
+	ReasonCold:              "all that serve this are cold and take few requests; send again after the time in Retry-After",
+	ReasonBackingOff:        "all that could serve this have asked for a pause; send again after the time in Retry-After",
+	ReasonQuarantined:       "upstreams ended while they ran this request; it is held back. Change it, or ask the operators to release it",
+	ReasonConnect:           "no upstream took the connection; send again after the time in Retry-After",
+	ReasonUpstreamBusy:      "the upstream refused the request; send again after the time in Retry-After",
+	ReasonBrokenAnswer:      "the answer broke off; check the effect before sending again",
+	ReasonNoAnswer:          "the upstream gave no answer; check the effect before sending again",
+	ReasonDeadline:          "the deadline passed; allow more time or send again later",
+	ReasonNoConfig:          "this daemon knows no configuration yet; send again after the time in Retry-After",
+	ReasonOwnerUnreachable:  "the daemon that owns this key can't be reached; repeat with the same key after the time in Retry-After",
+	ReasonOwnerNotSettled:   "the daemon that owns this key took it over a short time ago; repeat with the same key after the time in Retry-After",
+	ReasonOwnerListStale:    "the member list can't be confirmed; repeat with the same key later, or use a ticket for new requests",
+	ReasonTicketIssuerGone:  "the daemon that issued the ticket is gone; check the effect, then take a new ticket",
+	ReasonTicketExpired:     "the ticket has expired; check the effect, then take a new ticket",
+	ReasonKeyOutcomeUnknown: "an earlier attempt with this key has an unknown end; check the effect before using a new key",
+	ReasonLedgerFull:        "this daemon holds too many keys; repeat after the time in Retry-After",
+	ReasonAnswerTooLarge:    "the answer is larger than the daemon holds; ask for a smaller or a streamed one",
 }
 
 // Remedy returns a text that tells the caller what to do.
--- a/coordination/timeline.go
+++ b/coordination/timeline.go
@@ -14,22 +14,22 @@
 
 // The kinds of timeline events.
 const (
-	EventStarted       EventKind = "daemon-started"
-	EventStopBegun     EventKind = "stop-begun"
-	EventStopped       EventKind = "stop-done"
-	EventConfigApplied   EventKind = "config-taken"
-	EventConfigRefused EventKind = "config-refused"
-	EventConfigClash   EventKind = "config-clash"
-	EventListApplied     EventKind = "list-taken"
-	EventListDeferred   EventKind = "list-doubted"
-	EventUpstreamState EventKind = "upstream-state"
-	EventUpstreamAdmission  EventKind = "upstream-gate"
-	EventPeerState     EventKind = "peer-state"
-	EventPaused        EventKind = "freeze-noticed"
-	EventAttemptFailed EventKind = "attempt-failed"
-	EventResumed       EventKind = "stream-resumed"
-	EventOnce          EventKind = "once"
-	EventPlatform      EventKind = "platform"
+	EventStarted           EventKind = "daemon-started"
+	EventStopBegun         EventKind = "stop-begun"
+	EventStopped           EventKind = "stop-done"
+	EventConfigApplied     EventKind = "config-taken"
+	EventConfigRefused     EventKind = "config-refused"
+	EventConfigClash       EventKind = "config-clash"
+	EventListApplied       EventKind = "list-taken"
+	EventListDeferred      EventKind = "list-doubted"
+	EventUpstreamState     EventKind = "upstream-state"
+	EventUpstreamAdmission EventKind = "upstream-gate"
+	EventPeerState         EventKind = "peer-state"
+	EventPaused            EventKind = "freeze-noticed"
+	EventAttemptFailed     EventKind = "attempt-failed"
+	EventResumed           EventKind = "stream-resumed"
+	EventOnce              EventKind = "once"
+	EventPlatform          EventKind = "platform"
 )
 
 // TimelineEvent is one entry of the timeline.
--- a/transport/gateway/peerserver.go
+++ b/transport/gateway/peerserver.go
@@ -21,10 +21,10 @@
 
 // PeerServer serves other daemons.
 type PeerServer struct {
-	HandleExchange  func(ctx context.Context, n fleet.Gossip) (fleet.Gossip, error)
-	Documents Documents
-	Once      *OnceRunner
-	Recorder  *transport.Recorder
+	HandleExchange func(ctx context.Context, n fleet.Gossip) (fleet.Gossip, error)
+	Documents      Documents
+	Once           *OnceRunner
+	Recorder       *transport.Recorder
 
 	packed packedDocuments
 }
