--- a/coordination/fleet/arrange_bench_test.go
+++ b/coordination/fleet/arrange_bench_test.go
@@ -50,13 +50,13 @@
 		history = append(history, state.AppliedList{List: state.NewMemberList(1, nil, members), AppliedAt: taken})
 	}
 	key := fleet.LedgerKey{Workspace: "w", Service: "gate", Key: "own"}
-	keeper, _ := fleet.OwnerOf(history[0].List, key)
+	owner, _ := fleet.OwnerOf(history[0].List, key)
 	view := state.OwnershipState{Confirmed: epoch, LastTick: epoch, History: history}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		if fleet.MayRunKey(epoch, state.DaemonID(keeper.ID), view, key, fleet.RulesOf(nil)) != nil {
-			b.Fatal("the keeper may not keep")
+		if fleet.MayRunKey(epoch, state.DaemonID(owner.ID), view, key, fleet.RulesOf(nil)) != nil {
+			b.Fatal("the owner may not run the key")
 		}
 	}
 }
--- a/coordination/fleet/fleet_test.go
+++ b/coordination/fleet/fleet_test.go
@@ -28,12 +28,12 @@
 	return func(n *meshNode) bool { return !holds(n) }
 }
 
-// see delivers a state report of an engine to the daemons that watch it.
-func (m *mesh) see(engine string, st state.MemberState, load state.Load) {
+// reportState delivers a state report of an engine to the daemons that watch it.
+func (m *mesh) reportState(engine string, st state.MemberState, load state.Load) {
 	for _, n := range m.nodes {
 		for _, u := range n.watched {
 			if u.ID == engine {
-				m.tell(n, fleet.UpstreamReported{ID: state.UpstreamID(engine), Incarnation: 1, State: st, Load: load})
+				m.deliver(n, fleet.UpstreamReported{ID: state.UpstreamID(engine), Incarnation: 1, State: st, Load: load})
 			}
 		}
 	}
@@ -50,7 +50,7 @@
 		m := settledMesh(24, 3, 6)
 		alone := func(n *meshNode) bool { return n.self.Domain == "fd-0" }
 		m.cut = func(a, b *meshNode) bool { return alone(a) != alone(b) }
-		m.away = alone
+		m.unreachable = alone
 		m.publishConfig(2, "second")
 		m.run(time.Minute)
 		Expect(m.share(runs(2))).To(BeNumerically("~", 2.0/3, 0.01))
@@ -61,8 +61,8 @@
 	It("applies one of two contents under a version everywhere and records the clash", func() {
 		m := settledMesh(8, 2, 2)
 		one, two := meshConfig(2, "by one operator"), meshConfig(2, "by another")
-		m.tell(m.nodes[0], fleet.ConfigReceived{Config: one})
-		m.tell(m.nodes[7], fleet.ConfigReceived{Config: two})
+		m.deliver(m.nodes[0], fleet.ConfigReceived{Config: one})
+		m.deliver(m.nodes[7], fleet.ConfigReceived{Config: two})
 		m.run(5 * time.Second)
 		winner := one
 		if two.Head().Compare(one.Head()) > 0 {
@@ -98,20 +98,20 @@
 	})
 	It("gives a leaving engine no new work within 3 s with the platform away", func() {
 		m := settledMesh(88, 11, 40)
-		m.away = func(*meshNode) bool { return true }
+		m.unreachable = func(*meshNode) bool { return true }
 		Expect(m.share(serves("e7"))).To(Equal(1.0))
-		m.see("e7", state.Leaving, 0)
+		m.reportState("e7", state.Leaving, 0)
 		Expect(m.timeUntil(10*time.Second, not(serves("e7")))).To(BeNumerically("<=", 3*time.Second))
 	})
 	It("does not take a leaving incarnation back, and takes the next", func() {
 		m := settledMesh(4, 1, 4)
-		m.see("e1", state.Leaving, 0)
+		m.reportState("e1", state.Leaving, 0)
 		m.run(5 * time.Second)
-		m.see("e1", state.Live, 0)
+		m.reportState("e1", state.Live, 0)
 		m.run(5 * time.Second)
 		Expect(m.share(serves("e1"))).To(BeZero())
 		for _, n := range m.nodes {
-			m.tell(n, fleet.UpstreamReported{ID: "e1", Incarnation: 2, State: state.Live})
+			m.deliver(n, fleet.UpstreamReported{ID: "e1", Incarnation: 2, State: state.Live})
 		}
 		m.run(5 * time.Second)
 		Expect(m.share(serves("e1"))).To(Equal(1.0))
@@ -137,12 +137,12 @@
 		n := m.nodes[0]
 		n.frozen = true
 		m.run(20 * time.Second)
-		m.away = func(*meshNode) bool { return true }
+		m.unreachable = func(*meshNode) bool { return true }
 		m.cut = func(a, b *meshNode) bool { return a == n || b == n }
 		m.wake(n)
 		m.run(time.Second)
 		Expect(n.snapshot.Ownership.Confirmed.IsZero()).To(BeTrue())
-		m.away = func(*meshNode) bool { return false }
+		m.unreachable = func(*meshNode) bool { return false }
 		m.run(3 * time.Second)
 		Expect(n.snapshot.Ownership.Confirmed.IsZero()).To(BeFalse())
 	})
@@ -158,7 +158,7 @@
 	It("confirms the list through peers if the platform is unreachable", func() {
 		m := settledMesh(6, 1, 0)
 		n := m.nodes[2]
-		m.away = func(o *meshNode) bool { return o == n }
+		m.unreachable = func(o *meshNode) bool { return o == n }
 		m.run(time.Minute)
 		Expect(m.now.Sub(n.snapshot.Ownership.Confirmed)).To(BeNumerically("<", 10*time.Second))
 	})
@@ -185,21 +185,21 @@
 		const seconds = 20
 		for i := range seconds {
 			for e := range 600 {
-				m.see(fmt.Sprintf("e%d", e), state.Live, state.Load(100_000*(1+(i+e)%2*100)))
+				m.reportState(fmt.Sprintf("e%d", e), state.Live, state.Load(100_000*(1+(i+e)%2*100)))
 			}
 			m.run(time.Second)
 		}
 		for _, n := range m.nodes {
 			Expect(float64(n.bytes)/seconds).To(BeNumerically("<", 1500), "%s", n.self.ID)
 		}
-		m.see("e7", state.Leaving, 0)
+		m.reportState("e7", state.Leaving, 0)
 		Expect(m.timeUntil(10*time.Second, not(serves("e7")))).To(BeNumerically("<=", 3*time.Second))
 	})
 	It("reports every leaving engine when more leave than one message holds", func() {
 		m := settledMesh(4, 1, 300)
 		m.run(10 * time.Second)
 		for e := range 300 {
-			m.see(fmt.Sprintf("e%d", e), state.Leaving, 0)
+			m.reportState(fmt.Sprintf("e%d", e), state.Leaving, 0)
 		}
 		m.run(5 * time.Second)
 		m.restart(m.nodes[0])
@@ -214,13 +214,13 @@
 		}
 		load := func() state.Load { return other.snapshot.Model("m").Candidates[0].Load }
 		for i := range 40 {
-			m.see("e0", state.Live, state.Load(100_000*(i%2+1)))
+			m.reportState("e0", state.Live, state.Load(100_000*(i%2+1)))
 		}
 		m.run(5 * time.Second)
 		Expect(load()).To(BeNumerically(">", 50_000))
 		m.restart(watcher)
 		m.run(5 * time.Second)
-		m.see("e0", state.Live, 1000)
+		m.reportState("e0", state.Live, 1000)
 		m.run(5 * time.Second)
 		Expect(load()).To(BeNumerically("<", 50_000))
 	})
@@ -228,7 +228,7 @@
 		m := settledMesh(3, 1, 9)
 		n := m.nodes[0]
 		Expect(n.watched).NotTo(BeEmpty())
-		m.tell(n, fleet.StopBegun{})
+		m.deliver(n, fleet.StopBegun{})
 		m.run(2 * time.Second)
 		total := 0
 		for _, other := range m.nodes[1:] {
@@ -256,7 +256,7 @@
 			case 1:
 				m.config = meshConfig(rapid.IntRange(1, version).Draw(t, "stale"), "stale")
 			case 2:
-				m.tell(n, fleet.ConfigReceived{Config: meshConfig(version, fmt.Sprint("race ", rapid.IntRange(0, 3).Draw(t, "race")))})
+				m.deliver(n, fleet.ConfigReceived{Config: meshConfig(version, fmt.Sprint("race ", rapid.IntRange(0, 3).Draw(t, "race")))})
 			case 3:
 				cut[n.self.ID] = !cut[n.self.ID]
 			case 4:
@@ -303,7 +303,7 @@
 		}
 		// One engine in a hundred reports a significant change of its load.
 		for range max(1, engines/100) {
-			m.see(fmt.Sprintf("e%d", m.rng.IntN(engines)), state.Live, state.Load(m.rng.IntN(40_000)))
+			m.reportState(fmt.Sprintf("e%d", m.rng.IntN(engines)), state.Live, state.Load(m.rng.IntN(40_000)))
 		}
 	}
 	spent := time.Since(begun)
--- a/coordination/fleet/gossip.go
+++ b/coordination/fleet/gossip.go
@@ -92,7 +92,7 @@
 // Reports stay within a region: no other region places its chats here while it has
 // upstreams of its own.
 func (f *Fleet) gossip(to state.DaemonID, domain state.FailureDomain, e *edge) Gossip {
-	n := Gossip{
+	msg := Gossip{
 		Sender:      f.self.ID,
 		Incarnation: f.self.Incarnation,
 		Domain:      f.self.Domain,
@@ -103,18 +103,18 @@
 		ListAge:     neverConfirmed,
 	}
 	if !f.confirmed.IsZero() && f.deferredList == nil {
-		n.ListAge = f.now.Sub(f.confirmed)
+		msg.ListAge = f.now.Sub(f.confirmed)
 	}
 	if e == nil {
-		return n
+		return msg
 	}
-	n.Ack, n.AckIncarnation = e.received, e.incarnation
-	n.Upto = f.position
+	msg.Ack, msg.AckIncarnation = e.received, e.incarnation
+	msg.Upto = f.position
 	if f.regionOf(domain) != f.regionOf(f.self.Domain) {
-		return n
+		return msg
 	}
-	n.Reports, n.Upto = f.reportsAfter(e.acked, source{to, e.incarnation})
-	return n
+	msg.Reports, msg.Upto = f.reportsAfter(e.acked, source{to, e.incarnation})
+	return msg
 }
 
 // reportsAfter returns reports that changed after a position, and the position up to
--- a/coordination/fleet/mesh_test.go
+++ b/coordination/fleet/mesh_test.go
@@ -27,12 +27,12 @@
 	delay     time.Duration
 	// cut reports whether a message is lost; nil loses none.
 	cut func(from, to *meshNode) bool
-	// list and config are what the platform publishes; away reports whether it is
-	// unreachable for a node.
-	list   *state.MemberList
-	config *state.Config
-	away   func(n *meshNode) bool
-	reads  int
+	// list and config are what the platform publishes; unreachable reports whether a node
+	// can't reach it.
+	list        *state.MemberList
+	config      *state.Config
+	unreachable func(n *meshNode) bool
+	reads       int
 }
 
 type meshNode struct {
@@ -45,7 +45,7 @@
 	notes    []fleet.TimelineEntry
 	served   []state.Head // published configurations, in order
 	frozen   bool
-	held     []func()
+	pending  []func()
 	sent     int // number of messages
 	bytes    int // size of their encoding
 }
@@ -78,7 +78,7 @@
 func newMesh(n, domains int) *mesh {
 	m := &mesh{
 		now: epoch, rng: rand.New(rand.NewPCG(1, 2)), byAddress: make(map[string]*meshNode),
-		delay: 2 * time.Millisecond, away: func(*meshNode) bool { return false },
+		delay: 2 * time.Millisecond, unreachable: func(*meshNode) bool { return false },
 	}
 	for i := range n {
 		m.add(i, state.FailureDomain(fmt.Sprintf("fd-%d", i%domains)))
@@ -103,7 +103,7 @@
 	n.snapshot, n.known, n.lists, n.served = nil, nil, nil, nil
 }
 
-func (m *mesh) at(after time.Duration, do func()) {
+func (m *mesh) schedule(after time.Duration, do func()) {
 	m.order++
 	heap.Push(&m.queue, meshEvent{m.now.Add(after), m.order, do})
 }
@@ -111,13 +111,13 @@
 // start starts the ticks of every node, each with its own phase.
 func (m *mesh) start() {
 	for _, n := range m.nodes {
-		m.at(time.Duration(m.rng.Int64N(int64(fleet.TickInterval))), func() { m.tick(n) })
+		m.schedule(time.Duration(m.rng.Int64N(int64(fleet.TickInterval))), func() { m.tick(n) })
 	}
 }
 
 func (m *mesh) tick(n *meshNode) {
-	m.tell(n, fleet.Tick{Wall: m.now})
-	m.at(fleet.TickInterval, func() { m.tick(n) })
+	m.deliver(n, fleet.Tick{Wall: m.now})
+	m.schedule(fleet.TickInterval, func() { m.tick(n) })
 }
 
 // run advances the virtual time by d.
@@ -131,29 +131,29 @@
 	m.now = end
 }
 
-// tell delivers an event to a node; a frozen node receives it when it wakes.
-func (m *mesh) tell(n *meshNode, ev fleet.Event) {
+// deliver delivers an event to a node; a frozen node receives it when it wakes.
+func (m *mesh) deliver(n *meshNode, ev fleet.Event) {
 	if n.frozen {
 		if _, isTick := ev.(fleet.Tick); !isTick {
-			n.held = append(n.held, func() { m.tell(n, ev) })
+			n.pending = append(n.pending, func() { m.deliver(n, ev) })
 		}
 		return
 	}
 	for _, eff := range n.fleet.Handle(m.now, ev) {
-		m.carryOut(n, eff)
+		m.execute(n, eff)
 	}
 }
 
 func (m *mesh) wake(n *meshNode) {
 	n.frozen = false
-	held := n.held
-	n.held = nil
+	held := n.pending
+	n.pending = nil
 	for _, do := range held {
 		do()
 	}
 }
 
-func (m *mesh) carryOut(n *meshNode, eff fleet.Effect) {
+func (m *mesh) execute(n *meshNode, eff fleet.Effect) {
 	switch eff := eff.(type) {
 	case fleet.Publish:
 		n.snapshot = eff.Snapshot
@@ -184,12 +184,12 @@
 		n.watched = eff.Upstreams
 	case fleet.TimelineEntry:
 		n.notes = append(n.notes, eff)
-		n.remember(eff)
+		n.recordApplied(eff)
 	}
 }
 
-// remember keeps the applied documents in order, for fetches and checks.
-func (n *meshNode) remember(note fleet.TimelineEntry) {
+// recordApplied keeps the applied documents in order, for fetches and checks.
+func (n *meshNode) recordApplied(note fleet.TimelineEntry) {
 	switch note.Kind {
 	case coordination.EventConfigApplied:
 		n.known = append(n.known, configByHead[note.About])
@@ -210,32 +210,32 @@
 	p := m.byAddress[eff.Peer.Address]
 	n.count(eff.Gossip)
 	if m.lost(n, p) {
-		m.at(fleet.TickInterval, func() { m.tell(n, fleet.PeerFailed{ID: state.DaemonID(eff.Peer.ID)}) })
+		m.schedule(fleet.TickInterval, func() { m.deliver(n, fleet.PeerFailed{ID: state.DaemonID(eff.Peer.ID)}) })
 		return
 	}
-	m.at(m.delay, func() { m.answer(n, p, eff.Gossip, asked) })
+	m.schedule(m.delay, func() { m.answer(n, p, eff.Gossip, asked) })
 }
 
-func (m *mesh) answer(n, p *meshNode, news fleet.Gossip, asked time.Time) {
+func (m *mesh) answer(n, p *meshNode, gossip fleet.Gossip, asked time.Time) {
 	if p.frozen {
-		p.held = append(p.held, func() { m.answer(n, p, news, asked) })
+		p.pending = append(p.pending, func() { m.answer(n, p, gossip, asked) })
 		return
 	}
-	for _, eff := range p.fleet.Handle(m.now, fleet.GossipReceived{Gossip: news}) {
+	for _, eff := range p.fleet.Handle(m.now, fleet.GossipReceived{Gossip: gossip}) {
 		if r, ok := eff.(fleet.Reply); ok {
 			p.count(r.Gossip)
 			if !m.lost(p, n) {
-				m.at(m.delay, func() { m.tell(n, fleet.GossipReceived{Gossip: r.Gossip, Asked: asked}) })
+				m.schedule(m.delay, func() { m.deliver(n, fleet.GossipReceived{Gossip: r.Gossip, Asked: asked}) })
 			}
 			continue
 		}
-		m.carryOut(p, eff)
+		m.execute(p, eff)
 	}
 }
 
-func (n *meshNode) count(news fleet.Gossip) {
+func (n *meshNode) count(gossip fleet.Gossip) {
 	n.sent++
-	n.bytes += proto.Size(protocol.EncodeGossip(news))
+	n.bytes += proto.Size(protocol.EncodeGossip(gossip))
 }
 
 func (m *mesh) fetch(n *meshNode, from state.Member, get func(*meshNode) fleet.Event) {
@@ -243,25 +243,25 @@
 	if m.lost(n, p) || p.frozen {
 		return
 	}
-	m.at(2*m.delay, func() {
+	m.schedule(2*m.delay, func() {
 		if ev := get(p); ev != nil {
-			m.tell(n, ev)
+			m.deliver(n, ev)
 		}
 	})
 }
 
 func (m *mesh) readPlatform(n *meshNode) {
 	m.reads++
-	if m.away(n) {
+	if m.unreachable(n) {
 		return
 	}
 	asked := m.now
-	m.at(2*m.delay, func() {
+	m.schedule(2*m.delay, func() {
 		if m.config != nil {
-			m.tell(n, fleet.ConfigReceived{Config: m.config})
+			m.deliver(n, fleet.ConfigReceived{Config: m.config})
 		}
 		if m.list != nil {
-			m.tell(n, fleet.ListReceived{List: m.list, Asked: asked})
+			m.deliver(n, fleet.ListReceived{List: m.list, Asked: asked})
 		}
 	})
 }
--- a/coordination/fleet/once_test.go
+++ b/coordination/fleet/once_test.go
@@ -15,7 +15,7 @@
 )
 
 // checkAtMostOnce searches for a schedule in which a key runs twice.
-func checkAtMostOnce(w way) func(*rapid.T) {
+func checkAtMostOnce(w strategy) func(*rapid.T) {
 	return func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		ow := newOnceWorld(w, 3, rng)
@@ -30,13 +30,13 @@
 	}
 }
 
-func TestTicketRunsAtMostOnce(t *testing.T) { rapid.Check(t, checkAtMostOnce(wayTicket)) }
+func TestTicketRunsAtMostOnce(t *testing.T) { rapid.Check(t, checkAtMostOnce(strategyTicket)) }
 
-func TestOwnerRunsAtMostOnce(t *testing.T) { rapid.Check(t, checkAtMostOnce(wayOwner)) }
+func TestOwnerRunsAtMostOnce(t *testing.T) { rapid.Check(t, checkAtMostOnce(strategyOwner)) }
 
 // runSchedules simulates a fixed set of random schedules. It returns how many keys ran
 // more than once, the number of keys, and the fraction of requests that were refused.
-func runSchedules(w way, schedules, steps int) (double, total int, refused float64) {
+func runSchedules(w strategy, schedules, steps int) (double, total int, refused float64) {
 	asked, refusals := 0, 0
 	for s := range schedules {
 		rng := rand.New(rand.NewPCG(uint64(s), 7))
@@ -59,7 +59,7 @@
 
 // The incomplete strategies must fail in the same simulation, or it proves nothing.
 var _ = Describe("requests that must not be repeated", func() {
-	DescribeTable("in a world that breaks naive ways", func(w way, safe bool) {
+	DescribeTable("in a world that breaks naive ways", func(w strategy, safe bool) {
 		double, total, _ := runSchedules(w, 300, 300)
 		Expect(total).To(BeNumerically(">", 1000))
 		if safe {
@@ -68,19 +68,19 @@
 		}
 		Expect(double).To(BeNumerically(">", 0))
 	},
-		Entry("a ledger in each daemon", wayLocal, false),
-		Entry("an owner without a grace period", wayNoGrace, false),
-		Entry("an owner that trusts a list of any age", wayNoLease, false),
-		Entry("an owner that accepts delayed requests", wayNoChallenge, false),
-		Entry("the owner", wayOwner, true),
-		Entry("the ticket", wayTicket, true),
+		Entry("a ledger in each daemon", strategyLocal, false),
+		Entry("an owner without a grace period", strategyNoGrace, false),
+		Entry("an owner that trusts a list of any age", strategyNoLease, false),
+		Entry("an owner that accepts delayed requests", strategyNoChallenge, false),
+		Entry("the owner", strategyOwner, true),
+		Entry("the ticket", strategyTicket, true),
 	)
 })
 
 func BenchmarkOnceWays(b *testing.B) {
-	for name, w := range map[string]way{
-		"local": wayLocal, "keeper-no-quiet": wayNoGrace, "keeper-no-lease": wayNoLease,
-		"keeper-no-challenge": wayNoChallenge, "keeper": wayOwner, "ticket": wayTicket,
+	for name, w := range map[string]strategy{
+		"local": strategyLocal, "keeper-no-quiet": strategyNoGrace, "keeper-no-lease": strategyNoLease,
+		"keeper-no-challenge": strategyNoChallenge, "keeper": strategyOwner, "ticket": strategyTicket,
 	} {
 		b.Run(name, func(b *testing.B) {
 			for range b.N {
--- a/coordination/fleet/once_world_test.go
+++ b/coordination/fleet/once_world_test.go
@@ -10,47 +10,47 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// way is a strategy that is meant to keep a request from running twice.
-type way int
+// strategy is a strategy that is meant to keep a request from running twice.
+type strategy int
 
 const (
-	wayLocal       way = iota // each daemon uses its own ledger and asks no other daemon
-	wayNoGrace                // the owner acts as soon as it ranks first
-	wayNoLease                // the owner acts on a list of any age
-	wayNoChallenge            // the owner accepts delayed requests
-	wayOwner                  // the strategy in use for a caller's own key
-	wayTicket                 // the strategy in use for a ticket
+	strategyLocal       strategy = iota // each daemon uses its own ledger and asks no other daemon
+	strategyNoGrace                     // the owner acts as soon as it ranks first
+	strategyNoLease                     // the owner acts on a list of any age
+	strategyNoChallenge                 // the owner accepts delayed requests
+	strategyOwner                       // the strategy in use for a caller's own key
+	strategyTicket                      // the strategy in use for a ticket
 )
 
 // onceWorld simulates a few daemons in front of one service: lists differ, processes are
 // paused, restarted and cut off, clocks drift. The decisions are made by package fleet.
 type onceWorld struct {
-	way     way
-	rules   fleet.OwnerRules
-	now     time.Time // true time
-	rev     state.ListRevision
-	listed  map[int]bool // daemons of the published list
-	daemons []*onceDaemon
-	flying  []*onceForward // requests between two daemons
-	pending []*onceAttempt // attempts between decision and first byte
-	runs    map[string]int
-	first   map[string]time.Time
-	asked   int
-	refused int
-	lives   int
+	strategy     strategy
+	rules        fleet.OwnerRules
+	now          time.Time // true time
+	rev          state.ListRevision
+	listed       map[int]bool // daemons of the published list
+	daemons      []*onceDaemon
+	inTransit    []*onceForward // requests between two daemons
+	pending      []*onceAttempt // attempts between decision and first byte
+	runs         map[string]int
+	first        map[string]time.Time
+	asked        int
+	refused      int
+	incarnations int
 }
 
 type onceDaemon struct {
-	n       int
-	born    time.Time
-	rate    float64 // of its clock relative to true time
-	frozen  bool
-	cut     bool // receives no lists
-	epoch   state.OwnershipState
-	ledger  *fleet.Ledger
-	issuer  *fleet.TicketIssuer
-	life    state.Incarnation
-	started time.Time // own clock
+	n           int
+	startedAt   time.Time
+	rate        float64 // of its clock relative to true time
+	frozen      bool
+	cut         bool // receives no lists
+	epoch       state.OwnershipState
+	ledger      *fleet.Ledger
+	issuer      *fleet.TicketIssuer
+	incarnation state.Incarnation
+	started     time.Time // own clock
 }
 
 // onceForward is a forwarded request that may be delayed.
@@ -68,14 +68,14 @@
 
 func daemonID(n int) state.DaemonID { return state.DaemonID(fmt.Sprintf("d%d", n)) }
 
-func newOnceWorld(w way, n int, rng *rand.Rand) *onceWorld {
+func newOnceWorld(w strategy, n int, rng *rand.Rand) *onceWorld {
 	ow := &onceWorld{
-		way:    w,
-		rules:  fleet.OwnerRules{Window: 2 * time.Minute, Lease: 20 * time.Second},
-		now:    epoch,
-		listed: make(map[int]bool),
-		runs:   make(map[string]int),
-		first:  make(map[string]time.Time),
+		strategy: w,
+		rules:    fleet.OwnerRules{Window: 2 * time.Minute, Lease: 20 * time.Second},
+		now:      epoch,
+		listed:   make(map[int]bool),
+		runs:     make(map[string]int),
+		first:    make(map[string]time.Time),
 	}
 	for i := range n {
 		ow.listed[i] = true
@@ -94,15 +94,15 @@
 
 // clock returns the time by the daemon's own clock.
 func (ow *onceWorld) clock(d *onceDaemon) time.Time {
-	return epoch.Add(time.Duration(float64(ow.now.Sub(d.born)) * d.rate))
+	return epoch.Add(time.Duration(float64(ow.now.Sub(d.startedAt)) * d.rate))
 }
 
 func (ow *onceWorld) restart(n int, rng *rand.Rand) {
-	ow.lives++
+	ow.incarnations++
 	d := ow.daemons[n]
-	*d = onceDaemon{n: n, born: ow.now, rate: 0.995 + 0.01*rng.Float64(), life: state.Incarnation(ow.lives)}
+	*d = onceDaemon{n: n, startedAt: ow.now, rate: 0.995 + 0.01*rng.Float64(), incarnation: state.Incarnation(ow.incarnations)}
 	d.ledger = fleet.NewLedger(1 << 20)
-	d.issuer = fleet.NewTicketIssuer(daemonID(n), d.life, fmt.Appendf(nil, "secret %d", ow.lives))
+	d.issuer = fleet.NewTicketIssuer(daemonID(n), d.incarnation, fmt.Appendf(nil, "secret %d", ow.incarnations))
 	d.started = ow.clock(d)
 	ow.pending = removeOf(ow.pending, d)
 	ow.learn(d)
@@ -168,14 +168,14 @@
 	}
 	ow.asked++
 	k := fleet.LedgerKey{Workspace: "w", Service: "s", Key: key}
-	d := ow.keeper(k, via)
-	if d == nil || (ow.way == wayOwner && fleet.MayForward(ow.clock(via), via.epoch) != nil) {
+	d := ow.owner(k, via)
+	if d == nil || (ow.strategy == strategyOwner && fleet.MayForward(ow.clock(via), via.epoch) != nil) {
 		ow.refused++
 		return
 	}
 	if d != via {
 		challenge := d.issuer.Challenge(ow.clock(d).Sub(d.started))
-		ow.flying = append(ow.flying, &onceForward{d, d.life, k, challenge})
+		ow.inTransit = append(ow.inTransit, &onceForward{d, d.incarnation, k, challenge})
 		return
 	}
 	if !ow.decide(d, k) {
@@ -185,23 +185,23 @@
 
 // arrive delivers a forwarded request, however late.
 func (ow *onceWorld) arrive(i int) {
-	f := ow.flying[i]
+	f := ow.inTransit[i]
 	if f.to.frozen {
 		return
 	}
-	ow.flying = append(ow.flying[:i:i], ow.flying[i+1:]...)
-	stale := ow.way != wayNoChallenge && ow.way != wayTicket && !f.to.issuer.IsFresh(f.challenge, ow.clock(f.to).Sub(f.to.started))
+	ow.inTransit = append(ow.inTransit[:i:i], ow.inTransit[i+1:]...)
+	stale := ow.strategy != strategyNoChallenge && ow.strategy != strategyTicket && !f.to.issuer.IsFresh(f.challenge, ow.clock(f.to).Sub(f.to.started))
 	if stale || !ow.decide(f.to, f.key) {
 		ow.refused++
 	}
 }
 
-func (ow *onceWorld) keeper(k fleet.LedgerKey, via *onceDaemon) *onceDaemon {
-	if ow.way == wayLocal {
+func (ow *onceWorld) owner(k fleet.LedgerKey, via *onceDaemon) *onceDaemon {
+	if ow.strategy == strategyLocal {
 		return via
 	}
 	id := ""
-	if ow.way == wayTicket {
+	if ow.strategy == strategyTicket {
 		t, err := fleet.ParseTicket(k.Key)
 		if err != nil {
 			return nil
@@ -221,7 +221,7 @@
 // decide applies the daemon's rules and its ledger. A request that may start waits for
 // its first byte.
 func (ow *onceWorld) decide(d *onceDaemon, k fleet.LedgerKey) bool {
-	if !ow.may(d, k) {
+	if !ow.mayRun(d, k) {
 		return false
 	}
 	now := ow.clock(d)
@@ -235,20 +235,20 @@
 	return false
 }
 
-func (ow *onceWorld) may(d *onceDaemon, k fleet.LedgerKey) bool {
+func (ow *onceWorld) mayRun(d *onceDaemon, k fleet.LedgerKey) bool {
 	now := ow.clock(d)
 	epoch := d.epoch
-	switch ow.way {
-	case wayLocal:
+	switch ow.strategy {
+	case strategyLocal:
 		return true
-	case wayTicket:
+	case strategyTicket:
 		t, _ := fleet.ParseTicket(k.Key)
 		_, refusal, err := d.issuer.Admit(t, k.Workspace, k.Service, now.Sub(d.started))
 		return err == nil && refusal == nil
-	case wayNoGrace:
+	case strategyNoGrace:
 		m, ok := fleet.OwnerOf(epoch.History[0].List, k)
 		return ok && m.ID == string(daemonID(d.n)) && now.Sub(epoch.Confirmed) <= ow.rules.Lease
-	case wayNoLease:
+	case strategyNoLease:
 		epoch.Confirmed = now
 	}
 	return fleet.MayRunKey(now, daemonID(d.n), epoch, k, ow.rules) == nil
@@ -262,7 +262,7 @@
 		return
 	}
 	ow.pending = append(ow.pending[:i:i], ow.pending[i+1:]...)
-	if ow.way != wayTicket && !ow.may(a.d, a.key) {
+	if ow.strategy != strategyTicket && !ow.mayRun(a.d, a.key) {
 		a.d.ledger.Finish(a.key, coordination.NotRun{}, nil)
 		return
 	}
@@ -276,7 +276,7 @@
 
 // newKey returns a new key for the strategy.
 func (ow *onceWorld) newKey(n int, via *onceDaemon) string {
-	if ow.way != wayTicket {
+	if ow.strategy != strategyTicket {
 		return fmt.Sprintf("key-%d", n)
 	}
 	age := ow.clock(via).Sub(via.started)
@@ -319,8 +319,8 @@
 			ow.send((*keys)[len(*keys)-1-intn(min(len(*keys), 8))], d)
 		}
 	case draw < 82:
-		if len(ow.flying) > 0 {
-			ow.arrive(intn(len(ow.flying)))
+		if len(ow.inTransit) > 0 {
+			ow.arrive(intn(len(ow.inTransit)))
 		}
 	default:
 		if len(ow.pending) > 0 {
--- a/coordination/fleet/owner.go
+++ b/coordination/fleet/owner.go
@@ -72,15 +72,15 @@
 // MayRunKey decides whether self may act on a key now. It must be called again right
 // before the first byte is written. A nil outcome means yes. A refusal is never
 // NotRun, because another owner may have run the key.
-func MayRunKey(now time.Time, self state.DaemonID, epoch state.OwnershipState, k LedgerKey, r OwnerRules) coordination.Outcome {
-	if epoch.Confirmed.IsZero() || now.Sub(epoch.Confirmed) > r.Lease || maybePaused(now, epoch) {
+func MayRunKey(now time.Time, self state.DaemonID, ownership state.OwnershipState, k LedgerKey, r OwnerRules) coordination.Outcome {
+	if ownership.Confirmed.IsZero() || now.Sub(ownership.Confirmed) > r.Lease || maybePaused(now, ownership) {
 		return coordination.MayHaveRun{Reason: coordination.ReasonOwnerListStale, RetryAfter: time.Second}
 	}
-	since, first := rankedFirstSince(self, epoch.History, k)
+	since, first := rankedFirstSince(self, ownership.History, k)
 	if !first {
 		return coordination.MayHaveRun{Reason: coordination.ReasonOwnerUnreachable, RetryAfter: time.Second}
 	}
-	for _, t := range []time.Time{epoch.WindowGrownAt, epoch.LastPause} {
+	for _, t := range []time.Time{ownership.WindowGrownAt, ownership.LastPause} {
 		// Keys from before this time were remembered for a shorter window, or requests
 		// from before this time may still wait in sockets.
 		if t.After(since) {
@@ -95,14 +95,14 @@
 
 // maybePaused reports whether the process may have been paused since its control loop
 // last ran.
-func maybePaused(now time.Time, epoch state.OwnershipState) bool {
-	return now.Sub(epoch.LastTick) > pauseLimit
+func maybePaused(now time.Time, ownership state.OwnershipState) bool {
+	return now.Sub(ownership.LastTick) > pauseLimit
 }
 
 // MayForward decides whether a daemon may accept a request with a caller's own key and
 // forward it to the owner. A nil outcome means yes.
-func MayForward(now time.Time, epoch state.OwnershipState) coordination.Outcome {
-	if maybePaused(now, epoch) || (!epoch.LastPause.IsZero() && now.Sub(epoch.LastPause) < pauseHoldTime) {
+func MayForward(now time.Time, ownership state.OwnershipState) coordination.Outcome {
+	if maybePaused(now, ownership) || (!ownership.LastPause.IsZero() && now.Sub(ownership.LastPause) < pauseHoldTime) {
 		return coordination.MayHaveRun{Reason: coordination.ReasonOwnerListStale, RetryAfter: pauseHoldTime}
 	}
 	return nil
--- a/transport/gateway/bench_test.go
+++ b/transport/gateway/bench_test.go
@@ -217,14 +217,14 @@
 	defer m.Close()
 	meter := &gateway.Meter{Sent: m.ControlSent, Read: m.ControlRead}
 	peers := gateway.NewPeers(nil, meter, rec, m, nil)
-	news := fleet.Gossip{Sender: "gj-ahd-a-0007", Incarnation: 1 << 60, Domain: "ahd-a", Address: "10.0.1.11:8081", ListAge: time.Second}
-	news.Config.Version, news.List.Version = 5000, 9000
-	server := &gateway.PeerServer{Recorder: rec, HandleExchange: func(context.Context, fleet.Gossip) (fleet.Gossip, error) { return news, nil }}
+	gossip := fleet.Gossip{Sender: "gj-ahd-a-0007", Incarnation: 1 << 60, Domain: "ahd-a", Address: "10.0.1.11:8081", ListAge: time.Second}
+	gossip.Config.Version, gossip.List.Version = 5000, 9000
+	server := &gateway.PeerServer{Recorder: rec, HandleExchange: func(context.Context, fleet.Gossip) (fleet.Gossip, error) { return gossip, nil }}
 	srv := httptest.NewServer(server.Handler())
 	defer srv.Close()
 	begun := cpuTime()
 	for range b.N {
-		if _, err := peers.Exchange(context.Background(), srv.Listener.Addr().String(), news); err != nil {
+		if _, err := peers.Exchange(context.Background(), srv.Listener.Addr().String(), gossip); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/transport/gateway/gateway_test.go
+++ b/transport/gateway/gateway_test.go
@@ -210,12 +210,12 @@
 	return f
 }
 
-func (f *onceFleet) start(id state.DaemonID, life state.Incarnation) *onceNode {
+func (f *onceFleet) start(id state.DaemonID, incarnation state.Incarnation) *onceNode {
 	rec, m := transport.NewRecorder(id, nil), gateway.NewMetrics()
 	up := gateway.NewUpstreams(gateway.UpstreamOptions{})
 	peers := gateway.NewPeers(nil, &gateway.Meter{Sent: m.ControlSent, Read: m.ControlRead}, rec, m, nil)
 	runner := gateway.NewOnceRunner(gateway.OnceOptions{
-		Self: id, Incarnation: life, Secret: fmt.Append(nil, id, life), Snapshot: f.snapshot.Load, Upstreams: up,
+		Self: id, Incarnation: incarnation, Secret: fmt.Append(nil, id, incarnation), Snapshot: f.snapshot.Load, Upstreams: up,
 		Forwarder: peers, Recorder: rec, Metrics: m, LedgerBytes: 1 << 20, AnswerBytes: 1 << 20,
 	})
 	server := httptest.NewServer((&gateway.PeerServer{Once: runner, Recorder: rec}).Handler())
@@ -307,9 +307,9 @@
 	It("is refused when the list is stale", func() {
 		f := newOnceFleet(2)
 		s := f.snapshot.Load()
-		epoch := s.Ownership
-		epoch.Confirmed = time.Now().Add(-time.Hour)
-		f.snapshot.Store(s.WithOwnership(epoch))
+		ownership := s.Ownership
+		ownership.Confirmed = time.Now().Add(-time.Hour)
+		f.snapshot.Store(s.WithOwnership(ownership))
 		Expect(refusalOf(f.run(0, "own", "pass"))).To(BeAssignableToTypeOf(coordination.MayHaveRun{}))
 		ticket, _ := f.nodes[0].runner.Issue("w", "gate")
 		Expect(f.run(1, ticket, "pass")).To(BeAssignableToTypeOf(gateway.OnceAnswer{}))
