--- a/coordination/fleet/documents.go
+++ b/coordination/fleet/documents.go
@@ -130,8 +130,8 @@
 }
 
 // deferList defers a list that lost most members. It is applied if it is still the
-// newest after deferListTime; until then the previous list stays in force, and
-// reports of upstreams still count. Peers are told at once, so that the period ends
+// newest after deferListTime; until then the previous list stays in force, and reports
+// of upstreams still count. Peers are notified at once, so that the period ends
 // everywhere at about the same moment.
 func (f *Fleet) deferList(now time.Time, l *state.MemberList) {
 	if f.deferredList != nil && l.Head.Compare(f.deferredList.Head) <= 0 {
