--- a/transport/gateway/attempts.go
+++ b/transport/gateway/attempts.go
@@ -53,8 +53,8 @@
 	pool      *state.Pool
 	key       state.ChatKey
 	request   UpstreamRequest
-	// failed is called for each attempt without a response, unless the caller cancelled
-	// the attempt, which would say nothing about the upstream.
+	// failed is called for each attempt without a response, unless the request's context
+	// has ended, which would say nothing about the upstream.
 	failed func(c *state.Candidate, o coordination.Outcome, err error)
 }
 
