--- a/coordination/fleet/arrange_bench_test.go
+++ b/coordination/fleet/arrange_bench_test.go
@@ -10,8 +10,8 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// BenchmarkTakeList measures what a daemon does with a new member list of the
-// size of two years: neighbours, duties, snapshot.
+// BenchmarkTakeList measures how long a daemon takes to apply a new member list of the
+// size expected in two years: neighbours, duties, snapshot.
 func BenchmarkTakeList(b *testing.B) {
 	var members []state.Member
 	for i := range 930 + 4500 {
@@ -22,19 +22,19 @@
 		members = append(members, m)
 	}
 	f := fleet.New(fleet.Self{ID: "vm-000000", Incarnation: 1, Domain: "fd-0"}, rand.New(rand.NewPCG(1, 1)))
-	f.Handle(epoch, fleet.ConfigLearned{Config: meshConfig(1, "x")})
+	f.Handle(epoch, fleet.ConfigReceived{Config: meshConfig(1, "x")})
 	lists := make([]*state.MemberList, b.N)
 	for i := range lists {
 		lists[i] = state.NewMemberList(state.ListRevision(i+1), nil, members)
 	}
 	b.ResetTimer()
 	for i := range b.N {
-		f.Handle(epoch.Add(time.Duration(i)*time.Minute), fleet.ListLearned{List: lists[i]})
+		f.Handle(epoch.Add(time.Duration(i)*time.Minute), fleet.ListReceived{List: lists[i]})
 	}
 }
 
-// BenchmarkMayRunKey measures the keeper's check, which runs twice for a request
-// with a caller's own key, at the size of two years and eight lists of history.
+// BenchmarkMayRunKey measures the owner's check, which runs twice for a request with a
+// caller's own key, at the size expected in two years and with eight lists of history.
 func BenchmarkMayRunKey(b *testing.B) {
 	var members []state.Member
 	for i := range 930 + 4500 {
@@ -50,13 +50,13 @@
 		history = append(history, state.AppliedList{List: state.NewMemberList(1, nil, members), AppliedAt: taken})
 	}
 	key := fleet.LedgerKey{Workspace: "w", Service: "gate", Key: "own"}
-	keeper, _ := fleet.OwnerOf(history[0].List, key)
+	owner, _ := fleet.OwnerOf(history[0].List, key)
 	view := state.OwnershipState{Confirmed: epoch, LastTick: epoch, History: history}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		if fleet.MayRunKey(epoch, state.DaemonID(keeper.ID), view, key, fleet.RulesOf(nil)) != nil {
-			b.Fatal("the keeper may not keep")
+		if fleet.MayRunKey(epoch, state.DaemonID(owner.ID), view, key, fleet.RulesOf(nil)) != nil {
+			b.Fatal("the owner may not run the key")
 		}
 	}
 }
--- a/coordination/fleet/mesh_test.go
+++ b/coordination/fleet/mesh_test.go
@@ -14,9 +14,9 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// mesh joins fleet state machines by messages in virtual time. It is a fake at
-// the interface of the control loop: effects become events after a delay,
-// unless the test cuts the way.
+// mesh connects Fleet state machines by messages in virtual time. It replaces the
+// control loop and the network: effects become events after a delay, unless the test
+// cuts the connection.
 type mesh struct {
 	now       time.Time
 	rng       *rand.Rand
@@ -25,13 +25,14 @@
 	nodes     []*meshNode
 	byAddress map[string]*meshNode
 	delay     time.Duration
-	// cut tells whether a message is lost; nil loses none.
+	// cut reports whether a message is lost; nil loses none.
 	cut func(from, to *meshNode) bool
-	// platform is what the platform publishes; away says that nobody reaches it.
-	list   *state.MemberList
-	config *state.Config
-	away   func(n *meshNode) bool
-	reads  int
+	// list and config are what the platform publishes; unreachable reports whether a node
+	// can't reach it.
+	list        *state.MemberList
+	config      *state.Config
+	unreachable func(n *meshNode) bool
+	reads       int
 }
 
 type meshNode struct {
@@ -42,11 +43,11 @@
 	lists    []*state.MemberList
 	watched  []state.Member
 	notes    []fleet.TimelineEntry
-	served   []state.Head // configurations that traffic was given, in order
+	served   []state.Head // published configurations, in order
 	frozen   bool
-	held     []func()
-	sent     int // messages
-	bytes    int // of their encoding
+	pending  []func()
+	sent     int // number of messages
+	bytes    int // size of their encoding
 }
 
 type meshEvent struct {
@@ -77,7 +78,7 @@
 func newMesh(n, domains int) *mesh {
 	m := &mesh{
 		now: epoch, rng: rand.New(rand.NewPCG(1, 2)), byAddress: make(map[string]*meshNode),
-		delay: 2 * time.Millisecond, away: func(*meshNode) bool { return false },
+		delay: 2 * time.Millisecond, unreachable: func(*meshNode) bool { return false },
 	}
 	for i := range n {
 		m.add(i, state.FailureDomain(fmt.Sprintf("fd-%d", i%domains)))
@@ -95,31 +96,31 @@
 	return n
 }
 
-// restart gives a node a new process that knows nothing.
+// restart replaces the process of a node by one without state.
 func (m *mesh) restart(n *meshNode) {
 	n.self.Incarnation += 1000
 	n.fleet = fleet.New(n.self, rand.New(rand.NewPCG(uint64(n.self.Incarnation), 3)))
 	n.snapshot, n.known, n.lists, n.served = nil, nil, nil, nil
 }
 
-func (m *mesh) at(after time.Duration, do func()) {
+func (m *mesh) schedule(after time.Duration, do func()) {
 	m.order++
 	heap.Push(&m.queue, meshEvent{m.now.Add(after), m.order, do})
 }
 
-// start lets every node tick, each at a phase of its own.
+// start starts the ticks of every node, each with its own phase.
 func (m *mesh) start() {
 	for _, n := range m.nodes {
-		m.at(time.Duration(m.rng.Int64N(int64(fleet.TickInterval))), func() { m.tick(n) })
+		m.schedule(time.Duration(m.rng.Int64N(int64(fleet.TickInterval))), func() { m.tick(n) })
 	}
 }
 
 func (m *mesh) tick(n *meshNode) {
-	m.tell(n, fleet.Tick{Wall: m.now})
-	m.at(fleet.TickInterval, func() { m.tick(n) })
+	m.deliver(n, fleet.Tick{Wall: m.now})
+	m.schedule(fleet.TickInterval, func() { m.tick(n) })
 }
 
-// run lets time pass.
+// run advances the virtual time by d.
 func (m *mesh) run(d time.Duration) {
 	end := m.now.Add(d)
 	for m.queue.Len() > 0 && !m.queue[0].at.After(end) {
@@ -130,29 +131,29 @@
 	m.now = end
 }
 
-// tell hands an event to a node; a frozen one gets it when it wakes.
-func (m *mesh) tell(n *meshNode, ev fleet.Event) {
+// deliver delivers an event to a node; a frozen node receives it when it wakes.
+func (m *mesh) deliver(n *meshNode, ev fleet.Event) {
 	if n.frozen {
 		if _, isTick := ev.(fleet.Tick); !isTick {
-			n.held = append(n.held, func() { m.tell(n, ev) })
+			n.pending = append(n.pending, func() { m.deliver(n, ev) })
 		}
 		return
 	}
 	for _, eff := range n.fleet.Handle(m.now, ev) {
-		m.carryOut(n, eff)
+		m.execute(n, eff)
 	}
 }
 
 func (m *mesh) wake(n *meshNode) {
 	n.frozen = false
-	held := n.held
-	n.held = nil
+	held := n.pending
+	n.pending = nil
 	for _, do := range held {
 		do()
 	}
 }
 
-func (m *mesh) carryOut(n *meshNode, eff fleet.Effect) {
+func (m *mesh) execute(n *meshNode, eff fleet.Effect) {
 	switch eff := eff.(type) {
 	case fleet.Publish:
 		n.snapshot = eff.Snapshot
@@ -166,14 +167,14 @@
 			if len(p.known) == 0 {
 				return nil
 			}
-			return fleet.ConfigLearned{Config: p.known[len(p.known)-1]}
+			return fleet.ConfigReceived{Config: p.known[len(p.known)-1]}
 		})
 	case fleet.FetchList:
 		m.fetch(n, eff.Peer, func(p *meshNode) fleet.Event {
 			if len(p.lists) == 0 {
 				return nil
 			}
-			return fleet.ListLearned{List: p.lists[len(p.lists)-1]}
+			return fleet.ListReceived{List: p.lists[len(p.lists)-1]}
 		})
 	case fleet.ReadPlatform:
 		m.readPlatform(n)
@@ -183,16 +184,16 @@
 		n.watched = eff.Upstreams
 	case fleet.TimelineEntry:
 		n.notes = append(n.notes, eff)
-		n.remember(eff)
+		n.recordApplied(eff)
 	}
 }
 
-// remember keeps what was taken, in its order, for fetches and checks.
-func (n *meshNode) remember(note fleet.TimelineEntry) {
+// recordApplied keeps the applied documents in order, for fetches and checks.
+func (n *meshNode) recordApplied(note fleet.TimelineEntry) {
 	switch note.Kind {
-	case coordination.EventConfigTaken:
+	case coordination.EventConfigApplied:
 		n.known = append(n.known, configByHead[note.About])
-	case coordination.EventListTaken:
+	case coordination.EventListApplied:
 		n.lists = append(n.lists, listByHead[note.About])
 	}
 }
@@ -209,32 +210,32 @@
 	p := m.byAddress[eff.Peer.Address]
 	n.count(eff.Gossip)
 	if m.lost(n, p) {
-		m.at(fleet.TickInterval, func() { m.tell(n, fleet.PeerFailed{ID: state.DaemonID(eff.Peer.ID)}) })
+		m.schedule(fleet.TickInterval, func() { m.deliver(n, fleet.PeerFailed{ID: state.DaemonID(eff.Peer.ID)}) })
 		return
 	}
-	m.at(m.delay, func() { m.answer(n, p, eff.Gossip, asked) })
+	m.schedule(m.delay, func() { m.answer(n, p, eff.Gossip, asked) })
 }
 
-func (m *mesh) answer(n, p *meshNode, news fleet.Gossip, asked time.Time) {
+func (m *mesh) answer(n, p *meshNode, gossip fleet.Gossip, asked time.Time) {
 	if p.frozen {
-		p.held = append(p.held, func() { m.answer(n, p, news, asked) })
+		p.pending = append(p.pending, func() { m.answer(n, p, gossip, asked) })
 		return
 	}
-	for _, eff := range p.fleet.Handle(m.now, fleet.GossipReceived{Gossip: news}) {
+	for _, eff := range p.fleet.Handle(m.now, fleet.GossipReceived{Gossip: gossip}) {
 		if r, ok := eff.(fleet.Reply); ok {
 			p.count(r.Gossip)
 			if !m.lost(p, n) {
-				m.at(m.delay, func() { m.tell(n, fleet.GossipReceived{Gossip: r.Gossip, Asked: asked}) })
+				m.schedule(m.delay, func() { m.deliver(n, fleet.GossipReceived{Gossip: r.Gossip, Asked: asked}) })
 			}
 			continue
 		}
-		m.carryOut(p, eff)
+		m.execute(p, eff)
 	}
 }
 
-func (n *meshNode) count(news fleet.Gossip) {
+func (n *meshNode) count(gossip fleet.Gossip) {
 	n.sent++
-	n.bytes += proto.Size(protocol.EncodeGossip(news))
+	n.bytes += proto.Size(protocol.EncodeGossip(gossip))
 }
 
 func (m *mesh) fetch(n *meshNode, from state.Member, get func(*meshNode) fleet.Event) {
@@ -242,25 +243,25 @@
 	if m.lost(n, p) || p.frozen {
 		return
 	}
-	m.at(2*m.delay, func() {
+	m.schedule(2*m.delay, func() {
 		if ev := get(p); ev != nil {
-			m.tell(n, ev)
+			m.deliver(n, ev)
 		}
 	})
 }
 
 func (m *mesh) readPlatform(n *meshNode) {
 	m.reads++
-	if m.away(n) {
+	if m.unreachable(n) {
 		return
 	}
 	asked := m.now
-	m.at(2*m.delay, func() {
+	m.schedule(2*m.delay, func() {
 		if m.config != nil {
-			m.tell(n, fleet.ConfigLearned{Config: m.config})
+			m.deliver(n, fleet.ConfigReceived{Config: m.config})
 		}
 		if m.list != nil {
-			m.tell(n, fleet.ListLearned{List: m.list, Asked: asked})
+			m.deliver(n, fleet.ListReceived{List: m.list, Asked: asked})
 		}
 	})
 }
@@ -304,7 +305,7 @@
 	return l
 }
 
-// share returns the part of the nodes for which a condition holds.
+// share returns the fraction of the nodes for which a condition holds.
 func (m *mesh) share(holds func(n *meshNode) bool) float64 {
 	n := 0
 	for _, node := range m.nodes {
@@ -315,8 +316,8 @@
 	return float64(n) / float64(len(m.nodes))
 }
 
-// timeUntil lets time pass until a condition holds for all nodes, and returns
-// how long that took, or the limit.
+// timeUntil advances the time until a condition holds for all nodes, and returns how
+// long that took, or the limit.
 func (m *mesh) timeUntil(limit time.Duration, holds func(n *meshNode) bool) time.Duration {
 	const step = 10 * time.Millisecond
 	for d := time.Duration(0); d < limit; d += step {
@@ -334,7 +335,7 @@
 	}
 }
 
-// serves tells whether a node would choose an engine.
+// serves reports whether an engine is in the pool of a node.
 func serves(engine string) func(*meshNode) bool {
 	return func(n *meshNode) bool {
 		if n.snapshot == nil {
--- a/coordination/fleet/once_test.go
+++ b/coordination/fleet/once_test.go
@@ -14,8 +14,8 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// checkAtMostOnce lets rapid look for a schedule in which a key runs twice.
-func checkAtMostOnce(w way) func(*rapid.T) {
+// checkAtMostOnce searches for a schedule in which a key runs twice.
+func checkAtMostOnce(w strategy) func(*rapid.T) {
 	return func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		ow := newOnceWorld(w, 3, rng)
@@ -30,13 +30,13 @@
 	}
 }
 
-func TestTicketRunsAtMostOnce(t *testing.T) { rapid.Check(t, checkAtMostOnce(wayTicket)) }
+func TestTicketRunsAtMostOnce(t *testing.T) { rapid.Check(t, checkAtMostOnce(strategyTicket)) }
 
-func TestOwnerRunsAtMostOnce(t *testing.T) { rapid.Check(t, checkAtMostOnce(wayOwner)) }
+func TestOwnerRunsAtMostOnce(t *testing.T) { rapid.Check(t, checkAtMostOnce(strategyOwner)) }
 
-// runSchedules plays fixed random schedules and returns how many keys ran more
-// than once, how many there were, and the share of sendings that were refused.
-func runSchedules(w way, schedules, steps int) (double, total int, refused float64) {
+// runSchedules simulates a fixed set of random schedules. It returns how many keys ran
+// more than once, the number of keys, and the fraction of requests that were refused.
+func runSchedules(w strategy, schedules, steps int) (double, total int, refused float64) {
 	asked, refusals := 0, 0
 	for s := range schedules {
 		rng := rand.New(rand.NewPCG(uint64(s), 7))
@@ -57,9 +57,9 @@
 	return double, total, float64(refusals) / float64(max(asked, 1))
 }
 
-// The naive ways must fail in the same world, or the world proves nothing.
+// The incomplete strategies must fail in the same simulation, or it proves nothing.
 var _ = Describe("requests that must not be repeated", func() {
-	DescribeTable("in a world that breaks naive ways", func(w way, safe bool) {
+	DescribeTable("in a world that breaks naive ways", func(w strategy, safe bool) {
 		double, total, _ := runSchedules(w, 300, 300)
 		Expect(total).To(BeNumerically(">", 1000))
 		if safe {
@@ -68,19 +68,19 @@
 		}
 		Expect(double).To(BeNumerically(">", 0))
 	},
-		Entry("a ledger in each daemon", wayLocal, false),
-		Entry("an owner without a grace period", wayNoGrace, false),
-		Entry("an owner that trusts a list of any age", wayNoLease, false),
-		Entry("an owner that takes what was held up on the way", wayNoChallenge, false),
-		Entry("the owner", wayOwner, true),
-		Entry("the ticket", wayTicket, true),
+		Entry("a ledger in each daemon", strategyLocal, false),
+		Entry("an owner without a grace period", strategyNoGrace, false),
+		Entry("an owner that trusts a list of any age", strategyNoLease, false),
+		Entry("an owner that accepts delayed requests", strategyNoChallenge, false),
+		Entry("the owner", strategyOwner, true),
+		Entry("the ticket", strategyTicket, true),
 	)
 })
 
 func BenchmarkOnceWays(b *testing.B) {
-	for name, w := range map[string]way{
-		"local": wayLocal, "keeper-no-quiet": wayNoGrace, "keeper-no-lease": wayNoLease,
-		"keeper-no-challenge": wayNoChallenge, "keeper": wayOwner, "ticket": wayTicket,
+	for name, w := range map[string]strategy{
+		"local": strategyLocal, "keeper-no-quiet": strategyNoGrace, "keeper-no-lease": strategyNoLease,
+		"keeper-no-challenge": strategyNoChallenge, "keeper": strategyOwner, "ticket": strategyTicket,
 	} {
 		b.Run(name, func(b *testing.B) {
 			for range b.N {
@@ -109,7 +109,7 @@
 		Expect(wait.First.Done).To(BeClosed())
 		Expect(begin(2 * time.Second)).To(Equal(fleet.Replay{Answer: answer}))
 	})
-	It("refuses another request under the key", func() {
+	It("refuses a different request with the same key", func() {
 		begin(0)
 		Expect(l.Begin(epoch, key, fleet.Fingerprint{2}, time.Minute)).To(Equal(fleet.Conflict{}))
 	})
@@ -120,14 +120,14 @@
 		l.Finish(key, coordination.MayHaveRun{}, nil)
 		Expect(begin(0)).To(BeAssignableToTypeOf(fleet.Deny{}))
 	})
-	It("answers those who wait that the first was not run, and starts none of them", func() {
+	It("reports to waiting repeats that the first attempt was not run, and starts none of them", func() {
 		begin(0)
 		wait := begin(0).(fleet.Wait)
 		l.Finish(key, coordination.NotRun{Reason: coordination.ReasonConnect}, nil)
 		Expect(wait.First.Done).To(BeClosed())
 		Expect(wait.First.Outcome).To(Equal(coordination.NotRun{Reason: coordination.ReasonConnect}))
 	})
-	It("keeps a key that is still running beyond its window", func() {
+	It("keeps a running key beyond its window", func() {
 		begin(0)
 		Expect(begin(3 * time.Minute)).To(BeAssignableToTypeOf(fleet.Wait{}))
 	})
@@ -155,7 +155,7 @@
 		_, refusal, err := i.Admit(t, w, "gate", age)
 		return refusal, err
 	}
-	It("is taken by the incarnation that issued it", func() {
+	It("is accepted by the incarnation that issued it", func() {
 		refusal, err := admit(issuer, "w", time.Second)
 		Expect(refusal).To(BeNil())
 		Expect(err).NotTo(HaveOccurred())
--- a/coordination/outcome.go
+++ b/coordination/outcome.go
@@ -1,5 +1,5 @@
-// This file defines how an attempt can end. The three kinds are the only ones
-// there are: an end that is not known is MayHaveRun.
+// This file defines the outcomes of an attempt. There are only three kinds: an outcome
+// that is not known is MayHaveRun.
 
 package coordination
 
@@ -8,22 +8,21 @@
 	"time"
 )
 
-// Outcome is how a request ended. Its kinds are [Answered], [NotRun] and
-// [MayHaveRun].
+// Outcome is how a request ended: [Answered], [NotRun] or [MayHaveRun].
 type Outcome interface{ isOutcome() }
 
-// Answered means that the upstream's whole answer is known.
+// Answered means that the upstream's complete response was received.
 type Answered struct{ Status int }
 
-// NotRun means that no byte of the request reached an upstream, or that the
-// upstream itself said that it did not run it.
+// NotRun means that no byte of the request reached an upstream, or that the upstream
+// reported that it did not run the request.
 type NotRun struct {
 	Reason     Reason
 	RetryAfter time.Duration
 }
 
-// MayHaveRun means that bytes of the request were written and the answer is
-// not known.
+// MayHaveRun means that bytes of the request were written and the response is not
+// known.
 type MayHaveRun struct {
 	Reason     Reason
 	RetryAfter time.Duration
@@ -39,55 +38,55 @@
 	_ Outcome = MayHaveRun{}
 )
 
-// Reason names why a request was refused, in the form that callers can match.
+// Reason is the machine-readable reason of a refusal.
 type Reason string
 
 // The reasons of refusals.
 const (
-	ReasonNoUpstream       Reason = "no_upstream"
-	ReasonEvacuated        Reason = "upstreams_evacuated"
-	ReasonCold             Reason = "upstreams_cold"
-	ReasonResting          Reason = "upstreams_resting"
-	ReasonHeldBack         Reason = "upstreams_end"
-	ReasonConnect          Reason = "connect_failed"
-	ReasonUpstreamBusy     Reason = "upstream_refused"
-	ReasonBrokenAnswer     Reason = "answer_broken"
-	ReasonNoAnswer         Reason = "no_answer"
-	ReasonDeadline         Reason = "deadline"
-	ReasonNoConfig         Reason = "no_configuration"
-	ReasonOwnerUnreachable Reason = "keeper_unreachable"
-	ReasonOwnerNotSettled  Reason = "keeper_not_settled"
-	ReasonOwnerListStale   Reason = "keeper_list_stale"
-	ReasonTicketSpent      Reason = "ticket_issuer_gone"
-	ReasonTicketExpired    Reason = "ticket_expired"
-	ReasonKeyUnknownEnd    Reason = "earlier_attempt_unknown"
-	ReasonLedgerFull       Reason = "ledger_full"
-	ReasonAnswerTooLarge   Reason = "answer_too_large"
+	ReasonNoUpstream        Reason = "no_upstream"
+	ReasonEvacuated         Reason = "upstreams_evacuated"
+	ReasonCold              Reason = "upstreams_cold"
+	ReasonBackingOff        Reason = "upstreams_resting"
+	ReasonQuarantined       Reason = "upstreams_end"
+	ReasonConnect           Reason = "connect_failed"
+	ReasonUpstreamBusy      Reason = "upstream_refused"
+	ReasonBrokenAnswer      Reason = "answer_broken"
+	ReasonNoAnswer          Reason = "no_answer"
+	ReasonDeadline          Reason = "deadline"
+	ReasonNoConfig          Reason = "no_configuration"
+	ReasonOwnerUnreachable  Reason = "keeper_unreachable"
+	ReasonOwnerNotSettled   Reason = "keeper_not_settled"
+	ReasonOwnerListStale    Reason = "keeper_list_stale"
+	ReasonTicketIssuerGone  Reason = "ticket_issuer_gone"
+	ReasonTicketExpired     Reason = "ticket_expired"
+	ReasonKeyOutcomeUnknown Reason = "earlier_attempt_unknown"
+	ReasonLedgerFull        Reason = "ledger_full"
+	ReasonAnswerTooLarge    Reason = "answer_too_large"
 )
 
 var remedies = map[Reason]string{
-	ReasonNoUpstream:       "no upstream is in service; send again after the time in Retry-After",
-	ReasonEvacuated:        "operators have evacuated all that serve this; send again after the time in Retry-After",
-	ReasonCold:             "all that serve this are cold and take few requests; send again after the time in Retry-After",
-	ReasonResting:          "all that could serve this have asked for a pause; send again after the time in Retry-After",
-	ReasonHeldBack:         "upstreams ended while they ran this request; it is held back. Change it, or ask the operators to release it",
-	ReasonConnect:          "no upstream took the connection; send again after the time in Retry-After",
-	ReasonUpstreamBusy:     "the upstream refused the request; send again after the time in Retry-After",
-	ReasonBrokenAnswer:     "the answer broke off; check the effect before sending again",
-	ReasonNoAnswer:         "the upstream gave no answer; check the effect before sending again",
-	ReasonDeadline:         "the deadline passed; allow more time or send again later",
-	ReasonNoConfig:         "this daemon knows no configuration yet; send again after the time in Retry-After",
-	ReasonOwnerUnreachable: "the daemon that owns this key can't be reached; repeat with the same key after the time in Retry-After",
-	ReasonOwnerNotSettled:  "the daemon that owns this key took it over a short time ago; repeat with the same key after the time in Retry-After",
-	ReasonOwnerListStale:   "the member list can't be confirmed; repeat with the same key later, or use a ticket for new requests",
-	ReasonTicketSpent:      "the daemon that issued the ticket is gone; check the effect, then take a new ticket",
-	ReasonTicketExpired:    "the ticket has expired; check the effect, then take a new ticket",
-	ReasonKeyUnknownEnd:    "an earlier attempt with this key has an unknown end; check the effect before using a new key",
-	ReasonLedgerFull:       "this daemon holds too many keys; repeat after the time in Retry-After",
-	ReasonAnswerTooLarge:   "the answer is larger than the daemon holds; ask for a smaller or a streamed one",
+	ReasonNoUpstream:        "no upstream is in service; send again after the time in Retry-After",
+	ReasonEvacuated:         "operators have evacuated all that serve this; send again after the time in Retry-After",
+	ReasonCold:              "all that serve this are cold and take few requests; send again after the time in Retry-After",
+	ReasonBackingOff:        "all that could serve this have asked for a pause; send again after the time in Retry-After",
+	ReasonQuarantined:       "upstreams ended while they ran this request; it is held back. Change it, or ask the operators to release it",
+	ReasonConnect:           "no upstream took the connection; send again after the time in Retry-After",
+	ReasonUpstreamBusy:      "the upstream refused the request; send again after the time in Retry-After",
+	ReasonBrokenAnswer:      "the answer broke off; check the effect before sending again",
+	ReasonNoAnswer:          "the upstream gave no answer; check the effect before sending again",
+	ReasonDeadline:          "the deadline passed; allow more time or send again later",
+	ReasonNoConfig:          "this daemon knows no configuration yet; send again after the time in Retry-After",
+	ReasonOwnerUnreachable:  "the daemon that owns this key can't be reached; repeat with the same key after the time in Retry-After",
+	ReasonOwnerNotSettled:   "the daemon that owns this key took it over a short time ago; repeat with the same key after the time in Retry-After",
+	ReasonOwnerListStale:    "the member list can't be confirmed; repeat with the same key later, or use a ticket for new requests",
+	ReasonTicketIssuerGone:  "the daemon that issued the ticket is gone; check the effect, then take a new ticket",
+	ReasonTicketExpired:     "the ticket has expired; check the effect, then take a new ticket",
+	ReasonKeyOutcomeUnknown: "an earlier attempt with this key has an unknown end; check the effect before using a new key",
+	ReasonLedgerFull:        "this daemon holds too many keys; repeat after the time in Retry-After",
+	ReasonAnswerTooLarge:    "the answer is larger than the daemon holds; ask for a smaller or a streamed one",
 }
 
-// Remedy says what the caller can do.
+// Remedy returns a text that tells the caller what to do.
 func (r Reason) Remedy() string { return remedies[r] }
 
 // OutcomeName returns the machine-readable name that callers see.
@@ -103,8 +102,8 @@
 	return fmt.Sprintf("unknown outcome %T", o)
 }
 
-// MayRunAgain reports whether a daemon may send the request to another upstream
-// by itself.
+// MayRetry reports whether a daemon may send the request to another upstream on its
+// own.
 func MayRetry(o Outcome) bool {
 	_, notRun := o.(NotRun)
 	return notRun
--- a/daemon/openai/control.go
+++ b/daemon/openai/control.go
@@ -1,5 +1,5 @@
-// This file runs the control loop: the one goroutine that owns the fleet state,
-// and the goroutines that do what it asks for.
+// This file runs the control loop: the one goroutine that owns the fleet state, and
+// the goroutines that execute the effects it requests.
 
 package openai
 
@@ -21,17 +21,17 @@
 	"hingewinch.org/hingewinch/transport/gateway"
 )
 
-// eventQueue is how many events may wait for the control loop.
+// eventQueue is the capacity of the control loop's event queue.
 const eventQueue = 256
 
-// configName stands for the file in messages about a configuration.
+// configName replaces the file name in messages about a configuration.
 const configName = "configuration"
 
 // control runs the control loop of a daemon.
 type control struct {
 	fleet    *fleet.Fleet
 	events   chan fleet.Event
-	converse chan conversation
+	inbound  chan inboundExchange
 	done     chan struct{}
 	snapshot atomic.Pointer[state.Snapshot]
 
@@ -43,13 +43,13 @@
 	readers   map[peer.DocumentKind]*documentReader
 
 	mu        sync.Mutex
-	exchanges map[string]*underWay       // by address of the peer
-	fetching  map[peer.DocumentKind]bool // kinds with a fetch under way
+	exchanges map[string]*pendingExchange // by address of the peer
+	fetching  map[peer.DocumentKind]bool  // kinds with a fetch in progress
 	wg        sync.WaitGroup
 }
 
-// conversation is an exchange that a peer began.
-type conversation struct {
+// inboundExchange is an exchange that a peer initiated.
+type inboundExchange struct {
 	gossip fleet.Gossip
 	reply  chan fleet.Gossip
 }
@@ -58,11 +58,11 @@
 	c := &control{
 		fleet:     fleet.New(self, rng),
 		events:    make(chan fleet.Event, eventQueue),
-		converse:  make(chan conversation),
+		inbound:   make(chan inboundExchange),
 		done:      make(chan struct{}),
 		documents: newDocuments(),
 		readers:   make(map[peer.DocumentKind]*documentReader),
-		exchanges: make(map[string]*underWay),
+		exchanges: make(map[string]*pendingExchange),
 		fetching:  make(map[peer.DocumentKind]bool),
 	}
 	c.snapshot.Store(state.BuildSnapshot(state.Inputs{Hash: coordination.Hash}))
@@ -72,7 +72,7 @@
 // Snapshot returns the newest snapshot.
 func (c *control) Snapshot() *state.Snapshot { return c.snapshot.Load() }
 
-// post hands an event to the loop.
+// post sends an event to the loop.
 func (c *control) post(ev fleet.Event) {
 	select {
 	case c.events <- ev:
@@ -80,9 +80,9 @@
 	}
 }
 
-// hint hands an event to the loop if it has room. Traffic uses it: a request
-// must not wait for the control loop.
-func (c *control) hint(ev fleet.Event) {
+// tryPost sends an event to the loop and drops it if the queue is full. Request handlers
+// use it, because a request must not wait for the control loop.
+func (c *control) tryPost(ev fleet.Event) {
 	select {
 	case c.events <- ev:
 	default:
@@ -91,11 +91,11 @@
 
 var errStopped = errors.New("daemon has stopped")
 
-// Converse answers a peer's message.
-func (c *control) Converse(ctx context.Context, n fleet.Gossip) (fleet.Gossip, error) {
-	conv := conversation{gossip: n, reply: make(chan fleet.Gossip, 1)}
+// HandleExchange processes a peer's message and returns this daemon's.
+func (c *control) HandleExchange(ctx context.Context, n fleet.Gossip) (fleet.Gossip, error) {
+	conv := inboundExchange{gossip: n, reply: make(chan fleet.Gossip, 1)}
 	select {
-	case c.converse <- conv:
+	case c.inbound <- conv:
 	case <-ctx.Done():
 		return fleet.Gossip{}, ctx.Err()
 	case <-c.done:
@@ -109,7 +109,7 @@
 	}
 }
 
-// run is the control loop. It returns when ctx ends.
+// run runs the control loop until ctx ends.
 func (c *control) run(ctx context.Context) {
 	defer close(c.done)
 	ticker := time.NewTicker(fleet.TickInterval)
@@ -121,7 +121,7 @@
 			return
 		case ev := <-c.events:
 			c.handle(ctx, ev, nil)
-		case conv := <-c.converse:
+		case conv := <-c.inbound:
 			c.handle(ctx, fleet.GossipReceived{Gossip: conv.gossip}, conv.reply)
 		case <-ticker.C:
 			c.handle(ctx, tick(), nil)
@@ -137,7 +137,7 @@
 		switch eff := eff.(type) {
 		case fleet.Publish:
 			c.snapshot.Store(eff.Snapshot)
-			c.hold(eff.Snapshot)
+			c.retainDocuments(eff.Snapshot)
 		case fleet.Reply:
 			if reply != nil {
 				reply <- eff.Gossip
@@ -154,7 +154,7 @@
 			c.watcher.Set(eff.Upstreams)
 		case fleet.ReadPlatform:
 			for _, r := range c.readers {
-				r.ask()
+				r.trigger()
 			}
 		case fleet.TimelineEntry:
 			c.recorder.Record(eff.Kind, eff.About, "", "%s", eff.Text)
@@ -162,8 +162,8 @@
 	}
 }
 
-// hold keeps the texts of what is in force, for peers that fetch them.
-func (c *control) hold(s *state.Snapshot) {
+// retainDocuments retains the texts of the documents in force, for peers that fetch them.
+func (c *control) retainDocuments(s *state.Snapshot) {
 	if s.Members != nil {
 		c.documents.put(peer.DocumentKind_DOCUMENT_KIND_LIST, s.Members.Head, s.Members.Text)
 	}
--- a/daemon/openai/reader.go
+++ b/daemon/openai/reader.go
@@ -1,4 +1,4 @@
-// This file reads the platform's documents when the control loop asks for it.
+// This file reads the platform's documents when the control loop requests it.
 
 package openai
 
@@ -13,13 +13,13 @@
 	"hingewinch.org/hingewinch/transport/gateway"
 )
 
-// documentReader reads one document of the platform when it is asked to. While
-// a call waits at the platform further requests fall together.
+// documentReader reads one document of the platform on request. Requests that arrive
+// while a call waits at the platform are merged into one.
 type documentReader struct {
 	kind   peer.DocumentKind
 	reader *gateway.PlatformReader
 	wake   chan struct{}
-	last   state.Head // of the document that was read last
+	last   state.Head // of the last document that was read
 	failed bool
 }
 
@@ -27,7 +27,7 @@
 	c.readers[kind] = &documentReader{kind: kind, reader: r, wake: make(chan struct{}, 1)}
 }
 
-func (d *documentReader) ask() {
+func (d *documentReader) trigger() {
 	select {
 	case d.wake <- struct{}{}:
 	default:
@@ -54,35 +54,35 @@
 	}
 	if (err != nil) != d.failed {
 		d.failed = err != nil
-		c.notePlatform(d.failed, err)
+		c.recordPlatformState(d.failed, err)
 	}
 	switch {
 	case err != nil:
 		return
 	case text == nil && d.kind == peer.DocumentKind_DOCUMENT_KIND_LIST:
-		c.post(fleet.ListConfirmed{Head: d.last, Asked: heldUntil(asked, time.Now())})
+		c.post(fleet.ListConfirmed{Head: d.last, Asked: confirmedAt(asked, time.Now())})
 		return
 	case text == nil:
 		return
 	}
-	d.last = c.learn(d.kind, state.HeadOf(0, text), text, asked)
+	d.last = c.receiveDocument(d.kind, state.HeadOf(0, text), text, asked)
 }
 
-// heldUntil returns until when an answer without a change is about: the platform
-// gives it only when the wait has ended, so the document stood nearly that long.
-// A tenth is taken off for clocks that run apart; an answer that came early is
-// about the moment of the question alone.
-func heldUntil(asked, answered time.Time) time.Time {
+// confirmedAt returns the time for which an unchanged response confirms the document. The
+// platform sends it only when the wait has ended, so the document was current for
+// nearly that long. A tenth is subtracted for drift between the clocks. A response
+// that came earlier confirms only the time of the request.
+func confirmedAt(asked, answered time.Time) time.Time {
 	if answered.Sub(asked) < gateway.PlatformWait {
 		return asked
 	}
 	return asked.Add(gateway.PlatformWait * 9 / 10)
 }
 
-func (c *control) notePlatform(failed bool, err error) {
+func (c *control) recordPlatformState(failed bool, err error) {
 	if failed {
 		c.recorder.Record(coordination.EventPlatform, "platform", "", "platform can't be read; the last documents stay in force: %v", err)
 		return
 	}
-	c.recorder.Record(coordination.EventPlatform, "platform", "", "platform is read again")
+	c.recorder.Record(coordination.EventPlatform, "platform", "", "platform can be read again")
 }
--- a/transport/gateway/challenge.go
+++ b/transport/gateway/challenge.go
@@ -1,5 +1,5 @@
-// This file keeps the challenges that other daemons gave, so that a request for a key
-// is mostly forwarded with one call.
+// This file caches the challenges received from other daemons, so that most requests
+// with a key are forwarded in a single call.
 
 package gateway
 
@@ -10,24 +10,24 @@
 	"hingewinch.org/hingewinch/coordination/fleet"
 )
 
-// challengeCache keeps the last challenge of each owner of keys for half its life, so
-// that a busy daemon asks for one every few seconds and not for each request.
+// challengeCache keeps the last challenge of each key owner for half its lifetime, so
+// that a busy daemon asks for one every few seconds instead of for each request.
 type challengeCache struct {
-	mu   sync.Mutex
-	kept map[string]datedChallenge
+	mu     sync.Mutex
+	cached map[string]cachedChallenge
 }
 
-type datedChallenge struct {
-	challenge string
-	taken     time.Time
+type cachedChallenge struct {
+	challenge  string
+	receivedAt time.Time
 }
 
 func (c *challengeCache) get(address string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	d := c.kept[address]
-	if time.Since(d.taken) > fleet.ChallengeLife/2 {
-		delete(c.kept, address)
+	d := c.cached[address]
+	if time.Since(d.receivedAt) > fleet.ChallengeLifetime/2 {
+		delete(c.cached, address)
 		return ""
 	}
 	return d.challenge
@@ -36,8 +36,8 @@
 func (c *challengeCache) put(address, challenge string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.kept == nil {
-		c.kept = make(map[string]datedChallenge)
+	if c.cached == nil {
+		c.cached = make(map[string]cachedChallenge)
 	}
-	c.kept[address] = datedChallenge{challenge, time.Now()}
+	c.cached[address] = cachedChallenge{challenge, time.Now()}
 }
--- a/transport/gateway/once.go
+++ b/transport/gateway/once.go
@@ -1,6 +1,6 @@
-// This file runs requests that must not be repeated. The ledger of
-// coordination/fleet decides; this file carries its decisions out, here or at
-// the daemon that owns the key.
+// This file runs requests that must not be repeated. The ledger of coordination/fleet
+// decides; this file carries out its decisions, locally or at the daemon that owns the
+// key.
 
 package gateway
 
@@ -23,7 +23,7 @@
 	ForwardOnce(ctx context.Context, owner state.Member, r *OnceRequest) OnceResult
 }
 
-// OnceOptions are the parts that an OnceRunner works with.
+// OnceOptions are the components and settings of an OnceRunner.
 type OnceOptions struct {
 	Self        state.DaemonID
 	Incarnation state.Incarnation
@@ -38,7 +38,7 @@
 	Now         func() time.Time
 }
 
-// OnceRunner is safe for use by many goroutines.
+// OnceRunner runs requests that must not be repeated. It is safe for concurrent use.
 type OnceRunner struct {
 	OnceOptions
 	issuer  *fleet.TicketIssuer
@@ -49,7 +49,7 @@
 	ledger *fleet.Ledger
 }
 
-// NewOnceRunner returns the runner of one incarnation of a daemon.
+// NewOnceRunner returns the runner of one daemon incarnation.
 func NewOnceRunner(o OnceOptions) *OnceRunner {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -63,10 +63,10 @@
 	}
 }
 
-// Issue returns a ticket and for how long it can be used.
+// Issue returns a ticket and how long it is valid.
 func (o *OnceRunner) Issue(w state.WorkspaceID, s state.ServiceID) (string, time.Duration) {
-	life := o.rules().Window
-	return o.issuer.Issue(w, s, o.age()+life, randomID()), life
+	lifetime := o.rules().Window
+	return o.issuer.Issue(w, s, o.age()+lifetime, randomID()), lifetime
 }
 
 func (o *OnceRunner) age() time.Duration { return o.Now().Sub(o.started) }
@@ -75,7 +75,7 @@
 	return fleet.RulesOf(o.Snapshot().Config)
 }
 
-// Run runs a request at the owner of its key, wherever that is.
+// Run runs a request at the owner of its key, here or at a peer.
 func (o *OnceRunner) Run(ctx context.Context, r *OnceRequest) OnceResult {
 	if !fleet.IsTicket(r.Key) {
 		if refusal := fleet.MayForward(o.Now(), o.Snapshot().Ownership); refusal != nil {
@@ -92,7 +92,7 @@
 	return o.Forwarder.ForwardOnce(ctx, owner, r)
 }
 
-// owner finds the daemon that may run the request.
+// owner returns the daemon that may run the request.
 func (o *OnceRunner) owner(r *OnceRequest) (state.Member, OnceResult) {
 	list := o.Snapshot().Members
 	if !fleet.IsTicket(r.Key) {
@@ -111,14 +111,14 @@
 	}
 	m := list.Find(string(t.Daemon))
 	if m == nil || m.Kind != state.KindDaemon {
-		return state.Member{}, OnceRefusal{coordination.MayHaveRun{Reason: coordination.ReasonTicketSpent, RetryAfter: defaultRetryTime}}
+		return state.Member{}, OnceRefusal{coordination.MayHaveRun{Reason: coordination.ReasonTicketIssuerGone, RetryAfter: defaultRetryTime}}
 	}
 	return *m, nil
 }
 
-// RunForPeer runs a request that a peer passed on. A request with a caller's own
-// key must show a fresh challenge: one that was held up on the way may be older
-// than the window, and nothing else in it can show that.
+// RunForPeer runs a request that a peer forwarded. A request with a caller's own key
+// must carry a fresh challenge: if it was delayed on the way it may be older than the
+// window, and nothing else in it can show that.
 func (o *OnceRunner) RunForPeer(ctx context.Context, r *OnceRequest, challenge string) OnceResult {
 	if !fleet.IsTicket(r.Key) && !o.issuer.IsFresh(challenge, o.age()) {
 		return OnceChallenge{o.issuer.Challenge(o.age())}
@@ -126,8 +126,8 @@
 	return o.RunHere(ctx, r)
 }
 
-// RunHere runs a request at this daemon if this daemon may. It never forwards:
-// one hop is all that a request takes.
+// RunHere runs a request at this daemon if it may. It never forwards, so a request
+// takes at most one hop.
 func (o *OnceRunner) RunHere(ctx context.Context, r *OnceRequest) OnceResult {
 	keep, permit, result := o.mayRun(r)
 	if result != nil {
@@ -136,7 +136,7 @@
 	for {
 		switch a := o.begin(r, keep).(type) {
 		case fleet.Start:
-			return o.start(ctx, r, permit)
+			return o.sendOnce(ctx, r, permit)
 		case fleet.Replay:
 			return OnceAnswer{Answer: a.Answer, Replayed: true}
 		case fleet.Conflict:
@@ -147,7 +147,7 @@
 			select {
 			case <-a.First.Done:
 				if notRun, ok := a.First.Outcome.(coordination.NotRun); ok {
-					return refused(notRun)
+					return refusalResult(notRun)
 				}
 			case <-ctx.Done():
 				return OnceRefusal{coordination.MayHaveRun{Reason: coordination.ReasonDeadline, RetryAfter: defaultRetryTime}}
@@ -156,19 +156,19 @@
 	}
 }
 
-// mayRun decides whether this daemon may run the request. keep is how long its
-// key must be remembered, permit the check to be made again right before the
-// first byte; a ticket needs none, since no other process can ever run it.
+// mayRun decides whether this daemon may run the request. keep is how long its key
+// must be remembered; permit is the check to be repeated right before the first byte.
+// A ticket needs no permit, since no other process can ever run it.
 func (o *OnceRunner) mayRun(r *OnceRequest) (keep time.Duration, permit func() error, result OnceResult) {
 	if fleet.IsTicket(r.Key) {
 		keep, result = o.admitTicket(r)
 		return keep, nil, result
 	}
-	if refusal := o.mayKeep(r); refusal != nil {
+	if refusal := o.checkOwner(r); refusal != nil {
 		return 0, nil, OnceRefusal{refusal}
 	}
 	permit = func() error {
-		if o.mayKeep(r) != nil {
+		if o.checkOwner(r) != nil {
 			return errNoLongerOwner
 		}
 		return nil
@@ -191,10 +191,10 @@
 	return left, nil
 }
 
-// errNoLongerOwner stops an attempt whose daemon lost the key on the way.
+// errNoLongerOwner stops an attempt whose daemon has lost ownership of the key.
 var errNoLongerOwner = errors.New("daemon no longer owns the key")
 
-func (o *OnceRunner) mayKeep(r *OnceRequest) coordination.Outcome {
+func (o *OnceRunner) checkOwner(r *OnceRequest) coordination.Outcome {
 	return fleet.MayRunKey(o.Now(), o.Self, o.Snapshot().Ownership, r.ledgerKey(), o.rules())
 }
 
@@ -213,9 +213,9 @@
 	o.ledger.Finish(r.ledgerKey(), out, answer)
 }
 
-// start sends the request, once. A caller who goes away does not stop it: its
-// end is recorded for the repeat.
-func (o *OnceRunner) start(ctx context.Context, r *OnceRequest, permit func() error) OnceResult {
+// sendOnce sends the request once. It continues if the caller disconnects, since the
+// outcome is recorded for repeats.
+func (o *OnceRunner) sendOnce(ctx context.Context, r *OnceRequest, permit func() error) OnceResult {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), timeLeft(ctx))
 	defer cancel()
 	outcome, answer := o.send(ctx, r, permit)
@@ -224,19 +224,20 @@
 	if answer != nil {
 		return OnceAnswer{Answer: answer}
 	}
-	return refused(outcome)
+	return refusalResult(outcome)
 }
 
-// refused returns the refusal of a request that this daemon began. Where it lost
-// the key on the way it did not run it, but no longer knows that no other did.
-func refused(o coordination.Outcome) OnceResult {
+// refusalResult returns the refusal of a request that this daemon started. If it lost
+// ownership of the key before the first byte, it did not run the request itself but
+// can't know whether another daemon did.
+func refusalResult(o coordination.Outcome) OnceResult {
 	if n, ok := o.(coordination.NotRun); ok && n.Reason == coordination.ReasonOwnerListStale {
 		return OnceRefusal{coordination.MayHaveRun(n)}
 	}
 	return OnceRefusal{o}
 }
 
-// defaultOnceTimeout applies where the caller set no limit.
+// defaultOnceTimeout applies if the caller set no deadline.
 const defaultOnceTimeout = 30 * time.Second
 
 func timeLeft(ctx context.Context) time.Duration {
--- a/transport/gateway/peerserver.go
+++ b/transport/gateway/peerserver.go
@@ -1,5 +1,5 @@
-// This file serves other daemons: exchanges, documents, and requests for keys that
-// this daemon owns.
+// This file implements the server for other daemons: exchanges, documents, and
+// requests whose key this daemon owns.
 
 package gateway
 
@@ -21,19 +21,19 @@
 
 // PeerServer serves other daemons.
 type PeerServer struct {
-	Converse  func(ctx context.Context, n fleet.Gossip) (fleet.Gossip, error)
-	Documents Documents
-	Once      *OnceRunner
-	Recorder  *transport.Recorder
+	HandleExchange func(ctx context.Context, n fleet.Gossip) (fleet.Gossip, error)
+	Documents      Documents
+	Once           *OnceRunner
+	Recorder       *transport.Recorder
 
 	packed packedDocuments
 }
 
-// packedDocuments keeps the last packed document of each kind: when a document
-// spreads, all neighbours ask for the difference from the same content.
+// packedDocuments caches the last packed document of each kind: when a document
+// spreads, all neighbours request the difference from the same version.
 type packedDocuments struct {
-	mu   sync.Mutex
-	kept map[peer.DocumentKind]packedDocument
+	mu     sync.Mutex
+	cached map[peer.DocumentKind]packedDocument
 }
 
 type packedDocument struct {
@@ -44,7 +44,7 @@
 func (p *packedDocuments) get(kind peer.DocumentKind, head, have state.Head) *peer.FetchResponse {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if d := p.kept[kind]; d.head == head && d.have == have {
+	if d := p.cached[kind]; d.head == head && d.have == have {
 		return d.resp
 	}
 	return nil
@@ -53,10 +53,10 @@
 func (p *packedDocuments) put(kind peer.DocumentKind, d packedDocument) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.kept == nil {
-		p.kept = make(map[peer.DocumentKind]packedDocument)
+	if p.cached == nil {
+		p.cached = make(map[peer.DocumentKind]packedDocument)
 	}
-	p.kept[kind] = d
+	p.cached[kind] = d
 }
 
 var _ peer.Peer = (*PeerServer)(nil)
@@ -64,14 +64,14 @@
 // Handler returns the HTTP handler of the server.
 func (s *PeerServer) Handler() http.Handler { return peer.NewPeerServer(s) }
 
-// Exchange takes in a peer's message and returns this daemon's.
+// Exchange processes a peer's message and returns this daemon's.
 func (s *PeerServer) Exchange(ctx context.Context, m *peer.News) (*peer.News, error) {
 	n := protocol.DecodeGossip(m)
 	if n.Sender == "" {
 		return nil, twirp.RequiredArgumentError("sender")
 	}
 	s.Recorder.Observe(n.Stamp)
-	answer, err := s.Converse(ctx, n)
+	answer, err := s.HandleExchange(ctx, n)
 	if err != nil {
 		return nil, twirp.InternalErrorWith(err)
 	}
@@ -79,7 +79,7 @@
 	return protocol.EncodeGossip(answer), nil
 }
 
-// Fetch returns a document.
+// Fetch returns the newest document of a kind, as a difference if possible.
 func (s *PeerServer) Fetch(_ context.Context, m *peer.FetchRequest) (*peer.FetchResponse, error) {
 	have := protocol.DecodeHead(m.GetHave())
 	head, text, base := s.Documents.Document(m.GetKind(), have)
--- a/transport/gateway/relay.go
+++ b/transport/gateway/relay.go
@@ -1,7 +1,7 @@
-// This file relays a streamed answer event by event. Only whole events in their
-// order are passed on, and only the terminator makes the answer whole: a stream
-// that can't be finished ends in an explicit error, and the connection is
-// broken so that not even a caller who skips the error takes it as whole.
+// This file relays a streamed response event by event. Only complete events in their
+// order are forwarded, and only the terminator completes the response. A stream that
+// can't be completed ends with an error event and an aborted connection, so that even
+// a caller that ignores the error does not take it as complete.
 
 package gateway
 
@@ -20,17 +20,17 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// errCaller marks the end of a stream whose caller is gone.
-var errCaller = errors.New("caller closed the connection")
+// errCallerGone reports that the caller closed the connection.
+var errCallerGone = errors.New("caller closed the connection")
 
-// stream is one answer on its way.
+// stream is the state of one streamed response.
 type stream struct {
 	g        *Gateway
 	c        *call
 	engine   *state.Candidate
 	asm      fleet.Assembler
 	sent     bool
-	deadline time.Time // of the caller's connection
+	deadline time.Time // write deadline of the caller's connection
 	out      *http.ResponseController
 }
 
@@ -42,7 +42,7 @@
 	switch {
 	case err == nil:
 		g.count(coordination.Answered{Status: resp.StatusCode})
-	case errors.Is(err, errCaller) || c.r.Context().Err() == context.Canceled:
+	case errors.Is(err, errCallerGone) || c.r.Context().Err() == context.Canceled:
 		g.Metrics.CallerGone.Inc(1)
 		panic(http.ErrAbortHandler)
 	case !s.sent:
@@ -52,13 +52,13 @@
 	}
 }
 
-// run relays the stream, and its continuations if it breaks and can be resumed.
+// run relays the stream, and resumes it if it breaks and can be resumed.
 func (s *stream) run(resp *http.Response) error {
 	id := resp.Header.Get(protocol.HeaderStreamID)
 	backoff := s.g.Limits.ResumeBackoff
 	for resumes := 0; ; resumes++ {
 		err := s.relay(resp, id)
-		if err == nil || errors.Is(err, errCaller) {
+		if err == nil || errors.Is(err, errCallerGone) {
 			return err
 		}
 		stream, after, ok := s.asm.Resumable()
@@ -87,7 +87,7 @@
 	}
 }
 
-// relay passes the events of one upstream response on.
+// relay forwards the events of one upstream response.
 func (s *stream) relay(resp *http.Response, id string) error {
 	defer resp.Body.Close()
 	idle := time.AfterFunc(s.g.Limits.StreamIdle, func() { _ = resp.Body.Close() })
@@ -96,7 +96,7 @@
 	for {
 		ev, err := events.Read()
 		if err != nil {
-			return broken(err)
+			return streamError(err)
 		}
 		idle.Reset(s.g.Limits.StreamIdle)
 		switch s.asm.Accept(fleet.Chunk{Stream: id, Seq: ev.Seq, Final: ev.IsEnd()}) {
@@ -109,20 +109,20 @@
 		if err := s.forward(&ev); err != nil {
 			return err
 		}
-		if s.asm.Whole() {
+		if s.asm.IsComplete() {
 			return nil
 		}
 	}
 }
 
-func broken(err error) error {
+func streamError(err error) error {
 	if errors.Is(err, io.EOF) {
 		return errors.New("stream ended without its terminator")
 	}
 	return err
 }
 
-// forward writes one event and flushes it. The headers go out with the first.
+// forward writes and flushes one event. The header is written before the first event.
 func (s *stream) forward(ev *protocol.StreamEvent) error {
 	if !s.sent {
 		s.sent = true
@@ -133,30 +133,30 @@
 	}
 	s.extendDeadline()
 	if _, err := s.c.w.Write(ev.Raw); err != nil {
-		return errCaller
+		return errCallerGone
 	}
 	if err := s.out.Flush(); err != nil {
-		return errCaller
+		return errCallerGone
 	}
 	return nil
 }
 
-// deadlineShare is the part of the limit that must have passed before the
-// deadline is set again: that costs more than the write of a token should.
-const deadlineShare = 8
+// deadlineFraction is the fraction of the limit, as a divisor, that must have passed
+// before the deadline is set again: setting it costs more than writing a token should.
+const deadlineFraction = 8
 
-// extendDeadline gives a slow caller time for the next event.
+// extendDeadline gives a slow caller time to take the next event.
 func (s *stream) extendDeadline() {
 	want := time.Now().Add(s.g.Limits.CallerStall)
-	if want.Sub(s.deadline) < s.g.Limits.CallerStall/deadlineShare {
+	if want.Sub(s.deadline) < s.g.Limits.CallerStall/deadlineFraction {
 		return
 	}
 	s.deadline = want
 	_ = s.out.SetWriteDeadline(want)
 }
 
-// fail ends a stream that has begun: an error event, and then a connection that
-// breaks without the end of the body.
+// fail ends a stream that has started: it sends an error event and aborts the
+// connection without the end of the body.
 func (s *stream) fail(cause error) {
 	s.g.count(coordination.MayHaveRun{Reason: coordination.ReasonBrokenAnswer})
 	s.g.Recorder.Record(coordination.EventAttemptFailed, string(s.engine.ID), s.c.id, "stream could not be finished: %v", cause)
--- a/transport/gateway/watch.go
+++ b/transport/gateway/watch.go
@@ -1,5 +1,5 @@
-// This file watches upstreams: one goroutine for each asks it for its state and
-// hands what it says to the control loop.
+// This file watches upstreams: one goroutine per upstream queries its state and posts
+// the result to the control loop.
 
 package gateway
 
@@ -14,7 +14,7 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// Times of a watch.
+// Intervals, timeouts and limits of a watch.
 const (
 	watchWait    = 2 * time.Second // how long an upstream holds a query without a change
 	watchTimeout = 4 * time.Second
@@ -39,14 +39,14 @@
 	cancel context.CancelFunc
 }
 
-// NewWatcher returns a watcher that works until ctx ends. up should count its
-// bytes as control traffic.
+// NewWatcher returns a watcher that runs until ctx ends. up should count its bytes as
+// control traffic.
 func NewWatcher(ctx context.Context, up *Upstreams, post func(fleet.Event)) *Watcher {
 	return &Watcher{ctx: ctx, upstreams: up, post: post, running: make(map[state.UpstreamID]*watch)}
 }
 
-// Set replaces the set of watched upstreams. A watch of an upstream that stays
-// goes on.
+// Set replaces the set of watched upstreams. Watches of upstreams that are in both sets
+// continue.
 func (w *Watcher) Set(members []state.Member) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -62,25 +62,25 @@
 	}
 	for id, m := range wanted {
 		if w.running[id] == nil {
-			w.begin(id, m)
+			w.start(id, m)
 		}
 	}
 }
 
-func (w *Watcher) begin(id state.UpstreamID, m state.Member) {
+func (w *Watcher) start(id state.UpstreamID, m state.Member) {
 	ctx, cancel := context.WithCancel(w.ctx)
 	w.running[id] = &watch{member: m, cancel: cancel}
 	w.wg.Go(func() { w.run(ctx, id, m.Address) })
 }
 
-// Wait waits until all watches have ended after the context did.
+// Wait waits until all watches have ended, which they do when the context ends.
 func (w *Watcher) Wait() { w.wg.Wait() }
 
 func (w *Watcher) run(ctx context.Context, id state.UpstreamID, address string) {
 	var seq uint64
 	for ctx.Err() == nil {
 		pause := watchPause
-		ev, next, err := w.ask(ctx, id, address, seq)
+		ev, next, err := w.query(ctx, id, address, seq)
 		switch {
 		case err == nil:
 			seq = next
@@ -93,7 +93,7 @@
 	}
 }
 
-func (w *Watcher) ask(ctx context.Context, id state.UpstreamID, address string, seq uint64) (ev fleet.UpstreamSeen, next uint64, err error) {
+func (w *Watcher) query(ctx context.Context, id state.UpstreamID, address string, seq uint64) (ev fleet.UpstreamReported, next uint64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	resp, _, err := w.upstreams.Send(ctx, UpstreamRequest{
