--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -1,5 +1,5 @@
-// This file plays callers. Each keeps a connection to one daemon for some
-// requests and uses it until the daemon ends it.
+// This file simulates callers. Each keeps a connection to one daemon, sends a random
+// number of requests over it, and reconnects when the daemon closes it.
 
 package soak
 
@@ -21,25 +21,25 @@
 	"hingewinch.org/hingewinch/protocol"
 )
 
-// Figures of callers.
+// Limits of the simulated callers.
 const (
-	requestsPerConn = 20
+	requestsPerConn = 20 // at most
 	leastThink      = 40 * time.Millisecond
 	mostThink       = 140 * time.Millisecond
 	callerPatience  = 1500 * time.Millisecond // beyond the deadline
 	mostRequestBody = 40_000
 	refusedPause    = 300 * time.Millisecond
-	leaveAlways     = 2 // of 100 requests
-	topics          = 7 // of chats
+	leaveAlways     = 2 // percentage of requests that are canceled without a fault
+	topics          = 7 // number of distinct chat prompts
 )
 
-// callerFaults are what all callers do at the moment.
+// callerFaults is the misbehavior that is currently in force for all callers.
 type callerFaults struct {
-	leave  atomic.Int64 // of 100 requests, how many are left early
-	repeat atomic.Int64 // how often a failed request is sent again at once
+	leave  atomic.Int64 // percentage of requests canceled early, on top of leaveAlways
+	repeat atomic.Int64 // how many times a failed request is resent immediately
 }
 
-// caller is one client.
+// caller simulates one client. It is used by a single goroutine.
 type caller struct {
 	site        *site
 	number      int
@@ -51,7 +51,7 @@
 	uses        int
 }
 
-// run sends requests until ctx ends.
+// run sends requests until ctx is done.
 func (c *caller) run(ctx context.Context) {
 	defer c.hangUp()
 	for ctx.Err() == nil {
@@ -121,7 +121,7 @@
 	return q
 }
 
-// text returns a request as it goes out.
+// text returns the HTTP request as written to the connection.
 func (q *Request) text() string {
 	r := standin.CallerRequest{
 		Method: q.Route.Method, Target: q.Target, Host: routeHost, ID: q.ID, Key: q.Key, Timeout: q.Route.Timeout,
@@ -133,7 +133,7 @@
 	return r.Text()
 }
 
-// send sends one request and waits for its answer, or leaves.
+// send sends one request, and then waits for the response or cancels the request at random.
 func (c *caller) send(q *Request) Answer {
 	c.begin(q)
 	if rand.Int64N(100) < leaveAlways+c.site.callerFaults.leave.Load() {
@@ -142,7 +142,7 @@
 	return c.exchange(q)
 }
 
-// begin notes a request that is about to be sent.
+// begin sets the deadline of a request and records it in the ledger before it is sent.
 func (c *caller) begin(q *Request) {
 	q.Sent = time.Now()
 	q.Deadline = q.Sent.Add(q.Route.Timeout)
@@ -150,7 +150,7 @@
 	_ = c.conn.SetDeadline(q.Deadline.Add(callerPatience))
 }
 
-// exchange sends a request and waits for its answer.
+// exchange sends a request, waits for the response and records it.
 func (c *caller) exchange(q *Request) Answer {
 	if _, err := c.conn.Write([]byte(q.text())); err != nil {
 		return c.failed(q, err)
@@ -178,7 +178,7 @@
 	return a
 }
 
-// abandon sends a request and closes the connection before its answer.
+// abandon sends a request and closes the connection without reading the response.
 func (c *caller) abandon(q *Request) Answer {
 	_, _ = c.conn.Write([]byte(q.text()))
 	time.Sleep(rand.N(mostWork))
@@ -187,7 +187,7 @@
 	return Answer{}
 }
 
-// pause waits for a time or until ctx ends.
+// pause sleeps for d or until ctx is done.
 func pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
