--- a/internal/soak/departing.go
+++ b/internal/soak/departing.go
@@ -1,5 +1,5 @@
-// This file plays replicas that leave and say so in their answers only, whatever their entries
-// say, and judges what reaches them after that.
+// This file simulates replicas that announce their departure only in their responses, while
+// their entries still say ready, and checks that daemons stop sending them requests.
 
 package soak
 
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// leastServeOn is added to the length of a fault: a replica that leaves by its answers serves
-// on for longer than daemons may need.
+// leastServeOn is added to the duration of a fault, so that a departing replica serves on for
+// longer than daemons may take to stop using it.
 const leastServeOn = 4 * time.Second
 
-// leaveByAnswers replaces a replica: another one starts, and the old one says in all its
-// answers that it leaves, until it ends. Its entry goes on saying that it is ready.
+// leaveByAnswers replaces a replica: another one starts, and the old one announces its
+// departure in every response until it terminates. Its entry stays ready.
 func (s *injector) leaveByAnswers(f *Fault) {
 	p, r := s.at(f.Target)
 	if !s.takeDown(p, r) || s.addPlace(r.Service, r.Domain) != nil {
@@ -23,7 +23,7 @@
 	s.ledger.StandsAside(r.ID, from, from.Add(time.Hour))
 	r.Leave()
 	if f.Variant%2 == 0 {
-		// Its entry goes and is back, as when the store was away.
+		// The entry disappears and returns, as after an outage of the store.
 		pause(s.ctx, lapse)
 		s.remove(r)
 		pause(s.ctx, lapse)
@@ -34,14 +34,14 @@
 	s.remove(r)
 }
 
-// Leave has the replica say in all answers that it leaves.
+// Leave makes the replica announce its departure in every response.
 func (r *Replica) Leave() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaving = true
 }
 
-// SaysThatItLeaves notes that a replica's answer to a request says that it leaves.
+// SaysThatItLeaves records that a replica announced its departure in the response to a request.
 func (l *Ledger) SaysThatItLeaves(request, replica string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,7 +49,7 @@
 	r.leavers = append(r.leavers, replica)
 }
 
-// Leavers returns how many replicas have said in their answers that they leave.
+// Leavers returns the number of replicas that announced their departure in a response.
 func (l *Ledger) Leavers() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,15 +62,17 @@
 	return len(seen)
 }
 
-// passedOn is the first answer with which a daemon passed on that a replica leaves.
+// passedOn identifies the first response by which a daemon forwarded the announcement of a
+// replica's departure.
 type passedOn struct {
 	at     time.Time
 	daemon int
 }
 
-// judgeLeavers looks for requests that reached a replica although it had said in an answer that
-// it leaves. The daemon that passed the answer on must know, in touch or not, unless it was
-// frozen or started again; so must others, in touch with the store and each other.
+// judgeLeavers finds requests that reached a replica too long after it announced its departure
+// in a response. The daemon that forwarded the response must know of the departure even while
+// it is out of touch, unless it was frozen or restarted. Other daemons must know if they and the
+// forwarding daemon were in touch with the store and with each other.
 func (j *judgement) judgeLeavers() {
 	told, first := j.leavings()
 	if len(first) == 0 {
@@ -85,16 +87,16 @@
 			own, wasTold := told[path{a.Replica, r.by()}]
 			switch {
 			case wasTold && r.Sent.Sub(own) > j.bounds.Drain && calm(j.freezes[r.Daemon], own, a.At):
-				j.add("DRAIN", r, a.At, "reached %s, which had said %v before that it leaves, by way of daemon %d, which had passed that on", a.Replica, r.Sent.Sub(own), r.Daemon)
+				j.add("DRAIN", r, a.At, "reached %s via daemon %d, %v after that daemon forwarded the replica's announcement of its departure", a.Replica, r.Daemon, r.Sent.Sub(own))
 			case r.Sent.Sub(p.at) > j.bounds.Drain && j.inTouch(r.Daemon, p.at, a.At) && j.inTouch(p.daemon, p.at, a.At):
-				j.add("DRAIN", r, a.At, "reached %s, which had said %v before by way of daemon %d that it leaves, by way of daemon %d", a.Replica, r.Sent.Sub(p.at), p.daemon, r.Daemon)
+				j.add("DRAIN", r, a.At, "reached %s via daemon %d, %v after daemon %d forwarded the replica's announcement of its departure", a.Replica, r.Daemon, r.Sent.Sub(p.at), p.daemon)
 			}
 		}
 	}
 }
 
-// leavings returns when each daemon passed on first that a replica leaves, and who did so first
-// of all.
+// leavings returns when each daemon first forwarded the announcement of a replica's departure,
+// and for each replica which daemon was the first to do so.
 func (j *judgement) leavings() (told map[path]time.Time, first map[string]passedOn) {
 	told, first = make(map[path]time.Time), make(map[string]passedOn)
 	for _, r := range j.order {
