--- a/internal/soak/evacuate.go
+++ b/internal/soak/evacuate.go
@@ -1,5 +1,5 @@
-// This file empties failure domains, turns replicas cold, and judges both: what reaches an
-// evacuated domain (EVAC), and how many requests a second reach a cold replica (FAILBACK).
+// This file evacuates failure domains and makes replicas cold. It checks that no requests reach
+// an evacuated domain (EVAC), and that the request rate of a cold replica is limited (FAILBACK).
 
 package soak
 
@@ -9,31 +9,31 @@
 	"time"
 )
 
-// Figures of cold replicas. A replica gets some 20 requests a second while it is warm.
+// Parameters of cold replicas. A warm replica receives about 20 requests per second.
 const (
 	coldStart     = 1500 * time.Millisecond
-	coldPerSecond = 6 // requests that a cold replica bears
+	coldPerSecond = 6 // requests that a cold replica can serve
 	coldOverage   = 1.5
 	coldSlack     = 5
-	// fallOver is the multiple of coldPerSecond above which it resets its callers.
+	// fallOver is the multiple of coldPerSecond above which a cold replica resets connections.
 	fallOver = 3
-	// coldEntryLag is how much later than a replica turns cold its entry says so.
+	// coldEntryLag is the delay from the moment a replica turns cold until its entry says so.
 	coldEntryLag = 600 * time.Millisecond
 )
 
-// coldSpan is a time in which a replica is cold.
+// coldSpan is a period in which a replica is cold.
 type coldSpan struct {
 	span
-	// known is when daemons could know first that it would be cold: those that were
-	// disturbed since, or whose store was, are not counted. Zero: the replica's first
-	// entry said so, and all are.
+	// known is the earliest time at which daemons could know that the replica would be cold.
+	// Requests from daemons that were disturbed since then, or while the store was, don't
+	// count. If known is zero, the replica's first entry said so and all requests count.
 	known time.Time
 }
 
-// evacuate empties a domain and takes it back; its replicas turn cold a moment before, or
-// stay warm. Of two that overlap the first end takes the domain back, and the second finds
-// nothing to do: replicas that serve get more than they bear while they are cold, so that
-// they must not turn cold then.
+// evacuate evacuates a domain and later returns it to service; depending on the variant its
+// replicas turn cold just before that. If two evacuations overlap, the first to end returns the
+// domain to service and the second does nothing more: replicas that are already serving must
+// not turn cold, because they receive more than a cold replica can serve.
 func (s *injector) evacuate(f *Fault) {
 	domain := s.domains[f.Target%len(s.domains)]
 	s.store.Evacuate(domain)
@@ -67,7 +67,7 @@
 	s.store.TakeBack(domain)
 }
 
-// chill turns a replica cold. known is when daemons could know first.
+// chill makes a replica cold for coldStart. See coldSpan.known for known.
 func (s *site) chill(p *place, r *Replica, known time.Time) {
 	now := time.Now()
 	r.TurnCold(now.Add(coldStart))
@@ -75,7 +75,7 @@
 	time.AfterFunc(coldStart, func() { s.announceAgain(p, r) })
 }
 
-// announceAgain writes the entry of a replica that still serves at its place.
+// announceAgain rewrites the entry of a replica unless it was replaced or has terminated.
 func (s *site) announceAgain(p *place, r *Replica) {
 	s.mu.Lock()
 	serves := p.current == r && !p.idle
@@ -85,22 +85,22 @@
 	}
 }
 
-// StandsIn notes the domain of a replica.
+// StandsIn records the domain of a replica.
 func (l *Ledger) StandsIn(replica, domain string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.domains[replica] = domain
 }
 
-// Evacuates notes that the store took the evacuation of a domain.
+// Evacuates records that the store accepted the evacuation of a domain.
 func (l *Ledger) Evacuates(domain string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.emptied[domain] = append(l.emptied[domain], span{at, at.Add(time.Hour)})
 }
 
-// TakesBack notes that an evacuation, which began at a time, ends. Of two that overlap the
-// first end takes the domain back.
+// TakesBack records that a domain is returned to service at a time. It ends all evacuations of
+// the domain, also those that overlap.
 func (l *Ledger) TakesBack(domain string, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -111,14 +111,14 @@
 	}
 }
 
-// TurnsCold notes when a replica is cold.
+// TurnsCold records a period in which a replica is cold.
 func (l *Ledger) TurnsCold(replica string, c coldSpan) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cold[replica] = append(l.cold[replica], c)
 }
 
-// judgeEvacuated looks for requests that reached an evacuated domain.
+// judgeEvacuated finds arrivals of a request in an evacuated domain.
 func (j *judgement) judgeEvacuated(r *record) {
 	for _, a := range r.arrivals {
 		for _, e := range j.emptied[j.domains[a.Replica]] {
@@ -126,15 +126,15 @@
 			if late <= j.bounds.Evacuate || !a.At.Before(e.to) {
 				continue
 			}
-			held := !calm(j.replicas[a.Replica], e.from, a.At) // a link may have held it up
+			held := !calm(j.replicas[a.Replica], e.from, a.At) // a link fault may have delayed it
 			if !held && j.inTouch(r.Daemon, e.from, a.At) {
-				j.add("EVAC", r, a.At, "reached %s %v after the store took the evacuation of %s, by way of daemon %d", a.Replica, late, j.domains[a.Replica], r.Daemon)
+				j.add("EVAC", r, a.At, "reached %s via daemon %d, %v after the store accepted the evacuation of domain %s", a.Replica, r.Daemon, late, j.domains[a.Replica])
 			}
 		}
 	}
 }
 
-// judgeCold looks for seconds in which a cold replica got too much.
+// judgeCold finds cold replicas that received more than bounds.Cold requests within one second.
 func (j *judgement) judgeCold() {
 	arrivals := make(map[string][]time.Time)
 	for _, r := range j.order {
@@ -152,14 +152,14 @@
 				first++
 			}
 			if n := i + 1 - first; n > j.bounds.Cold {
-				j.out = append(j.out, Violation{Promise: "FAILBACK", Subject: replica, At: at, Detail: fmt.Sprintf("%d requests reached it in a second while it was cold, %d may", n, j.bounds.Cold)})
+				j.out = append(j.out, Violation{Promise: "FAILBACK", Subject: replica, At: at, Detail: fmt.Sprintf("received %d requests within one second while cold, limit is %d", n, j.bounds.Cold)})
 				break
 			}
 		}
 	}
 }
 
-// countsWhileCold reports whether an arrival counts at a cold replica.
+// countsWhileCold reports whether an arrival counts toward the limit of a cold replica.
 func (j *judgement) countsWhileCold(r *record, a *Arrival) bool {
 	if !calm(j.replicas[a.Replica], a.At.Add(-time.Second), a.At) {
 		return false
@@ -172,10 +172,11 @@
 	})
 }
 
-// heldBack reports whether a replica may get nothing at a time: it was cold, or so lately that
-// daemons can't know yet that it is warm (the store's watches may be silent for 1.7 s, and
-// daemons that learn late that it is cold count its cold time from then on); its domain was
-// evacuated, or it had been taken back so lately that daemons take its replicas for cold.
+// heldBack reports whether daemons may send nothing to a replica at a time. That is so while the
+// replica is cold and until daemons must know that it is warm (the store's watches may be silent
+// for 1.7 s, and a daemon that learns late that a replica is cold counts the cold time from then
+// on). It is also so while its domain is evacuated, and just after the domain returned to
+// service, when daemons treat its replicas as cold.
 func (j *judgement) heldBack(replica string, at time.Time) bool {
 	isCold := slices.ContainsFunc(j.cold[replica], func(c coldSpan) bool {
 		return !at.Before(c.from) && at.Before(c.to.Add(j.bounds.Apply))
