--- a/internal/soak/exchange.go
+++ b/internal/soak/exchange.go
@@ -1,5 +1,5 @@
-// This file plays one exchange of a replica: it runs the request, answers it, and
-// misbehaves as the replica does.
+// This file implements one exchange at a simulated replica: it runs the request, responds,
+// and injects the failures of the replica's behaviour.
 
 package soak
 
@@ -14,7 +14,7 @@
 	"hingewinch.org/hingewinch/platform/standin"
 )
 
-// exchange is one request at a replica.
+// exchange is one request at a replica and its response.
 type exchange struct {
 	*Replica
 	conn      net.Conn
@@ -22,12 +22,12 @@
 	id        string // of the request
 	run       *Run
 	behaviour behaviour
-	gone      chan struct{} // closed when the daemon's end is closed
-	draw      float64
-	stray     *string // an answer that is written in the place of the next one
+	gone      chan struct{} // closed when the daemon closes the connection
+	draw      float64       // random number in [0, 1) that selects the failure, see drawn
+	stray     *string       // surplus response that is written before the next one on the connection
 }
 
-// serve answers one request. It returns false if the connection ends.
+// serve handles one request. It returns false if the connection must be closed.
 func (x *exchange) serve(req *http.Request, body string) bool {
 	now := time.Now()
 	arrival := Arrival{Replica: x.ID, Service: x.Service, At: now, Deadline: now.Add(x.head.Left)}
@@ -69,8 +69,8 @@
 	return x.plain()
 }
 
-// says is what the replica says of itself in an answer that is about to go out, its load left
-// out.
+// says returns the replica's statements about itself for a response that is about to be
+// written, without its load.
 func (x *exchange) says() standin.Says {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -80,7 +80,7 @@
 	return standin.Says{Leaving: x.leaving}
 }
 
-// saysLoad is the same with the load.
+// saysLoad is like says, with the load.
 func (x *exchange) saysLoad() standin.Says {
 	says := x.says()
 	x.mu.Lock()
@@ -95,14 +95,15 @@
 	x.busy--
 }
 
-// drawn takes its share of the one draw of the exchange.
+// drawn reports whether the failure with this probability was selected. All failures of an
+// exchange share one random number, so that at most one is selected.
 func (x *exchange) drawn(share float64) bool {
 	hit := x.draw >= 0 && x.draw < share
 	x.draw -= share
 	return hit
 }
 
-// work waits as long as the work takes, or until the daemon's end is closed.
+// work waits for d. It returns false if the daemon closed the connection first.
 func (x *exchange) work(d time.Duration) bool {
 	select {
 	case <-x.gone:
@@ -118,13 +119,14 @@
 	leastWork = 5 * time.Millisecond
 	mostWork  = 60 * time.Millisecond
 	hangTime  = 20 * time.Second
-	// One request in slowOneIn works much longer, so that callers leave and stops
-	// begin while it runs.
+	// One request in slowOneIn runs for slowWork, so that callers disconnect and daemons
+	// begin to shut down while it runs.
 	slowOneIn = 16
 	slowWork  = 1700 * time.Millisecond
 )
 
-// workOf returns how long a plain request works, or an event of a stream takes.
+// workOf returns the duration of one of the pieces of a response: the whole response of a plain
+// request, or one event of a stream.
 func (x *exchange) workOf(pieces int) time.Duration {
 	if isSteady(x.id) && pieces > 1 {
 		return steadyWork/2 + rand.N(steadyWork)
@@ -171,8 +173,8 @@
 	return err == nil
 }
 
-// stream answers with events, from the one after the caller's last. It returns false
-// if the connection ends.
+// stream responds with events, starting after the last one that the caller received. It returns
+// false if the connection must be closed.
 func (x *exchange) stream() bool {
 	from := x.head.LastEvent
 	if x.drawn(x.behaviour.Fail) {
@@ -203,7 +205,7 @@
 	return x.write("0\r\n\r\n")
 }
 
-// streamFault draws how the stream ends in its middle; nil if it does not.
+// streamFault returns the failure that ends the stream halfway, or nil if none was selected.
 func (x *exchange) streamFault() func(event string) {
 	hang, broken, lose := x.drawn(x.behaviour.Hang), x.drawn(x.behaviour.Break), x.drawn(x.behaviour.Lose)
 	switch {
@@ -226,11 +228,11 @@
 	return nil
 }
 
-// chunk is a piece of a body in chunks.
+// chunk encodes a piece of a body with chunked transfer coding.
 func chunk(piece string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(piece), piece) }
 
-// breakOff ends a stream inside an event, or between two: then only the end of
-// the stream is missing.
+// breakOff truncates a stream, either within an event or after it. In the latter case only the
+// final chunk is missing.
 func (x *exchange) breakOff(piece string) {
 	if hashOf(x.id)%2 == 0 {
 		_, _ = fmt.Fprintf(x.conn, "%x\r\n%s", len(piece), piece[:len(piece)/2])
