--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -1,4 +1,4 @@
-// This file starts daemons as processes, signals them, and ends only those.
+// This file starts and signals the daemon processes of a run. It never signals other processes.
 
 package soak
 
@@ -15,23 +15,23 @@
 	"time"
 )
 
-// Figures of the daemons' processes.
+// Parameters of the daemon processes and of the load balancer in front of them.
 const (
 	grace        = 3 * time.Second // from SIGTERM to SIGKILL
 	restartPause = 400 * time.Millisecond
 	readyPoll    = 250 * time.Millisecond
 	readyTimeout = 300 * time.Millisecond
-	missesOut    = 2
+	missesOut    = 2 // failed probes in a row after which a daemon gets no callers
 	pathReady    = "/api/readyz"
 	memoryMB     = 200
 )
 
-// daemon is one daemon and the links around it.
+// daemon is one daemon and the links to its callers, its store and its peers.
 type daemon struct {
 	number    int
 	domain    string
-	ip        string // of its own
-	public    string // of its link to peers
+	ip        string // that the process listens on
+	public    string // IP of its link to peers, which the daemon announces
 	file      string
 	readiness string
 	operators string
@@ -44,26 +44,26 @@
 	build       Build // of the process, or of the next one
 	process     *os.Process
 	incarnation int
-	expected    bool // the end of the process was asked for
-	exited      chan struct{}
-	in          bool // the balancer sends callers
+	expected    bool          // the run asked the process to terminate
+	exited      chan struct{} // closed when the process has terminated
+	in          bool          // the balancer sends callers
 	misses      int
 }
 
-// fleet is all daemons of a run.
+// fleet holds the daemons of a run.
 type fleet struct {
 	binaries map[Build]string
 	dir      string
 	network  string
-	ports    []int // callers, readiness, operators, peers
+	ports    []int // of the callers, readiness, operators and peers listeners
 	ledger   *Ledger
 	daemons  []*daemon
 	ctx      context.Context
 	wg       sync.WaitGroup
 }
 
-// freePorts returns different ports that are free on loopback for now. All are
-// held until all are found, so that none is given twice.
+// freePorts returns n distinct ports that are currently free on loopback. Each stays bound
+// until all are found, so that none is returned twice.
 func freePorts(n int) ([]int, error) {
 	var out []int
 	for range n {
@@ -77,11 +77,11 @@
 	return out, nil
 }
 
-// portsPerFleet are the peers' port and three listeners', which are the same on
-// all daemons: each has an address of its own.
+// portsPerFleet is the number of listeners of a daemon. All daemons use the same ports, because
+// each has its own IP address.
 const portsPerFleet = 4
 
-// add prepares a daemon before an endpoint of the store.
+// add sets up a daemon that connects to an endpoint of the store, without starting it.
 func (f *fleet) add(i int, domain, endpoint string) (*daemon, error) {
 	d := &daemon{number: i, domain: domain, fleet: f, ip: fmt.Sprintf("%s.%d", f.network, 10+i), public: fmt.Sprintf("%s.%d", f.network, 110+i)}
 	d.file = filepath.Join(f.dir, fmt.Sprintf("daemon-%d.yaml", i))
@@ -102,7 +102,7 @@
 	return d, d.writeSettings(at(ports[0]), 0)
 }
 
-// writeSettings writes the settings file. A generation makes it differ.
+// writeSettings writes the settings file. The generation only makes the file's content differ.
 func (d *daemon) writeSettings(callers string, generation int) error {
 	seeds := ""
 	for k := range min(3, len(d.fleet.daemons)) {
@@ -130,7 +130,7 @@
 	return os.WriteFile(d.file, []byte(text), 0o600)
 }
 
-// start starts the process and watches its end.
+// start starts the process and waits for its termination in the background.
 func (d *daemon) start() error {
 	out, err := os.OpenFile(filepath.Join(d.fleet.dir, fmt.Sprintf("daemon-%d.log", d.number)), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// afterExit starts the daemon again, as the users' platform does.
+// afterExit restarts the daemon after a pause, as the users' platform does.
 func (d *daemon) afterExit(err error) {
 	d.mu.Lock()
 	expected := d.expected
@@ -180,7 +180,8 @@
 	}
 }
 
-// signal sends a signal; end says that the process is to end by it.
+// signal sends a signal; end says that the signal is meant to terminate the process. It returns
+// the channel that is closed on termination.
 func (d *daemon) signal(s os.Signal, end bool) (exited chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -195,7 +196,7 @@
 
 func (d *daemon) kill() { d.signal(syscall.SIGKILL, true) }
 
-// freeze stops the process, and wakes the same one later.
+// freeze suspends the process for a time with SIGSTOP and SIGCONT.
 func (d *daemon) freeze(ctx context.Context, for_ time.Duration) {
 	d.mu.Lock()
 	p := d.process
@@ -207,7 +208,8 @@
 	_ = p.Signal(syscall.SIGCONT)
 }
 
-// stop is a planned stop. It returns whether the process ended within its grace.
+// stop shuts the daemon down gracefully, and kills it after the grace period. It reports whether
+// the process terminated within that period or the run ended.
 func (d *daemon) stop(ctx context.Context) bool {
 	exited := d.signal(syscall.SIGTERM, true)
 	select {
@@ -227,7 +229,7 @@
 	return d.incarnation
 }
 
-// balance asks a daemon whether it is ready, as the users' balancer does.
+// balance polls the readiness of a daemon until ctx is done, as the users' load balancer does.
 func (d *daemon) balance(ctx context.Context) {
 	client := &http.Client{Timeout: readyTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for ctx.Err() == nil {
@@ -256,7 +258,7 @@
 	return d.in
 }
 
-// pick returns a daemon for a caller's new connection.
+// pick returns a ready daemon for a caller's new connection, if there is one.
 func (f *fleet) pick(draw int) (*daemon, bool) {
 	n := len(f.daemons)
 	start := (draw + int(time.Now().UnixMilli())) % n
@@ -268,7 +270,7 @@
 	return nil, false
 }
 
-// allIn reports whether every daemon is ready.
+// allIn reports whether the balancer considers every daemon ready.
 func (f *fleet) allIn() bool {
 	for _, d := range f.daemons {
 		if !d.isIn() {
@@ -278,7 +280,8 @@
 	return true
 }
 
-// end kills what is left and waits. The context must have ended before.
+// end kills the running daemons, waits for them and closes their links. The fleet's context
+// must be done before, or the daemons are restarted.
 func (f *fleet) end() {
 	for _, d := range f.daemons {
 		d.kill()
