--- a/internal/soak/foreign.go
+++ b/internal/soak/foreign.go
@@ -1,6 +1,6 @@
-// This file plays another writer among the replicas' entries: it overwrites good ones for a
-// while, and writes some that look like a replica's and lead to a trap. What fails to name a
-// replica must not be used (ENTRY, DRAIN), and the others must go on.
+// This file simulates a foreign writer among the replicas' entries: it temporarily overwrites
+// valid entries, and writes invalid ones with the address of a trap. Daemons must not use
+// entries that don't describe a replica (ENTRY, DRAIN), and must keep using the others.
 
 package soak
 
@@ -12,11 +12,12 @@
 	"time"
 )
 
-// shortestForeign is added to the length of a fault, so that most last longer than the time
-// after which requests to a replica without an entry are judged.
+// shortestForeign is added to the duration of a fault, so that most last longer than the time
+// after which requests to a replica without an entry are violations.
 const shortestForeign = 2 * time.Second
 
-// drawForeign adds the faults of another writer, with draws of their own.
+// drawForeign adds the faults of the foreign writer. They come from a random source of their
+// own, so that the other faults of a seed don't depend on them.
 func (p *Plan) drawForeign(seed uint64, s Shape) {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	for range int(math.Ceil(s.ForeignPerSec * s.Trouble.Seconds())) {
@@ -27,8 +28,8 @@
 	}
 }
 
-// foreignEntry returns an entry that names no replica, though it gives a service and an
-// address.
+// foreignEntry returns an entry that doesn't describe a replica. All variants but the first
+// have a service and an address nevertheless.
 func foreignEntry(variant int, service, address string) []byte {
 	const good = `"service":%q,"address":%q,"zone":"z0","slots":%s,"state":%s%s`
 	text := func(slots, state, more string) []byte {
@@ -53,8 +54,8 @@
 	return text("6", "null", "")
 }
 
-// writeForeign writes entries that lead to the trap, and overwrites that of a replica for a
-// while.
+// writeForeign writes entries with the address of the trap, and overwrites the entry of a
+// replica, both for the duration of the fault.
 func (s *injector) writeForeign(f *Fault) {
 	p, r := s.at(f.Target)
 	for i := range 3 {
@@ -76,7 +77,7 @@
 	}
 }
 
-// trap is an address that no entry of a replica names.
+// trap is a listener whose address stands only in invalid entries.
 type trap struct {
 	listener net.Listener
 	ledger   *Ledger
@@ -107,9 +108,9 @@
 	}
 }
 
-// Trapped notes a connection to an address that only entries name which name no replica.
+// Trapped records a connection to the trap.
 func (l *Ledger) Trapped(at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ended = append(l.ended, Violation{Promise: "ENTRY", Subject: "trap", At: at, Detail: "a daemon connected to an address that only unusable entries name"})
+	l.ended = append(l.ended, Violation{Promise: "ENTRY", Subject: "trap", At: at, Detail: "a daemon connected to an address that stands only in invalid entries"})
 }
