--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -1,4 +1,4 @@
-// This file carries out the faults of a plan and notes what they disturb.
+// This file injects the faults of a plan and records what they disturb.
 
 package soak
 
@@ -15,21 +15,21 @@
 	"hingewinch.org/hingewinch/platform/standin"
 )
 
-// Figures of the faults.
+// Parameters of the faults.
 const (
-	// settling is how long after a fault's end its traces may last.
+	// settling is how long the effects of a fault may last after its end.
 	settling     = 500 * time.Millisecond
-	expiryTime   = 1500 * time.Millisecond // until a crashed replica's entry goes
-	backTime     = time.Second             // until lapsed entries are back
-	serveOn      = 5 * time.Second         // how long a leaving replica serves
-	mostGrey     = 3                       // replicas that turn grey together
+	expiryTime   = 1500 * time.Millisecond // until a crashed replica's entry expires
+	backTime     = time.Second             // until expired entries are written again
+	serveOn      = 5 * time.Second         // how long a departing replica serves on
+	mostGrey     = 3                       // replicas affected by one grey fault
 	stormGap     = 250 * time.Millisecond
 	flapGap      = 700 * time.Millisecond
 	linkDelay    = 40 * time.Millisecond
 	fillerRoutes = 300
 )
 
-// injector carries out faults.
+// injector injects the faults of a run.
 type injector struct {
 	*site
 	ctx       context.Context
@@ -38,11 +38,11 @@
 
 	copies copies // of the store
 
-	// storeMu keeps troubles of the store apart: the last one would end all.
+	// storeMu serializes faults of the store: the end of one resets the modes that another set.
 	storeMu sync.Mutex
 }
 
-// run carries out the plan's faults at their times.
+// run injects the plan's faults at their times and waits for them to end.
 func (s *injector) run(p *Plan) {
 	var wg sync.WaitGroup
 	begun := time.Now()
@@ -62,10 +62,10 @@
 
 func (s *injector) daemon(f *Fault) *daemon { return s.fleet.daemons[f.Target%len(s.fleet.daemons)] }
 
-// disturb runs a fault of some daemons and notes the time.
+// disturb runs inject and records that it disturbs the daemons meanwhile.
 func (s *injector) disturb(daemons []*daemon, inject func()) {
 	from := time.Now()
-	// Until it is over, nothing bounds the disturbance.
+	// The end isn't known yet; an hour is longer than any fault lasts.
 	far := from.Add(time.Hour)
 	for _, d := range daemons {
 		s.ledger.DisturbDaemon(d.number, from, far)
@@ -112,7 +112,7 @@
 		pause(s.ctx, f.For)
 		s.callerFaults.leave.Store(0)
 	}
-	s.note("%s target %d is over", f.Kind, f.Target)
+	s.note("%s target %d ended", f.Kind, f.Target)
 }
 
 func (s *injector) injectProcess(f *Fault) {
@@ -140,8 +140,8 @@
 	}
 }
 
-// stop is a planned stop. One that begins while the process is frozen, or that a
-// kill ends, is judged by nobody: the other fault disturbs the daemon.
+// stop shuts a daemon down gracefully. If the process is frozen when that begins, or is killed
+// meanwhile, the shutdown isn't checked, because the other fault disturbs the daemon.
 func (s *injector) stop(d *daemon) {
 	from := time.Now()
 	s.ledger.Stopped(d.number, from, from.Add(time.Hour))
@@ -153,7 +153,7 @@
 	}
 }
 
-// hangUp changes the settings file and signals it.
+// hangUp changes the settings file and sends SIGHUP to the daemon.
 func (s *injector) hangUp(d *daemon, variant int) {
 	text, err := os.ReadFile(d.file)
 	if err != nil {
@@ -166,7 +166,8 @@
 
 func hashInt(text string) int { return int(hashOf(text) >> 1) }
 
-// cut parts daemons from the others: in both directions, or in one.
+// cut partitions one daemon or the daemons of a domain from the others, in both directions or
+// in one, depending on the variant.
 func (s *injector) cut(f *Fault) {
 	var inside []*daemon
 	domain := s.domains[f.Target%len(s.domains)]
@@ -194,7 +195,7 @@
 	})
 }
 
-// linkTroubles are the variants of trouble on a link.
+// linkTroubles are the variants of link faults.
 var linkTroubles = []Trouble{
 	{Share: 1, Delay: linkDelay}, {Share: 0.5, Reset: true}, {Share: 0.5, Forward: true, Back: true},
 	{Share: 1, Forward: true}, {Share: 1, Back: true}, {Share: 1, Reset: true}, {Share: 0.3, Delay: 10 * linkDelay},
