--- a/internal/soak/inject_replica.go
+++ b/internal/soak/inject_replica.go
@@ -1,4 +1,4 @@
-// This file carries out the faults of replicas: grey ones, crashes and drains.
+// This file injects the faults of replicas: grey failures, crashes and drains.
 
 package soak
 
@@ -27,7 +27,7 @@
 			other = serviceOther
 		}
 		s.crash(p, r, other, expiryTime)
-		// What was lost is made good at an address of its own.
+		// Another replica, at a new address, replaces the one that crashed.
 		_ = s.addPlace(r.Service, r.Domain)
 	case flapReplica:
 		for range 3 {
@@ -45,7 +45,7 @@
 	}
 }
 
-// makeGrey gives some replicas a bad behaviour for a time.
+// makeGrey gives up to mostGrey replicas one of the greyBehaviours for the duration of the fault.
 func (s *injector) makeGrey(f *Fault) {
 	var wg sync.WaitGroup
 	for i := range 1 + f.Variant%mostGrey {
@@ -61,8 +61,8 @@
 	wg.Wait()
 }
 
-// crash ends a replica without draining; its entry expires, and a new replica of a
-// service begins at its address.
+// crash terminates a replica without draining it. Its entry expires, and a new replica of the
+// service next starts at its address.
 func (s *injector) crash(p *place, r *Replica, next string, down time.Duration) {
 	if !s.takeDown(p, r) {
 		return
@@ -75,8 +75,8 @@
 	_ = s.beginAgain(p, next)
 }
 
-// drain replaces a replica: the new one starts, the old one says that it leaves,
-// or its entry goes, and it serves on for a while.
+// drain replaces a replica: a new one starts, and the old one announces its departure in its
+// entry or deletes the entry, and serves on for a while.
 func (s *injector) drain(p *place, r *Replica, announced bool) {
 	s.vacate(p)
 	if s.addPlace(r.Service, r.Domain) != nil {
