--- a/internal/soak/inject_store.go
+++ b/internal/soak/inject_store.go
@@ -1,5 +1,5 @@
-// This file carries out the faults of the store: endpoints that turn daemons away, and
-// entries that expire.
+// This file injects the faults of the store: endpoints that refuse daemons, entries that
+// expire, and silent compactions.
 
 package soak
 
@@ -9,7 +9,7 @@
 	"hingewinch.org/hingewinch/platform/standin"
 )
 
-// storeModes are how the store can turn daemons away.
+// storeModes are the ways in which an endpoint of the store can refuse daemons.
 var storeModes = []standin.StoreMode{standin.StoreBusy, standin.StoreResets, standin.StoreSilent}
 
 func (s *injector) injectStore(f *Fault) {
@@ -22,8 +22,8 @@
 	case storeExpires:
 		s.disturbStore(func() { s.setModes(s.endpoints, mode, f.For, s.expireEntries(f)) })
 	case storeTurns:
-		// Daemons that are turned away learn from their peers, so that their
-		// bounds hold.
+		// Daemons whose endpoint refuses them learn from their peers. Their time bounds hold,
+		// so that the fault isn't recorded as a disturbance.
 		turned := 1 + f.Target%max(1, len(s.endpoints)/2)
 		s.setModes(s.endpoints[:turned], mode, f.For, nil)
 	case storeForgets:
@@ -34,7 +34,8 @@
 	}
 }
 
-// disturbStore notes the trouble before it begins: judgement goes on meanwhile.
+// disturbStore runs inject and records that it disturbs the store. It records the start first,
+// because the ledger is judged while the fault lasts.
 func (s *injector) disturbStore(inject func()) {
 	from := time.Now()
 	s.ledger.DisturbStore(from, from.Add(time.Hour))
@@ -42,7 +43,8 @@
 	s.ledger.CalmStore(from, time.Now().Add(settling))
 }
 
-// setModes sets the mode of some endpoints for a time; meanwhile runs then.
+// setModes sets the mode of some endpoints for a time. It calls meanwhile, unless that is nil,
+// once the mode is set.
 func (s *injector) setModes(endpoints []*standin.StoreEndpoint, mode standin.StoreMode, d time.Duration, meanwhile func()) {
 	for _, endpoint := range endpoints {
 		endpoint.SetMode(mode)
@@ -56,8 +58,8 @@
 	}
 }
 
-// expireEntries takes entries of living replicas away; they are back a moment after the
-// store's return.
+// expireEntries returns a function that deletes the entries of about three in four live
+// replicas; each is written again backTime after the end of the fault.
 func (s *injector) expireEntries(f *Fault) func() {
 	return func() {
 		s.mu.Lock()
