--- a/internal/soak/link.go
+++ b/internal/soak/link.go
@@ -1,5 +1,5 @@
-// This file forwards bytes between two ends on loopback and troubles them on the
-// way: delays, resets, silence, one direction cut.
+// This file implements links, which forward bytes and datagrams between two loopback addresses
+// and inject network faults: delays, resets, and stalls of one or both directions.
 
 package soak
 
@@ -10,19 +10,19 @@
 	"time"
 )
 
-// Trouble is what a link does to connections.
+// Trouble is the fault that a link injects into its connections. The zero value is none.
 type Trouble struct {
-	Share   float64       // of the connections; those that are open are drawn as well
-	Delay   time.Duration // of each piece
-	Reset   bool          // breaks them
-	Forward bool          // holds up what goes from the opener
-	Back    bool          // holds up what goes to the opener
+	Share   float64       // fraction of the connections affected, including open ones
+	Delay   time.Duration // added to each read
+	Reset   bool          // resets the connections
+	Forward bool          // stalls the direction from the side that opened the connection
+	Back    bool          // stalls the direction to the side that opened the connection
 }
 
-// linkPoll is how often a held-up direction looks whether it may go on.
+// linkPoll is the interval at which a stalled direction checks whether it may continue.
 const linkPoll = 5 * time.Millisecond
 
-// Link is a forwarder. It is safe for use by many goroutines.
+// Link forwards TCP connections from one address to another. It is safe for concurrent use.
 type Link struct {
 	mu       sync.Mutex
 	listener net.Listener
@@ -33,10 +33,10 @@
 
 type linkConn struct {
 	near, far *net.TCPConn
-	draw      float64 // decides whether the trouble applies, by its share
+	draw      float64 // random number in [0, 1); a fault applies if its Share is greater
 }
 
-// openLink forwards from an address to a target.
+// openLink opens a link that listens on address and forwards to target.
 func openLink(address, target string) (*Link, error) {
 	l, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -47,21 +47,21 @@
 	return link, nil
 }
 
-// Address returns where the link listens.
+// Address returns the address on which the link listens.
 func (l *Link) Address() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.listener.Addr().String()
 }
 
-// SetTarget sends new connections to another target.
+// SetTarget changes the target of new connections.
 func (l *Link) SetTarget(target string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.target = target
 }
 
-// SetTrouble replaces the link's trouble; the zero value ends it.
+// SetTrouble replaces the link's fault; the zero value ends it.
 func (l *Link) SetTrouble(t Trouble) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,7 +76,7 @@
 	}
 }
 
-// Close ends the link and its connections. New ones are refused.
+// Close closes the listener and resets all connections.
 func (l *Link) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,7 +86,8 @@
 	}
 }
 
-// Reopen listens again after Close, at the same address unless that was taken meanwhile.
+// Reopen listens again after Close, on the same address, or on another port if that address
+// is in use.
 func (l *Link) Reopen() error {
 	address := l.Address()
 	listener, err := net.Listen("tcp4", address)
@@ -142,7 +143,7 @@
 	l.mu.Unlock()
 }
 
-// pump copies one direction. The end of the sender is passed on like its bytes.
+// pump copies one direction. It forwards the end of the stream with CloseWrite.
 func (l *Link) pump(c *linkConn, to, from *net.TCPConn, held func(*Trouble) bool) {
 	buf := make([]byte, 16<<10)
 	for {
@@ -165,7 +166,7 @@
 	}
 }
 
-// hold waits while the link's trouble holds this direction up.
+// hold waits for the delay of the link's fault, and while the fault stalls this direction.
 func (l *Link) hold(c *linkConn, held func(*Trouble) bool) {
 	for delayed := false; ; {
 		l.mu.Lock()
@@ -195,8 +196,8 @@
 	_ = c.Close()
 }
 
-// peerLink carries datagrams and connections to one daemon, at the address that
-// the others know.
+// peerLink forwards datagrams and connections to one daemon, from the address that the daemon
+// announces to its peers.
 type peerLink struct {
 	news   *Link
 	socket *net.UDPConn
@@ -206,7 +207,7 @@
 	blocked func(from string) bool // by the sender's IP
 }
 
-// openPeerLink forwards what comes to an address to the daemon's own.
+// openPeerLink opens a link that listens on address and forwards to target.
 func openPeerLink(address, target string) (*peerLink, error) {
 	news, err := openLink(address, target)
 	if err != nil {
@@ -243,7 +244,8 @@
 	}
 }
 
-// block drops the datagrams of some senders. News is held up if all are blocked.
+// block drops the datagrams of the senders for which blocked returns true. If news is set, it
+// also stalls all connections.
 func (p *peerLink) block(blocked func(from string) bool, news bool) {
 	p.mu.Lock()
 	p.blocked = blocked
