--- a/internal/soak/planted_test.go
+++ b/internal/soak/planted_test.go
@@ -1,12 +1,12 @@
 //go:build planted
 
-// These tests build daemons with one mechanism taken out, and require that the
-// soak finds each. They take some minutes and are run by hand:
+// These tests build daemons with one mechanism disabled at a time, and require that the soak
+// test reports the violation that this causes. They take several minutes and are run by hand:
 //
 //	go test -tags planted -v -timeout 20m -parallel 2 -run TestPlantedFaultsAreFound ./internal/soak
 //
-// The faults are laid over the sources at build time, so that the product holds
-// no code for them.
+// The faults are applied to the sources with go build -overlay, so that the daemon itself
+// contains no code for them.
 
 package soak
 
@@ -20,7 +20,7 @@
 	"testing"
 )
 
-// seedsForEach is how many seeds may be played until a fault is found.
+// seedsForEach is the number of seeds within which each fault must be found.
 const seedsForEach = 8
 
 func TestPlantedFaultsAreFound(t *testing.T) {
@@ -49,11 +49,11 @@
 	}
 }
 
-// steadyDaemons is the size of the fleet of steady runs: in one of 30 a fleet without the
-// mechanism broke the promise with one seed in four.
+// steadyDaemons is the number of daemons in steady runs. With 30 daemons, the planted fault
+// caused a violation with only one seed in four.
 const steadyDaemons = 87
 
-// plan returns the plan of a seed that may find the fault.
+// plan returns the plan for a seed, with the shape and the faults that the planted fault needs.
 func (p *plant) plan(seed uint64) *Plan {
 	if p.steady {
 		return NewSteadyPlan(seed, steadyDaemons, DefaultShape())
@@ -76,7 +76,7 @@
 	return plan
 }
 
-// build builds the daemon with the fault laid over its source.
+// build builds the daemon with the planted fault.
 func (p *plant) build(t *testing.T, root string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -88,10 +88,10 @@
 			t.Fatal(err)
 		}
 		if _, ok := replaced[file]; ok {
-			t.Fatalf("two edits of %s; only one would be laid over it", e.file)
+			t.Fatalf("two edits of %s; an overlay replaces a file only once", e.file)
 		}
 		if strings.Count(string(source), e.text) != 1 {
-			t.Fatalf("%s does not hold %q once; the fault must be planted anew", e.file, e.text)
+			t.Fatalf("%s does not contain %q exactly once; adapt the planted fault to the source", e.file, e.text)
 		}
 		changed := filepath.Join(dir, fmt.Sprintf("changed-%d.go", i))
 		if err := os.WriteFile(changed, []byte(strings.Replace(string(source), e.text, e.instead, 1)), 0o600); err != nil {
