--- a/internal/soak/plants_test.go
+++ b/internal/soak/plants_test.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-// plant is a fault: a text of a source file and what takes its place.
+// plant is a fault that is planted by replacing text in source files.
 type plant struct {
 	name, promise string
 	file          string
 	text, instead string
 	steady        bool                      // found by steady runs
-	quiet         time.Duration             // of the runs that find it; 0: as others
-	faults        func(daemons int) []Fault // of the runs that find it; nil: as they are drawn
-	plain         bool                      // found by runs without rests, leavings and false ends
-	crashing      int                       // requests that crash replicas in the runs that find it; 0: as others
-	callers       int                       // how many times as many callers there are; 0: as others
-	subject       string                    // that the subject of what is broken begins with
-	also          []edit                    // further changes of the sources
+	quiet         time.Duration             // quiet time of the runs that find it; 0: the default
+	faults        func(daemons int) []Fault // injected in the runs that find it; nil: drawn from the seed
+	plain         bool                      // found by runs without backoff requests, departures and false terminations
+	crashing      int                       // requests that crash replicas in the runs that find it; 0: the default
+	callers       int                       // factor applied to the number of callers; 0: 1
+	subject       string                    // required prefix of the violation's subject
+	also          []edit                    // further changes of other source files
 }
 
-// edit is a text of a source file and what takes its place.
+// edit replaces text in a source file. The text must occur in it exactly once.
 type edit struct{ file, text, instead string }
 
-// edits returns all changes of the sources.
+// edits returns all edits of the plant.
 func (p *plant) edits() []edit { return append([]edit{{p.file, p.text, p.instead}}, p.also...) }
 
-// longQuiet shows faults that break a bound little by little.
+// longQuiet is a quiet time long enough to find faults that exceed a bound slowly.
 const longQuiet = 40 * time.Second
 
 var plants = []plant{
@@ -102,7 +102,7 @@
 		text: "case gossip.IsLeavings(payload):", instead: "case gossip.IsLeavings(payload) && len(payload) == 0:"},
 }
 
-// restartsInSeries kills one daemon after another, each once in ten seconds.
+// restartsInSeries kills one daemon after another, each once every ten seconds.
 func restartsInSeries(daemons int) []Fault {
 	const each, rounds = 10 * time.Second, 4
 	var out []Fault
@@ -112,14 +112,14 @@
 	return out
 }
 
-// storeAwayFromTheStart keeps the store away while requests crash replicas: those that come back
-// under their id do so unseen, and the fleet still holds them for warm.
+// storeAwayFromTheStart makes the store unavailable while requests crash replicas. Daemons then
+// don't see that replicas restarted under the same id, and still consider them warm.
 func storeAwayFromTheStart(int) []Fault {
 	return []Fault{{At: time.Second, For: 12 * time.Second, Kind: storeAway}}
 }
 
-// restoresInSeries has the store come back from copies over and over, some of them a moment after a
-// key was taken away and a replica has left, with time between them in which all is judged.
+// restoresInSeries restores the store from a backup several times, each time shortly after a key
+// was revoked and a replica drained, with enough time in between for violations to show.
 func restoresInSeries(int) []Fault {
 	var out []Fault
 	for i := range 4 {
@@ -133,7 +133,8 @@
 	return out
 }
 
-// falseEndsInSeries tells of ends of one service after another, each a tenth of a second old.
+// falseEndsInSeries reports false terminations of the replicas of one service after another,
+// each a tenth of a second old.
 func falseEndsInSeries(int) []Fault {
 	var out []Fault
 	for i := range 4 {
@@ -142,8 +143,8 @@
 	return out
 }
 
-// TestPlantsFitTheSources holds that each planted fault still finds its place: the
-// run that plays them is long and not part of each test run.
+// TestPlantsFitTheSources checks that the text of each edit still occurs exactly once in its
+// source file. The tests that build the planted faults take too long for every test run.
 func TestPlantsFitTheSources(t *testing.T) {
 	for _, p := range plants {
 		for _, e := range p.edits() {
@@ -152,7 +153,7 @@
 				t.Fatal(err)
 			}
 			if n := strings.Count(string(source), e.text); n != 1 {
-				t.Errorf("%s: its text stands %d times in %s, want once; name the place where the mechanism is now", p.name, n, e.file)
+				t.Errorf("%s: the text of an edit occurs %d times in %s, want once; adapt it to the current code of the mechanism", p.name, n, e.file)
 			}
 		}
 	}
