--- a/internal/soak/processes_test.go
+++ b/internal/soak/processes_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestOnlyTheSoakStartsProcesses reads the sources: a process of the system starts
-// no other one, so that os/exec is imported here alone.
+// TestOnlyTheSoakStartsProcesses checks that no package but this one imports os/exec: no process
+// of the system starts another one.
 func TestOnlyTheSoakStartsProcesses(t *testing.T) {
 	root, err := filepath.Abs("../..")
 	if err != nil {
@@ -37,6 +37,6 @@
 		t.Fatal(err)
 	}
 	if len(importers) != 1 || !importers["internal/soak"] {
-		t.Errorf("os/exec is imported by %v, want internal/soak alone", importers)
+		t.Errorf("os/exec is imported by %v, want only internal/soak", importers)
 	}
 }
