--- a/internal/soak/replica.go
+++ b/internal/soak/replica.go
@@ -1,5 +1,5 @@
-// This file plays replicas: they run requests, report to the ledger, and misbehave as
-// their behaviour says.
+// This file simulates replicas: they run requests, record them in the ledger, and inject the
+// failures of their current behaviour.
 
 package soak
 
@@ -19,29 +19,29 @@
 	"hingewinch.org/hingewinch/platform/standin"
 )
 
-// behaviour says how a replica misbehaves. Each share is of the requests.
+// behaviour describes how a replica fails. Each float64 is the fraction of its requests.
 type behaviour struct {
-	Fail    float64 // answers 500 after the work
-	Shed    float64 // refuses without having run
-	Hang    float64 // never answers
-	Break   float64 // ends its answer half-way
-	Lose    float64 // runs and resets the connection
-	Surplus float64 // answers twice, at once or in the place of the next answer
-	// Rest is what a refusal asks the daemon for; 0: nothing. Of its refusals, one in
-	// unreadableOneIn asks with a text that is no time.
+	Fail    float64 // responds with 500 after the work
+	Shed    float64 // refuses the request without running it
+	Hang    float64 // never responds
+	Break   float64 // truncates the response
+	Lose    float64 // runs the request and resets the connection
+	Surplus float64 // responds twice, at once or before the next response on the connection
+	// Rest is the backoff that a refusal requests from the daemon; 0: none. One refusal in
+	// unreadableOneIn requests it with a text that isn't a valid duration.
 	Rest time.Duration
 }
 
-// ordinary is the behaviour of a replica that is well: now and then an answer breaks
-// off, is lost or comes twice.
+// ordinary is the behaviour of a healthy replica: occasionally a response is truncated, lost or
+// sent twice.
 var ordinary = behaviour{Break: 0.01, Lose: 0.004, Surplus: 0.02}
 
-// greyBehaviours are the variants of a grey replica.
+// greyBehaviours are the variants of a grey failure: the replica is up but fails many requests.
 var greyBehaviours = []behaviour{
 	{Fail: 0.5}, {Shed: 0.6}, {Hang: 0.3}, {Break: 0.3}, {Lose: 0.2}, {Surplus: 0.6}, {Fail: 1}, {Surplus: 0.3, Lose: 0.1, Break: 0.1},
 }
 
-// Replica is one replica from its start to its end.
+// Replica simulates one replica process.
 type Replica struct {
 	ID       string
 	Service  string
@@ -53,17 +53,17 @@
 
 	mu        sync.Mutex
 	behaviour behaviour
-	busy      int
+	busy      int // slots in use
 	conns     map[net.Conn]struct{}
 	ended     bool
-	leaving   bool // it says in all answers that it leaves
+	leaving   bool // it announces its departure in every response
 	coldUntil time.Time
-	arrivals  []time.Time // of the last second, while it is cold
+	arrivals  []time.Time // within the last second, recorded while the replica is cold
 	// crashed is called when a request has crashed the replica.
 	crashed func()
 }
 
-// startReplica listens on a loopback address.
+// startReplica starts a replica on a free port of the loopback address.
 func startReplica(id, service, domain string, slots int, l *Ledger) (*Replica, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -74,32 +74,32 @@
 	return r, nil
 }
 
-// Address returns where the replica listens.
+// Address returns the address on which the replica listens.
 func (r *Replica) Address() string { return r.listener.Addr().String() }
 
-// SetBehaviour changes how it misbehaves.
+// SetBehaviour replaces the replica's behaviour, for requests that arrive from now on.
 func (r *Replica) SetBehaviour(m behaviour) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.behaviour = m
 }
 
-// TurnCold makes it cold until a time.
+// TurnCold makes the replica cold until a time.
 func (r *Replica) TurnCold(until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.coldUntil = until
 }
 
-// coldLeft returns how much longer it is cold.
+// coldLeft returns how much longer the replica is cold.
 func (r *Replica) coldLeft(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return max(0, r.coldUntil.Sub(now))
 }
 
-// fallsOver counts an arrival, and reports whether a cold replica falls over by it: it got
-// far more within a second than it bears.
+// fallsOver records an arrival and reports whether a cold replica fails under it, because it
+// received more than fallOver times coldPerSecond requests within a second.
 func (r *Replica) fallsOver(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -114,7 +114,7 @@
 	return float64(len(r.arrivals)) > fallOver*coldPerSecond
 }
 
-// End closes the listener and resets all connections.
+// End terminates the replica: it closes the listener and resets all connections.
 func (r *Replica) End() {
 	_ = r.listener.Close()
 	r.mu.Lock()
@@ -189,12 +189,13 @@
 	moreEvents  = 6
 )
 
-// plainBody is what a replica answers to a plain request.
+// plainBody returns the response body for a request without a stream.
 func plainBody(id, replica string) string {
 	return "id=" + id + " replica=" + replica + " " + strings.Repeat("x", int(hashOf(id)%mostPadding))
 }
 
-// streamEvents are the events of a request's stream, the same at every replica.
+// streamEvents returns the events of the response stream of a request. They are the same at
+// every replica, so that a stream can be resumed at another one.
 func streamEvents(id string) []string {
 	n := leastEvents + int(hashOf(id)%moreEvents)
 	if isSteady(id) {
@@ -207,7 +208,7 @@
 	return out
 }
 
-// streamBody is the whole stream after some events.
+// streamBody returns the remainder of the stream of a request after a number of events.
 func streamBody(id string, after int) string { return strings.Join(streamEvents(id)[after:], "") }
 
 func isEOF(err error) bool { return errors.Is(err, io.EOF) }
