--- a/internal/soak/resting.go
+++ b/internal/soak/resting.go
@@ -1,5 +1,5 @@
-// This file plays replicas that turn every request away for a while and ask the daemon for
-// rest, and judges what reaches them in that time from that daemon.
+// This file simulates replicas that refuse all requests for a while and request a backoff from
+// the daemon, and checks how many requests that daemon sends them during the backoff.
 
 package soak
 
@@ -15,34 +15,35 @@
 	"hingewinch.org/hingewinch/platform/standin"
 )
 
-// Figures of replicas that ask for rest.
+// Parameters of replicas that request a backoff.
 const (
 	shortestRest = 600 * time.Millisecond
 	longestRest  = 3 * time.Second
-	mostResting  = 3 // replicas that turn away together
-	// Of the faults, one in wholeServiceOneIn strikes all replicas of a service.
+	mostResting  = 3 // replicas that refuse requests in one fault
+	// One fault in wholeServiceOneIn affects all replicas of a service instead.
 	wholeServiceOneIn = 4
-	// Of the refusals, one in unreadableOneIn asks with a text that is no time.
+	// One refusal in unreadableOneIn requests a backoff with a text that isn't a valid duration.
 	unreadableOneIn = 6
-	// lapse is for how long the entry of a replica that rests goes, in every second fault.
+	// lapse is how long the entry of a refusing replica is missing, in every second fault.
 	lapse = 300 * time.Millisecond
 )
 
-// restingBounds bound what reaches a replica from a daemon that it asked for rest.
+// restingBounds limit the requests of a daemon to a replica that requested a backoff from it.
 type restingBounds struct {
-	Grace time.Duration // after the answer, in which requests that were on their way arrive
-	Most  int           // requests from then to the end of the rest
+	Grace time.Duration // after the response, in which requests in flight may still arrive
+	Most  int           // requests allowed from then until the end of the backoff
 }
 
-// restAsked is a refusal that asked a daemon for rest.
+// restAsked is a refusal that requested a backoff from a daemon.
 type restAsked struct {
 	replica string
 	at      time.Time
 	rest    time.Duration
 }
 
-// drawStatements adds the faults of replicas that ask for rest, and of those that leave by
-// their answers alone, with draws of their own.
+// drawStatements adds the faults of replicas that request a backoff, and of those that announce
+// their departure only in responses. They come from a random source of their own, so that the
+// other faults of a seed don't depend on them.
 func (p *Plan) drawStatements(seed uint64, s Shape) {
 	rng := rand.New(rand.NewPCG(seed, 6))
 	for range int(math.Ceil(s.RestsPerSec * s.Trouble.Seconds())) {
@@ -59,7 +60,8 @@
 	}
 }
 
-// rest has some replicas turn all requests away for a time, or all of one service.
+// rest makes some replicas, or all of one service, refuse all requests and request a backoff
+// for the duration of the fault.
 func (s *injector) rest(f *Fault) {
 	rest := shortestRest + time.Duration(f.Variant%100)*(longestRest-shortestRest)/100
 	var wg sync.WaitGroup
@@ -81,7 +83,7 @@
 	wg.Wait()
 }
 
-// restingPlaces returns the places whose replicas a fault has turn requests away.
+// restingPlaces returns the places whose replicas refuse requests because of a fault.
 func (s *injector) restingPlaces(f *Fault) []*place {
 	first, r := s.at(f.Target)
 	s.mu.Lock()
@@ -97,7 +99,7 @@
 	return out
 }
 
-// lapse takes the entry of a replica away for a moment.
+// lapse deletes the entry of a replica for a short time.
 func (s *injector) lapse(p *place, r *Replica) {
 	pause(s.ctx, lapse)
 	s.remove(r)
@@ -105,7 +107,7 @@
 	s.announceAgain(p, r)
 }
 
-// turnAway refuses a request, and may ask for rest.
+// turnAway refuses a request, and requests a backoff if the behaviour says so.
 func (x *exchange) turnAway() bool {
 	says := x.says()
 	now := time.Now()
@@ -120,7 +122,7 @@
 	return x.write(standin.NotRun(x.id, says))
 }
 
-// AsksForRest notes that a replica's answer to a request asks the daemon for rest.
+// AsksForRest records that the response to a request asked the daemon for a backoff.
 func (l *Ledger) AsksForRest(request, replica string, rest time.Duration, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,21 +131,22 @@
 	l.restsBy[d] = append(l.restsBy[d], restAsked{replica: replica, at: at, rest: rest})
 }
 
-// StandsAside notes when a replica rests, or leaves by its answers alone.
+// StandsAside records a period in which a replica refuses all requests, or announces its
+// departure only in responses.
 func (l *Ledger) StandsAside(replica string, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.aside[replica] = append(l.aside[replica], span{from, to})
 }
 
-// Froze notes when a daemon's process was stopped.
+// Froze records a period in which a daemon's process was suspended.
 func (l *Ledger) Froze(daemon int, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.freezes[daemon] = append(l.freezes[daemon], span{from, to})
 }
 
-// Rests returns how many rests replicas asked for.
+// Rests returns the number of backoffs that replicas requested.
 func (l *Ledger) Rests() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -154,18 +157,19 @@
 	return n
 }
 
-// restSubject begins the subjects of rests that were broken.
+// restSubject is the prefix of the subject of violations of a backoff.
 const restSubject = "rest of "
 
-// path is a replica and a process of a daemon.
+// path identifies the requests from one process of a daemon to a replica.
 type path struct {
 	replica string
 	by      processLife
 }
 
-// judgeResting looks for rests in which too much reached the replica. Each counts for itself. A
-// daemon that starts knows nothing of what was asked before, and requests of one that was
-// frozen are on their way for as long; nothing else is an excuse.
+// judgeResting finds backoffs during which the daemon sent the replica too many requests. Each
+// backoff is checked on its own. A restarted daemon doesn't know of backoffs that were requested
+// before, and requests from a frozen daemon may be in flight for as long as it is frozen. No
+// other disturbance of a daemon or of the store is an excuse.
 func (j *judgement) judgeResting() {
 	if len(j.restsBy) == 0 {
 		return
@@ -181,7 +185,8 @@
 	}
 }
 
-// judgeRest judges one rest by the arrivals at the replica from the daemon that was asked.
+// judgeRest checks one backoff against the arrivals at the replica from the daemon that it
+// asked.
 func (j *judgement) judgeRest(a *restAsked, by processLife, arrivals []time.Time) {
 	from, to := a.at.Add(j.bounds.Resting.Grace), j.restEnds(a)
 	n, last := 0, from
@@ -193,12 +198,13 @@
 	if n > j.bounds.Resting.Most && calm(j.freezes[by.daemon], a.at, last) {
 		j.out = append(j.out, Violation{
 			Promise: "BUDGET", Subject: fmt.Sprintf("%s%s at daemon %d, %v", restSubject, a.replica, by.daemon, a.at.UnixMilli()), At: last,
-			Detail: fmt.Sprintf("%s had asked daemon %d for %v of rest and got %d requests from it in that time", a.replica, by.daemon, a.rest, n),
+			Detail: fmt.Sprintf("%s requested a backoff of %v from daemon %d and received %d requests from it meanwhile", a.replica, a.rest, by.daemon, n),
 		})
 	}
 }
 
-// restEnds returns when a rest is over: a replica that starts again under its id did not ask.
+// restEnds returns when a backoff ends: after the requested time, or when the replica restarts
+// under the same id, because the new process didn't request it.
 func (j *judgement) restEnds(a *restAsked) time.Time {
 	to := a.at.Add(a.rest)
 	for _, of := range j.joined {
@@ -209,7 +215,7 @@
 	return to
 }
 
-// rests reports whether a replica wants nothing from a daemon at a time.
+// rests reports whether a daemon must back off from a replica at a time.
 func (j *judgement) rests(replica string, d processLife, at time.Time) bool {
 	for i := range j.restsBy[d] {
 		a := &j.restsBy[d][i]
@@ -220,8 +226,8 @@
 	return false
 }
 
-// arrivalsByPath returns when requests reached replicas, those left out that a link may have
-// held up.
+// arrivalsByPath returns the arrival times of requests by replica and daemon process, without
+// those that a fault of the replica or its link may have delayed.
 func (j *judgement) arrivalsByPath() map[path][]time.Time {
 	out := make(map[path][]time.Time)
 	for _, r := range j.order {
