--- a/internal/soak/resting_test.go
+++ b/internal/soak/resting_test.go
@@ -10,16 +10,17 @@
 	"time"
 )
 
-// restCase is what a replica "r" asked daemon 0 for at 100 s, and what reached it then.
+// restCase describes a backoff that replica "r" requests from daemon 0 at 100 s, and the requests
+// that reach the replica after that.
 type restCase struct {
 	name     string
 	broken   bool
 	rest     float64   // seconds
-	arrivals []float64 // by way of daemon 0
+	arrivals []float64 // in seconds, via daemon 0
 	play     func(l *Ledger)
 }
 
-// TestJudgeOfResting plays rests and the requests that reach the replica meanwhile.
+// TestJudgeOfResting checks which arrivals at a replica during a requested backoff violate it.
 func TestJudgeOfResting(t *testing.T) {
 	send := func(l *Ledger, daemon, incarnation int, when float64) {
 		q := Request{ID: fmt.Sprint(daemon, incarnation, when), Route: routes[1], Daemon: daemon, Incarnation: incarnation, Sent: at(when)}
@@ -29,38 +30,38 @@
 	for _, c := range []restCase{
 		{"two requests", false, 3, []float64{101, 102}, nil},
 		{"three", true, 3, []float64{101, 102, 102.9}, nil},
-		{"three, of which one came within half a second", false, 3, []float64{100.4, 102, 102.9}, nil},
-		{"three, of which one came after the end", false, 3, []float64{101, 102, 103.1}, nil},
+		{"three, one of them within the grace of half a second", false, 3, []float64{100.4, 102, 102.9}, nil},
+		{"three, one of them after the end of the backoff", false, 3, []float64{101, 102, 103.1}, nil},
 		{"three within a fraction of a second", true, .75, []float64{100.6, 100.65, 100.7}, nil},
-		{"a rest that is over before anything counts", false, .4, []float64{100.1, 100.2, 100.3}, nil},
-		{"a shorter rest asked for later does not cut it", true, 3, []float64{101, 102, 102.5}, func(l *Ledger) { l.AsksForRest("0 1 100", "r", time.Second, at(100.2)) }},
-		{"a longer one asked for later counts for itself", true, 1, []float64{102, 103, 104}, func(l *Ledger) { l.AsksForRest("0 1 100", "r", 5*time.Second, at(100.5)) }},
-		{"three by another daemon, which was asked nothing", false, 3, nil, func(l *Ledger) {
+		{"a backoff shorter than the grace", false, .4, []float64{100.1, 100.2, 100.3}, nil},
+		{"a shorter backoff requested later doesn't shorten it", true, 3, []float64{101, 102, 102.5}, func(l *Ledger) { l.AsksForRest("0 1 100", "r", time.Second, at(100.2)) }},
+		{"a longer backoff requested later is checked on its own", true, 1, []float64{102, 103, 104}, func(l *Ledger) { l.AsksForRest("0 1 100", "r", 5*time.Second, at(100.5)) }},
+		{"three from another daemon, which wasn't asked to back off", false, 3, nil, func(l *Ledger) {
 			for _, when := range []float64{101, 102, 102.5} {
 				send(l, 1, 1, when)
 			}
 		}},
-		{"three by the daemon after it started again", false, 3, nil, func(l *Ledger) {
+		{"three from the daemon after its restart", false, 3, nil, func(l *Ledger) {
 			for _, when := range []float64{101, 102, 102.5} {
 				send(l, 0, 2, when)
 			}
 		}},
 		{"three after the daemon was frozen", false, 3, []float64{101, 102, 102.9}, func(l *Ledger) { l.Froze(0, at(100.5), at(100.9)) }},
-		{"three by the last build, which knows no rests", false, 3, []float64{101, 102, 102.9}, func(l *Ledger) { l.Runs(0, 1, BuildPrevious) }},
-		{"three by this build, after the last one", true, 3, []float64{101, 102, 102.9}, func(l *Ledger) {
+		{"three from the previous build, which doesn't know backoffs", false, 3, []float64{101, 102, 102.9}, func(l *Ledger) { l.Runs(0, 1, BuildPrevious) }},
+		{"three from the current build, which replaced the previous one", true, 3, []float64{101, 102, 102.9}, func(l *Ledger) {
 			l.Runs(0, 0, BuildPrevious)
 			l.Runs(0, 1, BuildCurrent)
 		}},
-		{"three before it was frozen", true, 3, []float64{101, 102, 102.5}, func(l *Ledger) { l.Froze(0, at(102.8), at(104)) }},
-		{"the store's trouble is no excuse", true, 3, []float64{101, 102, 102.9}, func(l *Ledger) { l.DisturbStore(at(100), at(104)) }},
-		{"nor is trouble of the daemon's links", true, 3, []float64{101, 102, 102.9}, func(l *Ledger) { l.DisturbDaemon(0, at(100), at(104)) }},
-		{"nor that the entry goes and is back", true, 3, []float64{101, 102, 102.9}, func(l *Ledger) {
+		{"three before the daemon was frozen", true, 3, []float64{101, 102, 102.5}, func(l *Ledger) { l.Froze(0, at(102.8), at(104)) }},
+		{"three while the store is disturbed", true, 3, []float64{101, 102, 102.9}, func(l *Ledger) { l.DisturbStore(at(100), at(104)) }},
+		{"three while the daemon's links are disturbed", true, 3, []float64{101, 102, 102.9}, func(l *Ledger) { l.DisturbDaemon(0, at(100), at(104)) }},
+		{"three after the entry was deleted and written again", true, 3, []float64{101, 102, 102.9}, func(l *Ledger) {
 			l.Leaves("r", at(100.5))
 			l.Returns("r", at(100.8))
 		}},
-		{"three that the replica's link may have held up", false, 3, []float64{101, 102, 102.9}, func(l *Ledger) { l.DisturbReplica("r", at(99), at(104)) }},
-		{"three after the replica started again", false, 3, []float64{101, 102, 102.9}, func(l *Ledger) { l.Joins("r", "s", at(100.7)) }},
-		{"three by a replica that had started before", true, 3, []float64{101, 102, 102.9}, func(l *Ledger) { l.Joins("r", "s", at(99)) }},
+		{"three that a fault of the replica's link may have delayed", false, 3, []float64{101, 102, 102.9}, func(l *Ledger) { l.DisturbReplica("r", at(99), at(104)) }},
+		{"three after the replica restarted", false, 3, []float64{101, 102, 102.9}, func(l *Ledger) { l.Joins("r", "s", at(100.7)) }},
+		{"three at a replica that had started before the backoff", true, 3, []float64{101, 102, 102.9}, func(l *Ledger) { l.Joins("r", "s", at(99)) }},
 	} {
 		l := newLedger(defaultBounds())
 		send(l, 0, 1, 100)
@@ -78,8 +79,9 @@
 	}
 }
 
-// TestJudgeOfLeavers plays a replica "r" that said to a request of daemon 0, whose answer began
-// at 100 s, that it leaves, and a later request.
+// TestJudgeOfLeavers checks which requests reach a replica too late after its departure. Replica
+// "r" announces it in a response that daemon 0 begins to forward at 100 s; one later request
+// follows.
 func TestJudgeOfLeavers(t *testing.T) {
 	type later struct {
 		sent        float64
@@ -92,23 +94,23 @@
 		later  later
 		play   func(l *Ledger)
 	}{
-		{"a request by the same daemon, soon", false, later{102, 0, 1}, nil},
-		{"one sent too late", true, later{103, 0, 1}, nil},
-		{"one by the daemon after it started again", false, later{103, 0, 2}, func(l *Ledger) { l.DisturbDaemon(0, at(101), at(101.5)) }},
-		{"one by the daemon after it was frozen", false, later{103, 0, 1}, func(l *Ledger) {
+		{"soon, from the same daemon", false, later{102, 0, 1}, nil},
+		{"too late, from the same daemon", true, later{103, 0, 1}, nil},
+		{"from the daemon after its restart", false, later{103, 0, 2}, func(l *Ledger) { l.DisturbDaemon(0, at(101), at(101.5)) }},
+		{"from the daemon after it was frozen", false, later{103, 0, 1}, func(l *Ledger) {
 			l.Froze(0, at(101), at(101.5))
 			l.DisturbDaemon(0, at(101), at(101.5))
 		}},
-		{"the store's trouble is no excuse for it", true, later{103, 0, 1}, func(l *Ledger) { l.DisturbStore(at(99), at(104)) }},
-		{"one by the same daemon of the last build", false, later{103, 0, 1}, func(l *Ledger) { l.Runs(0, 1, BuildPrevious) }},
-		{"one by another daemon of the last build", false, later{103, 1, 1}, func(l *Ledger) { l.Runs(1, 1, BuildPrevious) }},
-		{"one by another daemon, told by one of the last build", false, later{103, 1, 1}, func(l *Ledger) { l.Runs(0, 1, BuildPrevious) }},
-		{"one by another daemon in touch", true, later{103, 1, 1}, nil},
-		{"one by another daemon while the store is in trouble", false, later{103, 1, 1}, func(l *Ledger) { l.DisturbStore(at(99), at(104)) }},
-		{"one by another daemon that was out of touch", false, later{103, 1, 1}, func(l *Ledger) { l.DisturbDaemon(1, at(99), at(101)) }},
-		{"one by another daemon, the first out of touch", false, later{103, 1, 1}, func(l *Ledger) { l.DisturbDaemon(0, at(99), at(101)) }},
-		{"one that the replica's link may have held up", false, later{103, 0, 1}, func(l *Ledger) { l.DisturbReplica("r", at(102), at(104)) }},
-		{"one after a refusal that nobody passed on", false, later{103, 0, 1}, func(l *Ledger) {
+		{"from the same daemon while the store is disturbed", true, later{103, 0, 1}, func(l *Ledger) { l.DisturbStore(at(99), at(104)) }},
+		{"from the same daemon, of the previous build", false, later{103, 0, 1}, func(l *Ledger) { l.Runs(0, 1, BuildPrevious) }},
+		{"from another daemon, of the previous build", false, later{103, 1, 1}, func(l *Ledger) { l.Runs(1, 1, BuildPrevious) }},
+		{"from another daemon, the announcement forwarded by the previous build", false, later{103, 1, 1}, func(l *Ledger) { l.Runs(0, 1, BuildPrevious) }},
+		{"from another daemon in touch", true, later{103, 1, 1}, nil},
+		{"from another daemon while the store is disturbed", false, later{103, 1, 1}, func(l *Ledger) { l.DisturbStore(at(99), at(104)) }},
+		{"from another daemon that was out of touch", false, later{103, 1, 1}, func(l *Ledger) { l.DisturbDaemon(1, at(99), at(101)) }},
+		{"from another daemon, the forwarding one out of touch", false, later{103, 1, 1}, func(l *Ledger) { l.DisturbDaemon(0, at(99), at(101)) }},
+		{"possibly delayed by a fault of the replica's link", false, later{103, 0, 1}, func(l *Ledger) { l.DisturbReplica("r", at(102), at(104)) }},
+		{"after an announcement that wasn't forwarded", false, later{103, 0, 1}, func(l *Ledger) {
 			l.Answered("q", Answer{At: at(100.1), Begun: at(100), Status: 503})
 		}},
 	} {
@@ -129,15 +131,13 @@
 	}
 }
 
-// Seen: a replica turned a daemon away with 503 and asked for 3 s of rest, and got three and
-// four requests of that daemon in that time, twice on a day.
-// How it came about: replicas in trouble turn all away for seconds. Each refusal was counted as
-// a failure; the fourth ejected the replica for .5 s, the next for 1 s, and after each the
-// daemon sent there again. Where most replicas are in trouble ejections are void.
-// Cause: the daemon read nothing of what a replica says of itself in an answer but its load.
-// Proved by: lines with the rest that each answer asked for. Of the requests that arrived too
-// late, all were sent after the refusal that asked; here, over real processes, the more replicas
-// are in trouble together the more rests are broken.
+// TestReplicasThatAskForRestAreLeftAlone guards against daemons that ignore the backoff which a
+// replica requests in a refusal. A replica responded with 503 and requested a backoff of 3 s, and
+// received three requests from that daemon in one case and four in another, all sent after the refusal: the daemon
+// read only the load from responses. It counted each refusal as a failure, ejected the replica
+// for 0.5 s after the fourth and for 1 s after the next, and then sent to it again. When most
+// replicas are in trouble, ejections are ignored, so that more replicas in trouble at once mean
+// more violations.
 func TestReplicasThatAskForRestAreLeftAlone(t *testing.T) {
 	const daemons = 8
 	some := func(at time.Duration, target int) Fault {
@@ -156,13 +156,13 @@
 	}
 	report := playPlan(t, plan)
 	if report.Rests < 50 {
-		t.Errorf("only %d rests were asked for; the replicas did not do what is played here", report.Rests)
+		t.Errorf("only %d backoffs were requested, want at least 50; the faults did not take effect", report.Rests)
 	}
 }
 
-// The same cause, seen with replicas that leave and say so in their answers, while their entries
-// go on saying that they are ready: 83 requests reached such replicas too late, at 14 pairs of
-// daemon and replica.
+// TestReplicasThatLeaveByTheirAnswersAreLeftAlone guards against the same failure to read
+// responses, with replicas that announce their departure in responses while their entries stay
+// ready. 83 requests reached such replicas too late, over 14 pairs of daemon and replica.
 func TestReplicasThatLeaveByTheirAnswersAreLeftAlone(t *testing.T) {
 	const daemons = 8
 	leave := func(at time.Duration, target int) Fault {
@@ -174,11 +174,12 @@
 	}
 	report := playPlan(t, plan)
 	if report.Leavers < len(plan.Faults)/2 {
-		t.Errorf("only %d replicas left by their answers; they did not do what is played here", report.Leavers)
+		t.Errorf("only %d replicas announced their departure in responses; the faults did not take effect", report.Leavers)
 	}
 }
 
-// playPlan plays a plan with a daemon of this checkout, and reports each broken promise.
+// playPlan runs a plan with the daemon built from this checkout, and fails the test if there are
+// violations.
 func playPlan(t *testing.T, plan *Plan) *Report {
 	t.Helper()
 	root, err := filepath.Abs("../..")
@@ -189,7 +190,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d requests, %.3f served, %.3f at the end; %d rests, %d replicas that left by their answers, %d violations",
+	t.Logf("%d requests, %.3f served, %.3f at the end; %d backoffs requested, %d replicas that announced their departure, %d violations",
 		report.Requests, report.Share, report.QuietShare, report.Rests, report.Leavers, len(report.Violations))
 	const shown = 10
 	for _, v := range report.Violations[:min(shown, len(report.Violations))] {
