--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -1,5 +1,5 @@
-// This file holds what the operators publish in a run: routes, keys and
-// replicas, written to the store and noted in the ledger when it has taken them.
+// This file implements the site around the fleet: the configuration and the replicas' entries.
+// It writes both to the store, and records them in the ledger once the store accepted them.
 
 package soak
 
@@ -35,15 +35,15 @@
 	{Name: "reply", Prefix: prefixReply, Method: http.MethodPost, Stream: true, Repeatable: true, Attempts: 2, Timeout: 3 * time.Second},
 }
 
-// place is one address of the site at which replicas follow each other.
+// place is an address of the site. Its replicas replace each other, one at a time.
 type place struct {
 	link    *Link
 	domain  string
 	current *Replica
-	idle    bool // its replica has ended and nothing has taken its place
+	idle    bool // its replica has terminated or is departing, and has no successor here
 }
 
-// site is everything around the fleet.
+// site is the environment of the fleet: the store, the configuration and the replicas.
 type site struct {
 	ledger       *Ledger
 	store        *standin.Store
@@ -51,10 +51,10 @@
 	callerFaults callerFaults
 	domains      []string
 	steady       *Steady   // nil: ordinary traffic
-	refuses      bool      // replicas that end refuse connections
-	trap         *trap     // where entries lead that name no replica
+	refuses      bool      // the links of terminated replicas refuse connections
+	trap         *trap     // address in the entries of the foreign writer
 	cold         bool      // replicas are cold after a start
-	begun        time.Time // of the traffic
+	begun        time.Time // start of the traffic
 
 	mu       sync.Mutex
 	version  int
@@ -62,10 +62,10 @@
 	services map[string]string // of the plain routes
 	keys     []siteKey
 	dropped  []siteKey
-	filler   int // routes that nobody uses
+	filler   int // number of unused routes, which make the configuration larger
 	places   []*place
 	emptied  map[string]bool // domains that are evacuated
-	// entries are what the replicas wrote last, and written how often each wrote.
+	// entries holds the last entry of each replica by id, written the number of its writes.
 	entries map[string]standin.Replica
 	written map[string]uint64
 }
@@ -85,7 +85,7 @@
 	return s
 }
 
-// Targets of all routes, in milliseconds, as those of the users' sites.
+// Latency targets of all routes, in milliseconds. They are the same as at the users' sites.
 const (
 	firstByteTargetMS = 300
 	eventTargetMS     = 300
@@ -101,8 +101,8 @@
 	return standin.KindAtMostOnce
 }
 
-// publish writes the configuration and returns when the store has taken it. The
-// caller holds the lock.
+// publish writes a new version of the configuration, and returns the time at which the store
+// accepted it. The caller must hold s.mu.
 func (s *site) publish() time.Time {
 	s.version++
 	c := s.config()
@@ -110,7 +110,7 @@
 	return time.Now()
 }
 
-// config returns the configuration of the present version. The caller holds the lock.
+// config returns the configuration of the current version. The caller must hold s.mu.
 func (s *site) config() standin.Config {
 	c := standin.Config{Version: s.version, Services: []standin.Service{{Name: serviceGate}, {Name: serviceOther}, {Name: serviceChat, Engine: &standin.Engine{}}}}
 	if s.cold {
@@ -145,7 +145,7 @@
 	s.ledger.KeyAdded(k.key, k.workspace, s.publish())
 }
 
-// revokeKey takes a key away; the first three stay.
+// revokeKey revokes a key. The first three keys are never revoked.
 func (s *site) revokeKey(draw int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,8 +179,7 @@
 	s.publish()
 }
 
-// drawKey returns a key: mostly one that holds, at times one that was taken away
-// or never held.
+// drawKey returns a random key. Most are valid; some were revoked or never existed.
 func (s *site) drawKey() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -193,13 +192,13 @@
 	return s.keys[rand.IntN(len(s.keys))].key
 }
 
-// Slots of the replicas: few, so that some requests are refused.
+// Slots of the replicas: few enough that some requests are refused.
 const (
 	gateSlots = 6
 	chatSlots = 24
 )
 
-// addPlace opens an address of the site with its first replica.
+// addPlace opens a new address of the site and starts its first replica.
 func (s *site) addPlace(service, domain string) error {
 	link, err := openLink("127.0.0.1:0", "127.0.0.1:1")
 	if err != nil {
@@ -212,7 +211,7 @@
 	return s.begin(p, service)
 }
 
-// begin starts a replica at a place and announces it.
+// begin starts a replica under a new id at a place and writes its entry.
 func (s *site) begin(p *place, service string) error {
 	s.mu.Lock()
 	s.started++
@@ -221,7 +220,7 @@
 	return s.beginAs(id, p, service)
 }
 
-// beginAs starts a replica under an id.
+// beginAs starts a replica under an id at a place and writes its entry.
 func (s *site) beginAs(id string, p *place, service string) error {
 	slots := gateSlots
 	if service == serviceChat {
@@ -260,7 +259,7 @@
 	}
 }
 
-// at returns a place whose replica lives, and the replica.
+// at returns a place that isn't idle, and its replica. If all are idle, it returns the first.
 func (s *site) at(draw int) (*place, *Replica) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -272,15 +271,15 @@
 	return s.places[0], s.places[0].current
 }
 
-// vacate marks a place whose replica ends.
+// vacate marks a place as idle.
 func (s *site) vacate(p *place) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p.idle = true
 }
 
-// takeDown marks the place of a replica that ends. It returns false if something else ends
-// the replica, or has done so.
+// takeDown marks the place of a replica as idle, so that the caller may terminate the replica.
+// It returns false if the replica was already taken down.
 func (s *site) takeDown(p *place, r *Replica) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -300,7 +299,7 @@
 	s.ledger.Leaves(r.ID, time.Now())
 }
 
-// close ends all replicas.
+// close terminates all replicas and closes their links.
 func (s *site) close() {
 	for _, p := range s.places {
 		p.link.Close()
