--- a/internal/soak/departing.go
+++ b/internal/soak/departing.go
@@ -87,9 +87,9 @@
 			own, wasTold := told[path{a.Replica, r.by()}]
 			switch {
 			case wasTold && r.Sent.Sub(own) > j.bounds.Drain && calm(j.freezes[r.Daemon], own, a.At):
-				j.add("DRAIN", r, a.At, "reached %s via daemon %d, %v after that daemon forwarded the replica's announcement of its departure", a.Replica, r.Daemon, r.Sent.Sub(own))
+				j.add("DRAIN", r, a.At, "reached %s, %v after the announcement of its departure, via daemon %d, which had forwarded the announcement", a.Replica, r.Sent.Sub(own), r.Daemon)
 			case r.Sent.Sub(p.at) > j.bounds.Drain && j.inTouch(r.Daemon, p.at, a.At) && j.inTouch(p.daemon, p.at, a.At):
-				j.add("DRAIN", r, a.At, "reached %s via daemon %d, %v after daemon %d forwarded the replica's announcement of its departure", a.Replica, r.Daemon, r.Sent.Sub(p.at), p.daemon)
+				j.add("DRAIN", r, a.At, "reached %s, %v after daemon %d forwarded the announcement of its departure, via daemon %d", a.Replica, r.Sent.Sub(p.at), p.daemon, r.Daemon)
 			}
 		}
 	}
--- a/internal/soak/evacuate.go
+++ b/internal/soak/evacuate.go
@@ -128,7 +128,7 @@
 			}
 			held := !calm(j.replicas[a.Replica], e.from, a.At) // a link fault may have delayed it
 			if !held && j.inTouch(r.Daemon, e.from, a.At) {
-				j.add("EVAC", r, a.At, "reached %s via daemon %d, %v after the store accepted the evacuation of domain %s", a.Replica, r.Daemon, late, j.domains[a.Replica])
+				j.add("EVAC", r, a.At, "reached %s %v after the store accepted the evacuation of domain %s, via daemon %d", a.Replica, late, j.domains[a.Replica], r.Daemon)
 			}
 		}
 	}
--- a/internal/soak/resting.go
+++ b/internal/soak/resting.go
@@ -198,7 +198,7 @@
 	if n > j.bounds.Resting.Most && calm(j.freezes[by.daemon], a.at, last) {
 		j.out = append(j.out, Violation{
 			Promise: "BUDGET", Subject: fmt.Sprintf("%s%s at daemon %d, %v", restSubject, a.replica, by.daemon, a.at.UnixMilli()), At: last,
-			Detail: fmt.Sprintf("%s requested a backoff of %v from daemon %d and received %d requests from it meanwhile", a.replica, a.rest, by.daemon, n),
+			Detail: fmt.Sprintf("%s had asked daemon %d for a backoff of %v and received %d requests from it meanwhile", a.replica, by.daemon, a.rest, n),
 		})
 	}
 }
