--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -23,20 +23,20 @@
 
 // Limits of the simulated callers.
 const (
-	requestsPerConn = 20 // at most
-	leastThink      = 40 * time.Millisecond
-	mostThink       = 140 * time.Millisecond
-	callerPatience  = 1500 * time.Millisecond // beyond the deadline
-	mostRequestBody = 40_000
-	refusedPause    = 300 * time.Millisecond
-	leaveAlways     = 2 // percentage of requests that are canceled without a fault
-	topics          = 7 // number of distinct chat prompts
+	requestsPerConn   = 20 // at most
+	minThink          = 40 * time.Millisecond
+	maxThink          = 140 * time.Millisecond
+	responseSlack     = 1500 * time.Millisecond // beyond the deadline
+	maxRequestBody    = 40_000
+	reconnectPause    = 300 * time.Millisecond
+	baseCancelPercent = 2 // percentage of requests that are canceled without a fault
+	chatTopics        = 7 // number of distinct chat prompts
 )
 
 // callerFaults is the misbehavior that is currently in force for all callers.
 type callerFaults struct {
-	leave  atomic.Int64 // percentage of requests canceled early, on top of leaveAlways
-	repeat atomic.Int64 // how many times a failed request is resent immediately
+	cancelPercent atomic.Int64 // percentage of requests canceled early, on top of baseCancelPercent
+	resends       atomic.Int64 // how many times a failed request is resent immediately
 }
 
 // caller simulates one client. It is used by a single goroutine.
@@ -48,25 +48,25 @@
 	reader      *bufio.Reader
 	daemon      int
 	incarnation int
-	uses        int
+	usesLeft    int
 }
 
 // run sends requests until ctx is done.
 func (c *caller) run(ctx context.Context) {
-	defer c.hangUp()
+	defer c.disconnect()
 	for ctx.Err() == nil {
-		pause(ctx, leastThink+rand.N(mostThink-leastThink))
+		pause(ctx, minThink+rand.N(maxThink-minThink))
 		if !c.connected() && !c.connect() {
-			pause(ctx, refusedPause)
+			pause(ctx, reconnectPause)
 			continue
 		}
-		q := c.draw()
+		q := c.newRequest()
 		a := c.send(&q)
-		for range c.site.callerFaults.repeat.Load() {
+		for range c.site.callerFaults.resends.Load() {
 			if a.Status/100 == 2 || (!c.connected() && !c.connect()) {
 				break
 			}
-			q = c.draw()
+			q = c.newRequest()
 			a = c.send(&q)
 		}
 	}
@@ -74,7 +74,7 @@
 
 func (c *caller) connected() bool { return c.conn != nil }
 
-func (c *caller) hangUp() {
+func (c *caller) disconnect() {
 	if c.conn != nil {
 		_ = c.conn.Close()
 		c.conn = nil
@@ -91,11 +91,11 @@
 		return false
 	}
 	c.conn, c.reader, c.daemon, c.incarnation = conn, bufio.NewReader(conn), d.number, d.currentIncarnation()
-	c.uses = 1 + rand.IntN(requestsPerConn)
+	c.usesLeft = 1 + rand.IntN(requestsPerConn)
 	return true
 }
 
-func (c *caller) draw() Request {
+func (c *caller) newRequest() Request {
 	route, prefix := routes[rand.IntN(len(routes))], "c"
 	if c.site.steady != nil {
 		route, prefix = steadyRoute(), steadyPrefix
@@ -105,7 +105,7 @@
 		ID: fmt.Sprintf("%s%d-%d", prefix, c.number, c.sent), Route: route, Key: c.site.drawKey(),
 		Target: fmt.Sprintf("%s%d?n=%d", route.Prefix, rand.IntN(100), c.sent), Daemon: c.daemon, Incarnation: c.incarnation,
 	}
-	q.Subject, q.Tokens = int(hashOf(q.Target)%topics), shortTokens
+	q.Subject, q.Tokens = int(hashOf(q.Target)%chatTopics), shortTokens
 	if c.site.refuses && rand.IntN(pollOneIn) == 0 {
 		q = c.poll(q)
 	}
@@ -115,14 +115,14 @@
 	if route.Method == http.MethodPost {
 		q.Body = strings.Repeat("b", 1+rand.IntN(500))
 		if rand.IntN(20) == 0 {
-			q.Body = strings.Repeat("B", mostRequestBody)
+			q.Body = strings.Repeat("B", maxRequestBody)
 		}
 	}
 	return q
 }
 
-// text returns the HTTP request as written to the connection.
-func (q *Request) text() string {
+// encode returns the HTTP request as written to the connection.
+func (q *Request) encode() string {
 	r := standin.CallerRequest{
 		Method: q.Route.Method, Target: q.Target, Host: routeHost, ID: q.ID, Key: q.Key, Timeout: q.Route.Timeout,
 		Body: q.Body, Chunked: hashOf(q.ID)%3 == 0,
@@ -135,29 +135,29 @@
 
 // send sends one request, and then waits for the response or cancels the request at random.
 func (c *caller) send(q *Request) Answer {
-	c.begin(q)
-	if rand.Int64N(100) < leaveAlways+c.site.callerFaults.leave.Load() {
-		return c.abandon(q)
+	c.prepare(q)
+	if rand.Int64N(100) < baseCancelPercent+c.site.callerFaults.cancelPercent.Load() {
+		return c.cancel(q)
 	}
-	return c.exchange(q)
+	return c.roundTrip(q)
 }
 
-// begin sets the deadline of a request and records it in the ledger before it is sent.
-func (c *caller) begin(q *Request) {
+// prepare sets the deadline of a request and records it in the ledger before it is sent.
+func (c *caller) prepare(q *Request) {
 	q.Sent = time.Now()
 	q.Deadline = q.Sent.Add(q.Route.Timeout)
 	c.site.ledger.Sent(*q)
-	_ = c.conn.SetDeadline(q.Deadline.Add(callerPatience))
+	_ = c.conn.SetDeadline(q.Deadline.Add(responseSlack))
 }
 
-// exchange sends a request, waits for the response and records it.
-func (c *caller) exchange(q *Request) Answer {
-	if _, err := c.conn.Write([]byte(q.text())); err != nil {
-		return c.failed(q, err)
+// roundTrip sends a request, waits for the response and records it.
+func (c *caller) roundTrip(q *Request) Answer {
+	if _, err := c.conn.Write([]byte(q.encode())); err != nil {
+		return c.fail(q, err)
 	}
 	resp, err := http.ReadResponse(c.reader, &http.Request{Method: q.Route.Method})
 	if err != nil {
-		return c.failed(q, err)
+		return c.fail(q, err)
 	}
 	begun := time.Now()
 	body, err := io.ReadAll(resp.Body)
@@ -165,25 +165,25 @@
 	a.Reason = resp.Header.Get(protocol.HeaderReason)
 	a.Held = a.Reason == string(coordination.ReasonHeldBack)
 	c.site.ledger.Answered(q.ID, a)
-	if c.uses--; err != nil || resp.Close || c.uses <= 0 {
-		c.hangUp()
+	if c.usesLeft--; err != nil || resp.Close || c.usesLeft <= 0 {
+		c.disconnect()
 	}
 	return a
 }
 
-func (c *caller) failed(q *Request, err error) Answer {
+func (c *caller) fail(q *Request, err error) Answer {
 	a := Answer{At: time.Now(), Err: err}
 	c.site.ledger.Answered(q.ID, a)
-	c.hangUp()
+	c.disconnect()
 	return a
 }
 
-// abandon sends a request and closes the connection without reading the response.
-func (c *caller) abandon(q *Request) Answer {
-	_, _ = c.conn.Write([]byte(q.text()))
-	time.Sleep(rand.N(mostWork))
+// cancel sends a request and closes the connection without reading the response.
+func (c *caller) cancel(q *Request) Answer {
+	_, _ = c.conn.Write([]byte(q.encode()))
+	time.Sleep(rand.N(maxWork))
 	c.site.ledger.Left(q.ID, time.Now())
-	c.hangUp()
+	c.disconnect()
 	return Answer{}
 }
 
--- a/internal/soak/crashing.go
+++ b/internal/soak/crashing.go
@@ -79,9 +79,9 @@
 		out := &caller{site: c.site, number: rand.IntN(1 << 16)}
 		if out.connect() {
 			q := c.request(out)
-			out.begin(&q)
-			out.exchange(&q)
-			out.hangUp()
+			out.prepare(&q)
+			out.roundTrip(&q)
+			out.disconnect()
 		}
 		pause(ctx, c.Every/2+rand.N(c.Every))
 	}
--- a/internal/soak/departing.go
+++ b/internal/soak/departing.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// leastServeOn is added to the duration of a fault, so that a departing replica serves on for
+// minServeAfterDeparture is added to the duration of a fault, so that a departing replica serves on for
 // longer than daemons may take to stop using it.
-const leastServeOn = 4 * time.Second
+const minServeAfterDeparture = 4 * time.Second
 
 // leaveByAnswers replaces a replica: another one starts, and the old one announces its
 // departure in every response until it terminates. Its entry stays ready.
@@ -62,9 +62,9 @@
 	return len(seen)
 }
 
-// passedOn identifies the first response by which a daemon forwarded the announcement of a
+// forwardedDeparture identifies the first response by which a daemon forwarded the announcement of a
 // replica's departure.
-type passedOn struct {
+type forwardedDeparture struct {
 	at     time.Time
 	daemon int
 }
@@ -74,20 +74,20 @@
 // it is out of touch, unless it was frozen or restarted. Other daemons must know if they and the
 // forwarding daemon were in touch with the store and with each other.
 func (j *judgement) judgeLeavers() {
-	told, first := j.leavings()
-	if len(first) == 0 {
+	forwarded, earliest := j.forwardedDepartures()
+	if len(earliest) == 0 {
 		return
 	}
 	for _, r := range j.order {
 		for _, a := range r.arrivals {
-			p, ok := first[a.Replica]
+			p, ok := earliest[a.Replica]
 			if !ok || j.isPrevious(r.by()) || !calm(j.replicas[a.Replica], r.Sent, a.At) {
 				continue
 			}
-			own, wasTold := told[path{a.Replica, r.by()}]
+			at, hasForwarded := forwarded[path{a.Replica, r.by()}]
 			switch {
-			case wasTold && r.Sent.Sub(own) > j.bounds.Drain && calm(j.freezes[r.Daemon], own, a.At):
-				j.add("DRAIN", r, a.At, "reached %s, %v after the announcement of its departure, via daemon %d, which had forwarded the announcement", a.Replica, r.Sent.Sub(own), r.Daemon)
+			case hasForwarded && r.Sent.Sub(at) > j.bounds.Drain && calm(j.freezes[r.Daemon], at, a.At):
+				j.add("DRAIN", r, a.At, "reached %s, %v after the announcement of its departure, via daemon %d, which had forwarded the announcement", a.Replica, r.Sent.Sub(at), r.Daemon)
 			case r.Sent.Sub(p.at) > j.bounds.Drain && j.inTouch(r.Daemon, p.at, a.At) && j.inTouch(p.daemon, p.at, a.At):
 				j.add("DRAIN", r, a.At, "reached %s, %v after daemon %d forwarded the announcement of its departure, via daemon %d", a.Replica, r.Sent.Sub(p.at), p.daemon, r.Daemon)
 			}
@@ -95,22 +95,22 @@
 	}
 }
 
-// leavings returns when each daemon first forwarded the announcement of a replica's departure,
+// forwardedDepartures returns when each daemon first forwarded the announcement of a replica's departure,
 // and for each replica which daemon was the first to do so.
-func (j *judgement) leavings() (told map[path]time.Time, first map[string]passedOn) {
-	told, first = make(map[path]time.Time), make(map[string]passedOn)
+func (j *judgement) forwardedDepartures() (forwarded map[path]time.Time, earliest map[string]forwardedDeparture) {
+	forwarded, earliest = make(map[path]time.Time), make(map[string]forwardedDeparture)
 	for _, r := range j.order {
 		if r.answer == nil || !slices.Contains(r.leavers, r.answer.Seal) || j.isPrevious(r.by()) {
 			continue
 		}
 		replica, at := r.answer.Seal, r.answer.Begun
 		key := path{replica, r.by()}
-		if before, ok := told[key]; !ok || at.Before(before) {
-			told[key] = at
+		if before, ok := forwarded[key]; !ok || at.Before(before) {
+			forwarded[key] = at
 		}
-		if before, ok := first[replica]; !ok || at.Before(before.at) {
-			first[replica] = passedOn{at, r.Daemon}
+		if before, ok := earliest[replica]; !ok || at.Before(before.at) {
+			earliest[replica] = forwardedDeparture{at, r.Daemon}
 		}
 	}
-	return told, first
+	return forwarded, earliest
 }
--- a/internal/soak/evacuate.go
+++ b/internal/soak/evacuate.go
@@ -15,10 +15,10 @@
 	coldPerSecond = 6 // requests that a cold replica can serve
 	coldOverage   = 1.5
 	coldSlack     = 5
-	// fallOver is the multiple of coldPerSecond above which a cold replica resets connections.
-	fallOver = 3
-	// coldEntryLag is the delay from the moment a replica turns cold until its entry says so.
-	coldEntryLag = 600 * time.Millisecond
+	// coldFailureFactor is the multiple of coldPerSecond above which a cold replica resets connections.
+	coldFailureFactor = 3
+	// coldEntryDelay is the delay from the moment a replica turns cold until its entry says so.
+	coldEntryDelay = 600 * time.Millisecond
 )
 
 // coldSpan is a period in which a replica is cold.
@@ -59,16 +59,16 @@
 			if p.domain != domain || idle {
 				continue
 			}
-			s.chill(p, r, from)
-			time.AfterFunc(coldEntryLag, func() { s.announceAgain(p, r) })
+			s.makeCold(p, r, from)
+			time.AfterFunc(coldEntryDelay, func() { s.announceAgain(p, r) })
 		}
 	}
 	s.ledger.TakesBack(domain, from, time.Now())
 	s.store.TakeBack(domain)
 }
 
-// chill makes a replica cold for coldStart. See coldSpan.known for known.
-func (s *site) chill(p *place, r *Replica, known time.Time) {
+// makeCold makes a replica cold for coldStart. See coldSpan.known for known.
+func (s *site) makeCold(p *place, r *Replica, known time.Time) {
 	now := time.Now()
 	r.TurnCold(now.Add(coldStart))
 	s.ledger.TurnsCold(r.ID, coldSpan{span: span{now, now.Add(coldStart)}, known: known})
--- a/internal/soak/exchange.go
+++ b/internal/soak/exchange.go
@@ -48,11 +48,11 @@
 	x.mu.Unlock()
 	if full || x.drawn(x.behaviour.Shed) {
 		if !full {
-			x.leaveSlot()
+			x.releaseSlot()
 		}
-		return x.turnAway()
+		return x.refuseRequest()
 	}
-	defer x.leaveSlot()
+	defer x.releaseSlot()
 	x.run = x.ledger.Began(x.id, Run{
 		Arrival: arrival, Method: req.Method, Target: req.URL.RequestURI(), Body: body, Workspace: x.head.Workspace,
 	})
@@ -89,7 +89,7 @@
 	return says
 }
 
-func (x *exchange) leaveSlot() {
+func (x *exchange) releaseSlot() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.busy--
@@ -116,29 +116,29 @@
 func (x *exchange) end(status int) { x.ledger.Ended(x.run, status, time.Now()) }
 
 const (
-	leastWork = 5 * time.Millisecond
-	mostWork  = 60 * time.Millisecond
-	hangTime  = 20 * time.Second
+	minWork  = 5 * time.Millisecond
+	maxWork  = 60 * time.Millisecond
+	hangTime = 20 * time.Second
 	// One request in slowOneIn runs for slowWork, so that callers disconnect and daemons
 	// begin to shut down while it runs.
 	slowOneIn = 16
 	slowWork  = 1700 * time.Millisecond
 )
 
-// workOf returns the duration of one of the pieces of a response: the whole response of a plain
+// workDuration returns the duration of one of the pieces of a response: the whole response of a plain
 // request, or one event of a stream.
-func (x *exchange) workOf(pieces int) time.Duration {
+func (x *exchange) workDuration(pieces int) time.Duration {
 	if isSteady(x.id) && pieces > 1 {
 		return steadyWork/2 + rand.N(steadyWork)
 	}
 	if hashOf(x.id)%slowOneIn == 0 {
 		return slowWork / time.Duration(pieces)
 	}
-	return leastWork + rand.N(mostWork-leastWork)
+	return minWork + rand.N(maxWork-minWork)
 }
 
 func (x *exchange) plain() bool {
-	if !x.work(x.workOf(1)) {
+	if !x.work(x.workDuration(1)) {
 		x.end(0)
 		return false
 	}
@@ -185,7 +185,7 @@
 	head := standin.StreamHead(x.id, x.ID, x.saysLoad())
 	events := streamEvents(x.id)
 	for i := from; i < len(events); i++ {
-		if !x.work(x.workOf(len(events))) || i == from && !x.write(head) {
+		if !x.work(x.workDuration(len(events))) || i == from && !x.write(head) {
 			x.end(0)
 			return false
 		}
@@ -217,7 +217,7 @@
 	case broken:
 		return func(event string) {
 			x.end(200)
-			x.breakOff(event)
+			x.truncate(event)
 		}
 	case lose:
 		return func(string) {
@@ -231,9 +231,9 @@
 // chunk encodes a piece of a body with chunked transfer coding.
 func chunk(piece string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(piece), piece) }
 
-// breakOff truncates a stream, either within an event or after it. In the latter case only the
+// truncate truncates a stream, either within an event or after it. In the latter case only the
 // final chunk is missing.
-func (x *exchange) breakOff(piece string) {
+func (x *exchange) truncate(piece string) {
 	if hashOf(x.id)%2 == 0 {
 		_, _ = fmt.Fprintf(x.conn, "%x\r\n%s", len(piece), piece[:len(piece)/2])
 		return
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -17,13 +17,13 @@
 
 // Parameters of the daemon processes and of the load balancer in front of them.
 const (
-	grace        = 3 * time.Second // from SIGTERM to SIGKILL
-	restartPause = 400 * time.Millisecond
-	readyPoll    = 250 * time.Millisecond
-	readyTimeout = 300 * time.Millisecond
-	missesOut    = 2 // failed probes in a row after which a daemon gets no callers
-	pathReady    = "/api/readyz"
-	memoryMB     = 200
+	gracePeriod    = 3 * time.Second // from SIGTERM to SIGKILL
+	restartPause   = 400 * time.Millisecond
+	readyInterval  = 250 * time.Millisecond
+	readyTimeout   = 300 * time.Millisecond
+	missesUntilOut = 2 // failed probes in a row after which a daemon gets no callers
+	pathReady      = "/api/readyz"
+	memoryMB       = 200
 )
 
 // daemon is one daemon and the links to its callers, its store and its peers.
@@ -31,7 +31,7 @@
 	number    int
 	domain    string
 	ip        string // that the process listens on
-	public    string // IP of its link to peers, which the daemon announces
+	peerIP    string // IP of its link to peers, which the daemon announces
 	file      string
 	readiness string
 	operators string
@@ -44,9 +44,9 @@
 	build       Build // of the process, or of the next one
 	process     *os.Process
 	incarnation int
-	expected    bool          // the run asked the process to terminate
+	terminating bool          // the run asked the process to terminate
 	exited      chan struct{} // closed when the process has terminated
-	in          bool          // the balancer sends callers
+	ready       bool          // the balancer sends callers
 	misses      int
 }
 
@@ -77,13 +77,13 @@
 	return out, nil
 }
 
-// portsPerFleet is the number of listeners of a daemon. All daemons use the same ports, because
+// portsPerDaemon is the number of listeners of a daemon. All daemons use the same ports, because
 // each has its own IP address.
-const portsPerFleet = 4
+const portsPerDaemon = 4
 
 // add sets up a daemon that connects to an endpoint of the store, without starting it.
 func (f *fleet) add(i int, domain, endpoint string) (*daemon, error) {
-	d := &daemon{number: i, domain: domain, fleet: f, ip: fmt.Sprintf("%s.%d", f.network, 10+i), public: fmt.Sprintf("%s.%d", f.network, 110+i)}
+	d := &daemon{number: i, domain: domain, fleet: f, ip: fmt.Sprintf("%s.%d", f.network, 10+i), peerIP: fmt.Sprintf("%s.%d", f.network, 110+i)}
 	d.file = filepath.Join(f.dir, fmt.Sprintf("daemon-%d.yaml", i))
 	ports := f.ports
 	at := func(port int) string { return net.JoinHostPort(d.ip, itoa(port)) }
@@ -95,7 +95,7 @@
 	if d.store, err = openLink("127.0.0.1:0", endpoint); err != nil {
 		return nil, err
 	}
-	if d.peers, err = openPeerLink(net.JoinHostPort(d.public, itoa(f.ports[3])), at(f.ports[3])); err != nil {
+	if d.peers, err = openPeerLink(net.JoinHostPort(d.peerIP, itoa(f.ports[3])), at(f.ports[3])); err != nil {
 		return nil, err
 	}
 	f.daemons = append(f.daemons, d)
@@ -126,7 +126,7 @@
   extra: 56
   window: 10s
 memory_mb: %d
-`, generation, d.number, d.domain, callers, d.readiness, d.operators, d.ip, d.fleet.ports[3], d.public, d.fleet.ports[3], d.store.Address(), seeds, grace, memoryMB)
+`, generation, d.number, d.domain, callers, d.readiness, d.operators, d.ip, d.fleet.ports[3], d.peerIP, d.fleet.ports[3], d.store.Address(), seeds, gracePeriod, memoryMB)
 	return os.WriteFile(d.file, []byte(text), 0o600)
 }
 
@@ -147,7 +147,7 @@
 	}
 	exited := make(chan struct{})
 	d.mu.Lock()
-	d.process, d.expected, d.exited = cmd.Process, false, exited
+	d.process, d.terminating, d.exited = cmd.Process, false, exited
 	d.incarnation++
 	incarnation := d.incarnation
 	d.mu.Unlock()
@@ -165,8 +165,8 @@
 // afterExit restarts the daemon after a pause, as the users' platform does.
 func (d *daemon) afterExit(err error) {
 	d.mu.Lock()
-	expected := d.expected
-	d.in = false
+	expected := d.terminating
+	d.ready = false
 	d.mu.Unlock()
 	if d.fleet.ctx.Err() != nil {
 		return
@@ -186,7 +186,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if end {
-		d.expected = true
+		d.terminating = true
 	}
 	if d.process != nil {
 		_ = d.process.Signal(s)
@@ -197,14 +197,14 @@
 func (d *daemon) kill() { d.signal(syscall.SIGKILL, true) }
 
 // freeze suspends the process for a time with SIGSTOP and SIGCONT.
-func (d *daemon) freeze(ctx context.Context, for_ time.Duration) {
+func (d *daemon) freeze(ctx context.Context, suspended time.Duration) {
 	d.mu.Lock()
 	p := d.process
 	d.mu.Unlock()
 	if p == nil || p.Signal(syscall.SIGSTOP) != nil {
 		return
 	}
-	pause(ctx, for_)
+	pause(ctx, suspended)
 	_ = p.Signal(syscall.SIGCONT)
 }
 
@@ -217,7 +217,7 @@
 		return true
 	case <-ctx.Done():
 		return true
-	case <-time.After(grace):
+	case <-time.After(gracePeriod):
 		d.kill()
 		return false
 	}
@@ -229,8 +229,8 @@
 	return d.incarnation
 }
 
-// balance polls the readiness of a daemon until ctx is done, as the users' load balancer does.
-func (d *daemon) balance(ctx context.Context) {
+// probeReadiness polls the readiness of a daemon until ctx is done, as the users' load balancer does.
+func (d *daemon) probeReadiness(ctx context.Context) {
 	client := &http.Client{Timeout: readyTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for ctx.Err() == nil {
 		resp, err := client.Get("http://" + d.readiness + pathReady)
@@ -241,21 +241,21 @@
 		d.mu.Lock()
 		switch {
 		case ok:
-			d.in, d.misses = true, 0
-		case d.misses+1 >= missesOut:
-			d.in = false
+			d.ready, d.misses = true, 0
+		case d.misses+1 >= missesUntilOut:
+			d.ready = false
 		default:
 			d.misses++
 		}
 		d.mu.Unlock()
-		pause(ctx, readyPoll)
+		pause(ctx, readyInterval)
 	}
 }
 
-func (d *daemon) isIn() bool {
+func (d *daemon) isReady() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.in
+	return d.ready
 }
 
 // pick returns a ready daemon for a caller's new connection, if there is one.
@@ -263,26 +263,26 @@
 	n := len(f.daemons)
 	start := (draw + int(time.Now().UnixMilli())) % n
 	for k := range n {
-		if d := f.daemons[(start+k)%n]; d.isIn() {
+		if d := f.daemons[(start+k)%n]; d.isReady() {
 			return d, true
 		}
 	}
 	return nil, false
 }
 
-// allIn reports whether the balancer considers every daemon ready.
-func (f *fleet) allIn() bool {
+// allReady reports whether the balancer considers every daemon ready.
+func (f *fleet) allReady() bool {
 	for _, d := range f.daemons {
-		if !d.isIn() {
+		if !d.isReady() {
 			return false
 		}
 	}
 	return true
 }
 
-// end kills the running daemons, waits for them and closes their links. The fleet's context
+// shutdown kills the running daemons, waits for them and closes their links. The fleet's context
 // must be done before, or the daemons are restarted.
-func (f *fleet) end() {
+func (f *fleet) shutdown() {
 	for _, d := range f.daemons {
 		d.kill()
 	}
--- a/internal/soak/foreign.go
+++ b/internal/soak/foreign.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// shortestForeign is added to the duration of a fault, so that most last longer than the time
+// minForeign is added to the duration of a fault, so that most last longer than the time
 // after which requests to a replica without an entry are violations.
-const shortestForeign = 2 * time.Second
+const minForeign = 2 * time.Second
 
 // drawForeign adds the faults of the foreign writer. They come from a random source of their
 // own, so that the other faults of a seed don't depend on them.
@@ -23,7 +23,7 @@
 	for range int(math.Ceil(s.ForeignPerSec * s.Trouble.Seconds())) {
 		f := drawFault(rng, s.Trouble)
 		f.Kind = foreignEntries
-		f.For += shortestForeign
+		f.For += minForeign
 		p.Faults = append(p.Faults, f)
 	}
 }
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -18,15 +18,15 @@
 // Parameters of the faults.
 const (
 	// settling is how long the effects of a fault may last after its end.
-	settling     = 500 * time.Millisecond
-	expiryTime   = 1500 * time.Millisecond // until a crashed replica's entry expires
-	backTime     = time.Second             // until expired entries are written again
-	serveOn      = 5 * time.Second         // how long a departing replica serves on
-	mostGrey     = 3                       // replicas affected by one grey fault
-	stormGap     = 250 * time.Millisecond
-	flapGap      = 700 * time.Millisecond
-	linkDelay    = 40 * time.Millisecond
-	fillerRoutes = 300
+	settling            = 500 * time.Millisecond
+	expiryTime          = 1500 * time.Millisecond // until a crashed replica's entry expires
+	reannounceDelay     = time.Second             // until expired entries are written again
+	serveAfterDeparture = 5 * time.Second         // how long a departing replica serves on
+	maxGrey             = 3                       // replicas affected by one grey fault
+	stormInterval       = 250 * time.Millisecond
+	flapInterval        = 700 * time.Millisecond
+	linkDelay           = 40 * time.Millisecond
+	fillerRoutes        = 300
 )
 
 // injector injects the faults of a run.
@@ -104,13 +104,13 @@
 	case leaveByAnswers:
 		s.leaveByAnswers(f)
 	case callersRepeat:
-		s.callerFaults.repeat.Store(2)
+		s.callerFaults.resends.Store(2)
 		pause(s.ctx, f.For)
-		s.callerFaults.repeat.Store(0)
+		s.callerFaults.resends.Store(0)
 	case callersLeave:
-		s.callerFaults.leave.Store(30)
+		s.callerFaults.cancelPercent.Store(30)
 		pause(s.ctx, f.For)
-		s.callerFaults.leave.Store(0)
+		s.callerFaults.cancelPercent.Store(0)
 	}
 	s.note("%s target %d ended", f.Kind, f.Target)
 }
@@ -195,18 +195,18 @@
 	})
 }
 
-// linkTroubles are the variants of link faults.
-var linkTroubles = []Trouble{
+// linkFaults are the variants of link faults.
+var linkFaults = []Trouble{
 	{Share: 1, Delay: linkDelay}, {Share: 0.5, Reset: true}, {Share: 0.5, Forward: true, Back: true},
 	{Share: 1, Forward: true}, {Share: 1, Back: true}, {Share: 1, Reset: true}, {Share: 0.3, Delay: 10 * linkDelay},
 }
 
 func (s *injector) injectLink(f *Fault) {
-	t := linkTroubles[f.Variant%len(linkTroubles)]
+	t := linkFaults[f.Variant%len(linkFaults)]
 	hold := func(l *Link) {
-		l.SetTrouble(t)
+		l.SetFault(t)
 		pause(s.ctx, f.For)
-		l.SetTrouble(Trouble{})
+		l.SetFault(Trouble{})
 	}
 	d := s.daemon(f)
 	switch f.Kind {
@@ -238,7 +238,7 @@
 			default:
 				s.revokeKey(f.Target + i)
 			}
-			pause(s.ctx, stormGap)
+			pause(s.ctx, stormInterval)
 		}
 	}
 }
--- a/internal/soak/inject_replica.go
+++ b/internal/soak/inject_replica.go
@@ -34,25 +34,25 @@
 			if s.ctx.Err() != nil {
 				return
 			}
-			s.crash(p, r, r.Service, flapGap)
+			s.crash(p, r, r.Service, flapInterval)
 			s.mu.Lock()
 			r = p.current
 			s.mu.Unlock()
-			pause(s.ctx, flapGap)
+			pause(s.ctx, flapInterval)
 		}
 	case drainReplica:
 		s.drain(p, r, f.Variant%2 == 0)
 	}
 }
 
-// makeGrey gives up to mostGrey replicas one of the greyBehaviours for the duration of the fault.
+// makeGrey gives up to maxGrey replicas one of the greyBehaviours for the duration of the fault.
 func (s *injector) makeGrey(f *Fault) {
 	var wg sync.WaitGroup
-	for i := range 1 + f.Variant%mostGrey {
+	for i := range 1 + f.Variant%maxGrey {
 		_, r := s.at(f.Target + i)
 		wg.Go(func() {
 			s.disturbReplica(r, func() {
-				r.SetBehaviour(greyBehaviours[(f.Variant/mostGrey)%len(greyBehaviours)])
+				r.SetBehaviour(greyBehaviours[(f.Variant/maxGrey)%len(greyBehaviours)])
 				pause(s.ctx, f.For)
 				r.SetBehaviour(ordinary)
 			})
@@ -78,7 +78,7 @@
 // drain replaces a replica: a new one starts, and the old one announces its departure in its
 // entry or deletes the entry, and serves on for a while.
 func (s *injector) drain(p *place, r *Replica, announced bool) {
-	s.vacate(p)
+	s.markIdle(p)
 	if s.addPlace(r.Service, r.Domain) != nil {
 		return
 	}
@@ -88,7 +88,7 @@
 	} else {
 		s.remove(r)
 	}
-	pause(s.ctx, serveOn)
+	pause(s.ctx, serveAfterDeparture)
 	s.disturbReplica(r, r.End)
 	s.remove(r)
 }
--- a/internal/soak/inject_store.go
+++ b/internal/soak/inject_store.go
@@ -59,7 +59,7 @@
 }
 
 // expireEntries returns a function that deletes the entries of about three in four live
-// replicas; each is written again backTime after the end of the fault.
+// replicas; each is written again reannounceDelay after the end of the fault.
 func (s *injector) expireEntries(f *Fault) func() {
 	return func() {
 		s.mu.Lock()
@@ -73,7 +73,7 @@
 				continue
 			}
 			s.store.DeleteReplica(r.ID)
-			time.AfterFunc(f.For+backTime, func() {
+			time.AfterFunc(f.For+reannounceDelay, func() {
 				s.mu.Lock()
 				same := p.current == r && !p.idle
 				s.mu.Unlock()
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -318,7 +318,7 @@
 	atWork := run.Ended.IsZero() || run.Status == 0 && run.Ended.After(at.Add(-settling))
 	return atWork && slices.ContainsFunc(j.stops[r.Daemon], func(s span) bool {
 		sinceStop := at.Sub(s.from)
-		return r.Sent.Sub(s.from) <= stopTakes && sinceStop >= grace*(stopParts-1)/stopParts && sinceStop <= grace+settling
+		return r.Sent.Sub(s.from) <= stopTakes && sinceStop >= gracePeriod*(stopParts-1)/stopParts && sinceStop <= gracePeriod+settling
 	})
 }
 
--- a/internal/soak/link.go
+++ b/internal/soak/link.go
@@ -61,8 +61,8 @@
 	l.target = target
 }
 
-// SetTrouble replaces the link's fault; the zero value ends it.
-func (l *Link) SetTrouble(t Trouble) {
+// SetFault replaces the link's fault; the zero value ends it.
+func (l *Link) SetFault(t Trouble) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.trouble = t
@@ -254,7 +254,7 @@
 	if news {
 		t = Trouble{Share: 1, Forward: true, Back: true}
 	}
-	p.news.SetTrouble(t)
+	p.news.SetFault(t)
 }
 
 func (p *peerLink) close() {
--- a/internal/soak/planted_test.go
+++ b/internal/soak/planted_test.go
@@ -20,8 +20,8 @@
 	"testing"
 )
 
-// seedsForEach is the number of seeds within which each fault must be found.
-const seedsForEach = 8
+// maxSeeds is the number of seeds within which each fault must be found.
+const maxSeeds = 8
 
 func TestPlantedFaultsAreFound(t *testing.T) {
 	root, err := filepath.Abs("../..")
@@ -32,7 +32,7 @@
 		t.Run(p.name, func(t *testing.T) {
 			t.Parallel()
 			binary := p.build(t, root)
-			for seed := range uint64(seedsForEach) {
+			for seed := range uint64(maxSeeds) {
 				report, err := Play(context.Background(), p.plan(seed), Options{Daemon: binary, Dir: t.TempDir()})
 				if err != nil {
 					t.Fatal(err)
@@ -44,7 +44,7 @@
 					}
 				}
 			}
-			t.Errorf("not found with %d seeds", seedsForEach)
+			t.Errorf("not found with %d seeds", maxSeeds)
 		})
 	}
 }
--- a/internal/soak/replica.go
+++ b/internal/soak/replica.go
@@ -28,7 +28,7 @@
 	Lose    float64 // runs the request and resets the connection
 	Surplus float64 // responds twice, at once or before the next response on the connection
 	// Rest is the backoff that a refusal requests from the daemon; 0: none. One refusal in
-	// unreadableOneIn requests it with a text that isn't a valid duration.
+	// invalidBackoffOneIn requests it with a text that isn't a valid duration.
 	Rest time.Duration
 }
 
@@ -91,15 +91,15 @@
 	r.coldUntil = until
 }
 
-// coldLeft returns how much longer the replica is cold.
-func (r *Replica) coldLeft(now time.Time) time.Duration {
+// coldRemaining returns how much longer the replica is cold.
+func (r *Replica) coldRemaining(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return max(0, r.coldUntil.Sub(now))
 }
 
 // fallsOver records an arrival and reports whether a cold replica fails under it, because it
-// received more than fallOver times coldPerSecond requests within a second.
+// received more than coldFailureFactor times coldPerSecond requests within a second.
 func (r *Replica) fallsOver(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,7 +111,7 @@
 	for now.Sub(r.arrivals[0]) > time.Second {
 		r.arrivals = r.arrivals[1:]
 	}
-	return float64(len(r.arrivals)) > fallOver*coldPerSecond
+	return float64(len(r.arrivals)) > coldFailureFactor*coldPerSecond
 }
 
 // End terminates the replica: it closes the listener and resets all connections.
@@ -184,20 +184,20 @@
 }
 
 const (
-	mostPadding = 2000
-	leastEvents = 2
-	moreEvents  = 6
+	maxPadding  = 2000
+	minEvents   = 2
+	extraEvents = 6
 )
 
 // plainBody returns the response body for a request without a stream.
 func plainBody(id, replica string) string {
-	return "id=" + id + " replica=" + replica + " " + strings.Repeat("x", int(hashOf(id)%mostPadding))
+	return "id=" + id + " replica=" + replica + " " + strings.Repeat("x", int(hashOf(id)%maxPadding))
 }
 
 // streamEvents returns the events of the response stream of a request. They are the same at
 // every replica, so that a stream can be resumed at another one.
 func streamEvents(id string) []string {
-	n := leastEvents + int(hashOf(id)%moreEvents)
+	n := minEvents + int(hashOf(id)%extraEvents)
 	if isSteady(id) {
 		n = steadyEvents
 	}
--- a/internal/soak/resting.go
+++ b/internal/soak/resting.go
@@ -17,13 +17,13 @@
 
 // Parameters of replicas that request a backoff.
 const (
-	shortestRest = 600 * time.Millisecond
-	longestRest  = 3 * time.Second
-	mostResting  = 3 // replicas that refuse requests in one fault
+	minBackoff  = 600 * time.Millisecond
+	maxBackoff  = 3 * time.Second
+	maxRefusing = 3 // replicas that refuse requests in one fault
 	// One fault in wholeServiceOneIn affects all replicas of a service instead.
 	wholeServiceOneIn = 4
-	// One refusal in unreadableOneIn requests a backoff with a text that isn't a valid duration.
-	unreadableOneIn = 6
+	// One refusal in invalidBackoffOneIn requests a backoff with a text that isn't a valid duration.
+	invalidBackoffOneIn = 6
 	// lapse is how long the entry of a refusing replica is missing, in every second fault.
 	lapse = 300 * time.Millisecond
 )
@@ -49,13 +49,13 @@
 	for range int(math.Ceil(s.RestsPerSec * s.Trouble.Seconds())) {
 		f := drawFault(rng, s.Trouble)
 		f.Kind = restReplicas
-		f.For += longestRest
+		f.For += maxBackoff
 		p.Faults = append(p.Faults, f)
 	}
 	for range int(math.Ceil(s.LeavingsPerSec * s.Trouble.Seconds())) {
 		f := drawFault(rng, s.Trouble)
 		f.Kind = leaveByAnswers
-		f.For += leastServeOn
+		f.For += minServeAfterDeparture
 		p.Faults = append(p.Faults, f)
 	}
 }
@@ -63,9 +63,9 @@
 // rest makes some replicas, or all of one service, refuse all requests and request a backoff
 // for the duration of the fault.
 func (s *injector) rest(f *Fault) {
-	rest := shortestRest + time.Duration(f.Variant%100)*(longestRest-shortestRest)/100
+	rest := minBackoff + time.Duration(f.Variant%100)*(maxBackoff-minBackoff)/100
 	var wg sync.WaitGroup
-	for _, p := range s.restingPlaces(f) {
+	for _, p := range s.refusingPlaces(f) {
 		wg.Go(func() {
 			s.mu.Lock()
 			r := p.current
@@ -83,8 +83,8 @@
 	wg.Wait()
 }
 
-// restingPlaces returns the places whose replicas refuse requests because of a fault.
-func (s *injector) restingPlaces(f *Fault) []*place {
+// refusingPlaces returns the places whose replicas refuse requests because of a fault.
+func (s *injector) refusingPlaces(f *Fault) []*place {
 	first, r := s.at(f.Target)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +92,7 @@
 	out := []*place{first}
 	for _, p := range s.places {
 		same := p != first && !p.idle && p.current.Service == r.Service
-		if same && (isWhole || len(out) < 1+f.Target%mostResting) {
+		if same && (isWhole || len(out) < 1+f.Target%maxRefusing) {
 			out = append(out, p)
 		}
 	}
@@ -107,13 +107,13 @@
 	s.announceAgain(p, r)
 }
 
-// turnAway refuses a request, and requests a backoff if the behaviour says so.
-func (x *exchange) turnAway() bool {
+// refuseRequest refuses a request, and requests a backoff if the behaviour says so.
+func (x *exchange) refuseRequest() bool {
 	says := x.says()
 	now := time.Now()
 	switch {
 	case x.behaviour.Rest == 0:
-	case rand.IntN(unreadableOneIn) == 0:
+	case rand.IntN(invalidBackoffOneIn) == 0:
 		says.Rest = []string{"-1", "NaN", "soon", "Fri, 31 Dec 1999 23:59:59 GMT"}[rand.IntN(4)]
 	default:
 		says.Rest = strconv.FormatFloat(x.behaviour.Rest.Seconds(), 'f', -1, 64)
@@ -180,15 +180,15 @@
 			continue
 		}
 		for i := range list {
-			j.judgeRest(&list[i], by, arrivals[path{list[i].replica, by}])
+			j.judgeBackoff(&list[i], by, arrivals[path{list[i].replica, by}])
 		}
 	}
 }
 
-// judgeRest checks one backoff against the arrivals at the replica from the daemon that it
+// judgeBackoff checks one backoff against the arrivals at the replica from the daemon that it
 // asked.
-func (j *judgement) judgeRest(a *restAsked, by processLife, arrivals []time.Time) {
-	from, to := a.at.Add(j.bounds.Resting.Grace), j.restEnds(a)
+func (j *judgement) judgeBackoff(a *restAsked, by processLife, arrivals []time.Time) {
+	from, to := a.at.Add(j.bounds.Resting.Grace), j.backoffEnd(a)
 	n, last := 0, from
 	for _, at := range arrivals {
 		if at.After(from) && at.Before(to) {
@@ -203,9 +203,9 @@
 	}
 }
 
-// restEnds returns when a backoff ends: after the requested time, or when the replica restarts
+// backoffEnd returns when a backoff ends: after the requested time, or when the replica restarts
 // under the same id, because the new process didn't request it.
-func (j *judgement) restEnds(a *restAsked) time.Time {
+func (j *judgement) backoffEnd(a *restAsked) time.Time {
 	to := a.at.Add(a.rest)
 	for _, of := range j.joined {
 		if began := of[a.replica]; began.After(a.at) && began.Before(to) {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -74,7 +74,7 @@
 	r.site.steady, r.site.cold, r.site.refuses = p.Steady, p.Cold, len(p.Crashing) > 0
 	err := r.build(work)
 	if r.site.fleet != nil {
-		defer r.site.fleet.end()
+		defer r.site.fleet.shutdown()
 	}
 	defer end() // before the fleet's end: nothing is started again
 	if err != nil {
@@ -113,7 +113,7 @@
 		if err := d.start(); err != nil {
 			return eris.Wrapf(err, "start %s; build it first", r.options.Daemon)
 		}
-		go d.balance(ctx)
+		go d.probeReadiness(ctx)
 	}
 	if err := r.awaitReady(ctx); err != nil {
 		return err
@@ -145,7 +145,7 @@
 // addDaemons gives each daemon its addresses, settings and endpoint of the store.
 func (r *runner) addDaemons(ctx context.Context) error {
 	s := r.site
-	ports, err := freePorts(portsPerFleet)
+	ports, err := freePorts(portsPerDaemon)
 	if err != nil {
 		return err
 	}
@@ -166,7 +166,7 @@
 
 // awaitReady waits until the balancer has taken all daemons in.
 func (r *runner) awaitReady(ctx context.Context) error {
-	for deadline := time.Now().Add(startTimeout); !r.site.fleet.allIn(); pause(ctx, readyPoll) {
+	for deadline := time.Now().Add(startTimeout); !r.site.fleet.allReady(); pause(ctx, readyInterval) {
 		if time.Now().After(deadline) || ctx.Err() != nil {
 			return eris.Errorf("daemons are not ready after %v; look at their logs in %s", startTimeout, r.options.Dir)
 		}
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -238,7 +238,7 @@
 	s.ledger.Joins(id, service, time.Now())
 	s.ledger.StandsIn(id, p.domain)
 	if s.cold && !s.begun.IsZero() {
-		s.chill(p, r, time.Time{})
+		s.makeCold(p, r, time.Time{})
 	}
 	s.announce(p, r, false)
 	return nil
@@ -248,7 +248,7 @@
 	s.mu.Lock()
 	s.written[r.ID]++
 	e := standin.Replica{
-		ID: r.ID, Service: r.Service, Address: p.link.Address(), Domain: p.domain, Slots: r.slots, ColdMS: r.coldLeft(time.Now()).Milliseconds(),
+		ID: r.ID, Service: r.Service, Address: p.link.Address(), Domain: p.domain, Slots: r.slots, ColdMS: r.coldRemaining(time.Now()).Milliseconds(),
 		Born: r.born.UnixMilli(), Sequence: s.written[r.ID], Draining: draining,
 	}
 	s.entries[r.ID] = e
@@ -271,8 +271,8 @@
 	return s.places[0], s.places[0].current
 }
 
-// vacate marks a place as idle.
-func (s *site) vacate(p *place) {
+// markIdle marks a place as idle.
+func (s *site) markIdle(p *place) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p.idle = true
