--- a/internal/soak/crashing.go
+++ b/internal/soak/crashing.go
@@ -122,14 +122,14 @@
 // crash ends the replica under a request.
 func (x *exchange) crash(number int) bool {
 	if !x.work(rand.N(crashWork)) {
-		x.end(0)
+		x.finish(0)
 		return false
 	}
 	if strings.HasSuffix(x.run.Target, latePath) {
-		x.write(standin.StreamHead(x.id, x.ID, x.saysLoad()))
+		x.write(standin.StreamHead(x.id, x.ID, x.statementsWithLoad()))
 		x.work(rand.N(crashWork))
 	}
-	x.end(0)
+	x.finish(0)
 	x.ledger.Crashed(number, x.ID, time.Now())
 	x.crashed()
 	return false
--- a/internal/soak/departing.go
+++ b/internal/soak/departing.go
@@ -38,7 +38,7 @@
 func (r *Replica) Leave() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.leaving = true
+	r.departing = true
 }
 
 // SaysThatItLeaves records that a replica announced its departure in the response to a request.
--- a/internal/soak/exchange.go
+++ b/internal/soak/exchange.go
@@ -17,14 +17,14 @@
 // exchange is one request at a replica and its response.
 type exchange struct {
 	*Replica
-	conn      net.Conn
-	head      standin.RequestHead
-	id        string // of the request
-	run       *Run
-	behaviour behaviour
-	gone      chan struct{} // closed when the daemon closes the connection
-	draw      float64       // random number in [0, 1) that selects the failure, see drawn
-	stray     *string       // surplus response that is written before the next one on the connection
+	conn         net.Conn
+	head         standin.RequestHead
+	id           string // of the request
+	run          *Run
+	behaviour    behaviour
+	disconnected chan struct{} // closed when the daemon closes the connection
+	random       float64       // random number in [0, 1) that selects the failure, see drawn
+	surplus      *string       // surplus response that is written before the next one on the connection
 }
 
 // serve handles one request. It returns false if the connection must be closed.
@@ -35,7 +35,7 @@
 		return x.write(standin.Misdirected(x.id, x.ID))
 	}
 	x.ledger.Arrived(x.id, arrival)
-	if x.fallsOver(now) {
+	if x.failsWhileCold(now) {
 		resetConn(x.conn.(*net.TCPConn))
 		return false
 	}
@@ -46,7 +46,7 @@
 		x.busy++
 	}
 	x.mu.Unlock()
-	if full || x.drawn(x.behaviour.Shed) {
+	if full || x.selected(x.behaviour.Shed) {
 		if !full {
 			x.releaseSlot()
 		}
@@ -56,9 +56,9 @@
 	x.run = x.ledger.Began(x.id, Run{
 		Arrival: arrival, Method: req.Method, Target: req.URL.RequestURI(), Body: body, Workspace: x.head.Workspace,
 	})
-	if *x.stray != "" {
-		_, _ = x.conn.Write([]byte(*x.stray))
-		*x.stray = ""
+	if *x.surplus != "" {
+		_, _ = x.conn.Write([]byte(*x.surplus))
+		*x.surplus = ""
 	}
 	if n := crashingNumber(req.URL.Path); n > 0 {
 		return x.crash(n)
@@ -69,20 +69,20 @@
 	return x.plain()
 }
 
-// says returns the replica's statements about itself for a response that is about to be
+// statements returns the replica's statements about itself for a response that is about to be
 // written, without its load.
-func (x *exchange) says() standin.Says {
+func (x *exchange) statements() standin.Says {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.leaving {
+	if x.departing {
 		x.ledger.SaysThatItLeaves(x.id, x.ID)
 	}
-	return standin.Says{Leaving: x.leaving}
+	return standin.Says{Leaving: x.departing}
 }
 
-// saysLoad is like says, with the load.
-func (x *exchange) saysLoad() standin.Says {
-	says := x.says()
+// statementsWithLoad is like says, with the load.
+func (x *exchange) statementsWithLoad() standin.Says {
+	says := x.statements()
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	says.Load = &standin.Load{Running: x.busy, Slots: x.slots}
@@ -95,25 +95,25 @@
 	x.busy--
 }
 
-// drawn reports whether the failure with this probability was selected. All failures of an
+// selected reports whether the failure with this probability was selected. All failures of an
 // exchange share one random number, so that at most one is selected.
-func (x *exchange) drawn(share float64) bool {
-	hit := x.draw >= 0 && x.draw < share
-	x.draw -= share
+func (x *exchange) selected(share float64) bool {
+	hit := x.random >= 0 && x.random < share
+	x.random -= share
 	return hit
 }
 
 // work waits for d. It returns false if the daemon closed the connection first.
 func (x *exchange) work(d time.Duration) bool {
 	select {
-	case <-x.gone:
+	case <-x.disconnected:
 		return false
 	case <-time.After(d):
 		return true
 	}
 }
 
-func (x *exchange) end(status int) { x.ledger.Ended(x.run, status, time.Now()) }
+func (x *exchange) finish(status int) { x.ledger.Ended(x.run, status, time.Now()) }
 
 const (
 	minWork  = 5 * time.Millisecond
@@ -139,34 +139,34 @@
 
 func (x *exchange) plain() bool {
 	if !x.work(x.workDuration(1)) {
-		x.end(0)
+		x.finish(0)
 		return false
 	}
 	switch {
-	case x.drawn(x.behaviour.Fail):
-		x.end(500)
-		return x.write(standin.Answer(500, x.id, x.ID, "failed", x.says()))
-	case x.drawn(x.behaviour.Hang):
+	case x.selected(x.behaviour.Fail):
+		x.finish(500)
+		return x.write(standin.Answer(500, x.id, x.ID, "failed", x.statements()))
+	case x.selected(x.behaviour.Hang):
 		x.work(hangTime)
-		x.end(0)
+		x.finish(0)
 		return false
-	case x.drawn(x.behaviour.Break):
-		x.end(200)
-		whole := standin.Answer(200, x.id, x.ID, plainBody(x.id, x.ID), x.says())
+	case x.selected(x.behaviour.Truncate):
+		x.finish(200)
+		whole := standin.Answer(200, x.id, x.ID, plainBody(x.id, x.ID), x.statements())
 		_, _ = x.conn.Write([]byte(whole[:len(whole)*2/3]))
 		return false
-	case x.drawn(x.behaviour.Lose):
-		x.end(0)
+	case x.selected(x.behaviour.ResetAfterRun):
+		x.finish(0)
 		resetConn(x.conn.(*net.TCPConn))
 		return false
 	}
-	x.end(200)
-	whole := standin.Answer(200, x.id, x.ID, plainBody(x.id, x.ID), x.says())
-	if x.drawn(x.behaviour.Surplus) {
+	x.finish(200)
+	whole := standin.Answer(200, x.id, x.ID, plainBody(x.id, x.ID), x.statements())
+	if x.selected(x.behaviour.Surplus) {
 		if rand.IntN(2) == 0 {
 			whole += whole
 		} else {
-			*x.stray = whole
+			*x.surplus = whole
 		}
 	}
 	_, err := x.conn.Write([]byte(whole))
@@ -177,16 +177,16 @@
 // false if the connection must be closed.
 func (x *exchange) stream() bool {
 	from := x.head.LastEvent
-	if x.drawn(x.behaviour.Fail) {
-		x.end(500)
-		return x.write(standin.Answer(500, x.id, x.ID, "failed", x.says()))
+	if x.selected(x.behaviour.Fail) {
+		x.finish(500)
+		return x.write(standin.Answer(500, x.id, x.ID, "failed", x.statements()))
 	}
 	fault := x.streamFault()
-	head := standin.StreamHead(x.id, x.ID, x.saysLoad())
+	head := standin.StreamHead(x.id, x.ID, x.statementsWithLoad())
 	events := streamEvents(x.id)
 	for i := from; i < len(events); i++ {
 		if !x.work(x.workDuration(len(events))) || i == from && !x.write(head) {
-			x.end(0)
+			x.finish(0)
 			return false
 		}
 		if fault != nil && i == (from+len(events))/2 {
@@ -194,11 +194,11 @@
 			return false
 		}
 		if !x.write(chunk(events[i])) {
-			x.end(0)
+			x.finish(0)
 			return false
 		}
 	}
-	x.end(200)
+	x.finish(200)
 	if from >= len(events) {
 		x.write(head)
 	}
@@ -207,21 +207,21 @@
 
 // streamFault returns the failure that ends the stream halfway, or nil if none was selected.
 func (x *exchange) streamFault() func(event string) {
-	hang, broken, lose := x.drawn(x.behaviour.Hang), x.drawn(x.behaviour.Break), x.drawn(x.behaviour.Lose)
+	hang, broken, lose := x.selected(x.behaviour.Hang), x.selected(x.behaviour.Truncate), x.selected(x.behaviour.ResetAfterRun)
 	switch {
 	case hang:
 		return func(string) {
 			x.work(hangTime)
-			x.end(0)
+			x.finish(0)
 		}
 	case broken:
 		return func(event string) {
-			x.end(200)
+			x.finish(200)
 			x.truncate(event)
 		}
 	case lose:
 		return func(string) {
-			x.end(0)
+			x.finish(0)
 			resetConn(x.conn.(*net.TCPConn))
 		}
 	}
--- a/internal/soak/inject_replica.go
+++ b/internal/soak/inject_replica.go
@@ -77,12 +77,12 @@
 
 // drain replaces a replica: a new one starts, and the old one announces its departure in its
 // entry or deletes the entry, and serves on for a while.
-func (s *injector) drain(p *place, r *Replica, announced bool) {
+func (s *injector) drain(p *place, r *Replica, inEntry bool) {
 	s.markIdle(p)
 	if s.addPlace(r.Service, r.Domain) != nil {
 		return
 	}
-	if announced {
+	if inEntry {
 		s.announce(p, r, true)
 		s.ledger.Leaves(r.ID, time.Now())
 	} else {
--- a/internal/soak/link.go
+++ b/internal/soak/link.go
@@ -33,7 +33,7 @@
 
 type linkConn struct {
 	near, far *net.TCPConn
-	draw      float64 // random number in [0, 1); a fault applies if its Share is greater
+	random    float64 // random number in [0, 1); a fault applies if its Share is greater
 }
 
 // openLink opens a link that listens on address and forwards to target.
@@ -70,7 +70,7 @@
 		return
 	}
 	for c := range l.conns {
-		if c.draw < t.Share {
+		if c.random < t.Share {
 			c.reset()
 		}
 	}
@@ -110,16 +110,16 @@
 		if err != nil {
 			return
 		}
-		go l.carry(c.(*net.TCPConn))
+		go l.forward(c.(*net.TCPConn))
 	}
 }
 
-func (l *Link) carry(near *net.TCPConn) {
+func (l *Link) forward(near *net.TCPConn) {
 	l.mu.Lock()
 	target, t := l.target, l.trouble
 	l.mu.Unlock()
-	c := &linkConn{near: near, draw: rand.Float64()}
-	if t.Reset && c.draw < t.Share {
+	c := &linkConn{near: near, random: rand.Float64()}
+	if t.Reset && c.random < t.Share {
 		resetConn(near)
 		return
 	}
@@ -133,8 +133,8 @@
 	l.conns[c] = struct{}{}
 	l.mu.Unlock()
 	var wg sync.WaitGroup
-	wg.Go(func() { l.pump(c, c.far, c.near, func(t *Trouble) bool { return t.Forward }) })
-	wg.Go(func() { l.pump(c, c.near, c.far, func(t *Trouble) bool { return t.Back }) })
+	wg.Go(func() { l.copyBytes(c, c.far, c.near, func(t *Trouble) bool { return t.Forward }) })
+	wg.Go(func() { l.copyBytes(c, c.near, c.far, func(t *Trouble) bool { return t.Back }) })
 	wg.Wait()
 	_ = c.near.Close()
 	_ = c.far.Close()
@@ -143,12 +143,12 @@
 	l.mu.Unlock()
 }
 
-// pump copies one direction. It forwards the end of the stream with CloseWrite.
-func (l *Link) pump(c *linkConn, to, from *net.TCPConn, held func(*Trouble) bool) {
+// copyBytes copies one direction. It forwards the end of the stream with CloseWrite.
+func (l *Link) copyBytes(c *linkConn, to, from *net.TCPConn, stalled func(*Trouble) bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		l.hold(c, held)
+		l.stall(c, stalled)
 		if n > 0 {
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				c.reset()
@@ -166,13 +166,13 @@
 	}
 }
 
-// hold waits for the delay of the link's fault, and while the fault stalls this direction.
-func (l *Link) hold(c *linkConn, held func(*Trouble) bool) {
+// stall waits for the delay of the link's fault, and while the fault stalls this direction.
+func (l *Link) stall(c *linkConn, held func(*Trouble) bool) {
 	for delayed := false; ; {
 		l.mu.Lock()
 		t := l.trouble
 		l.mu.Unlock()
-		if c.draw >= t.Share {
+		if c.random >= t.Share {
 			return
 		}
 		if t.Delay > 0 && !delayed {
@@ -199,7 +199,7 @@
 // peerLink forwards datagrams and connections to one daemon, from the address that the daemon
 // announces to its peers.
 type peerLink struct {
-	news   *Link
+	tcp    *Link
 	socket *net.UDPConn
 	target *net.UDPAddr
 
@@ -217,7 +217,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &peerLink{news: news, blocked: func(string) bool { return false }}
+	p := &peerLink{tcp: news, blocked: func(string) bool { return false }}
 	if p.target, err = net.ResolveUDPAddr("udp4", target); err != nil {
 		return nil, err
 	}
@@ -246,18 +246,18 @@
 
 // block drops the datagrams of the senders for which blocked returns true. If news is set, it
 // also stalls all connections.
-func (p *peerLink) block(blocked func(from string) bool, news bool) {
+func (p *peerLink) block(blocked func(from string) bool, stallTCP bool) {
 	p.mu.Lock()
 	p.blocked = blocked
 	p.mu.Unlock()
 	t := Trouble{}
-	if news {
+	if stallTCP {
 		t = Trouble{Share: 1, Forward: true, Back: true}
 	}
-	p.news.SetFault(t)
+	p.tcp.SetFault(t)
 }
 
 func (p *peerLink) close() {
 	_ = p.socket.Close()
-	p.news.Close()
+	p.tcp.Close()
 }
--- a/internal/soak/replica.go
+++ b/internal/soak/replica.go
@@ -21,44 +21,44 @@
 
 // behaviour describes how a replica fails. Each float64 is the fraction of its requests.
 type behaviour struct {
-	Fail    float64 // responds with 500 after the work
-	Shed    float64 // refuses the request without running it
-	Hang    float64 // never responds
-	Break   float64 // truncates the response
-	Lose    float64 // runs the request and resets the connection
-	Surplus float64 // responds twice, at once or before the next response on the connection
-	// Rest is the backoff that a refusal requests from the daemon; 0: none. One refusal in
+	Fail          float64 // responds with 500 after the work
+	Shed          float64 // refuses the request without running it
+	Hang          float64 // never responds
+	Truncate      float64 // truncates the response
+	ResetAfterRun float64 // runs the request and resets the connection
+	Surplus       float64 // responds twice, at once or before the next response on the connection
+	// Backoff is the backoff that a refusal requests from the daemon; 0: none. One refusal in
 	// invalidBackoffOneIn requests it with a text that isn't a valid duration.
-	Rest time.Duration
+	Backoff time.Duration
 }
 
 // ordinary is the behaviour of a healthy replica: occasionally a response is truncated, lost or
 // sent twice.
-var ordinary = behaviour{Break: 0.01, Lose: 0.004, Surplus: 0.02}
+var ordinary = behaviour{Truncate: 0.01, ResetAfterRun: 0.004, Surplus: 0.02}
 
 // greyBehaviours are the variants of a grey failure: the replica is up but fails many requests.
 var greyBehaviours = []behaviour{
-	{Fail: 0.5}, {Shed: 0.6}, {Hang: 0.3}, {Break: 0.3}, {Lose: 0.2}, {Surplus: 0.6}, {Fail: 1}, {Surplus: 0.3, Lose: 0.1, Break: 0.1},
+	{Fail: 0.5}, {Shed: 0.6}, {Hang: 0.3}, {Truncate: 0.3}, {ResetAfterRun: 0.2}, {Surplus: 0.6}, {Fail: 1}, {Surplus: 0.3, ResetAfterRun: 0.1, Truncate: 0.1},
 }
 
 // Replica simulates one replica process.
 type Replica struct {
-	ID       string
-	Service  string
-	Domain   string
-	slots    int
-	born     time.Time
-	ledger   *Ledger
-	listener net.Listener
-
-	mu        sync.Mutex
-	behaviour behaviour
-	busy      int // slots in use
-	conns     map[net.Conn]struct{}
-	ended     bool
-	leaving   bool // it announces its departure in every response
-	coldUntil time.Time
-	arrivals  []time.Time // within the last second, recorded while the replica is cold
+	ID        string
+	Service   string
+	Domain    string
+	slots     int
+	startTime time.Time
+	ledger    *Ledger
+	listener  net.Listener
+
+	mu         sync.Mutex
+	behaviour  behaviour
+	busy       int // slots in use
+	conns      map[net.Conn]struct{}
+	terminated bool
+	departing  bool // it announces its departure in every response
+	coldUntil  time.Time
+	arrivals   []time.Time // within the last second, recorded while the replica is cold
 	// crashed is called when a request has crashed the replica.
 	crashed func()
 }
@@ -69,7 +69,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Replica{ID: id, Service: service, Domain: domain, slots: slots, born: time.Now(), behaviour: ordinary, ledger: l, listener: listener, conns: make(map[net.Conn]struct{})}
+	r := &Replica{ID: id, Service: service, Domain: domain, slots: slots, startTime: time.Now(), behaviour: ordinary, ledger: l, listener: listener, conns: make(map[net.Conn]struct{})}
 	go r.accept()
 	return r, nil
 }
@@ -98,9 +98,9 @@
 	return max(0, r.coldUntil.Sub(now))
 }
 
-// fallsOver records an arrival and reports whether a cold replica fails under it, because it
+// failsWhileCold records an arrival and reports whether a cold replica fails under it, because it
 // received more than coldFailureFactor times coldPerSecond requests within a second.
-func (r *Replica) fallsOver(now time.Time) bool {
+func (r *Replica) failsWhileCold(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !now.Before(r.coldUntil) {
@@ -119,7 +119,7 @@
 	_ = r.listener.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ended = true
+	r.terminated = true
 	for c := range r.conns {
 		resetConn(c.(*net.TCPConn))
 	}
@@ -132,7 +132,7 @@
 			return
 		}
 		r.mu.Lock()
-		ended := r.ended
+		ended := r.terminated
 		r.conns[c] = struct{}{}
 		r.mu.Unlock()
 		if ended {
@@ -162,11 +162,11 @@
 			return
 		}
 		head := standin.ReadRequest(req.Header)
-		x := &exchange{Replica: r, conn: c, head: head, id: head.ID, gone: make(chan struct{}), draw: rand.Float64(), stray: &stray}
+		x := &exchange{Replica: r, conn: c, head: head, id: head.ID, disconnected: make(chan struct{}), random: rand.Float64(), surplus: &stray}
 		watched := make(chan struct{})
 		go func() {
 			if _, err := reader.Peek(1); err != nil {
-				close(x.gone)
+				close(x.disconnected)
 			}
 			close(watched)
 		}()
--- a/internal/soak/resting.go
+++ b/internal/soak/resting.go
@@ -72,7 +72,7 @@
 			s.mu.Unlock()
 			from := time.Now()
 			s.ledger.StandsAside(r.ID, from, from.Add(f.For+settling))
-			r.SetBehaviour(behaviour{Shed: 1, Rest: rest})
+			r.SetBehaviour(behaviour{Shed: 1, Backoff: rest})
 			if f.Target%2 == 0 {
 				s.lapse(p, r)
 			}
@@ -109,15 +109,15 @@
 
 // refuseRequest refuses a request, and requests a backoff if the behaviour says so.
 func (x *exchange) refuseRequest() bool {
-	says := x.says()
+	says := x.statements()
 	now := time.Now()
 	switch {
-	case x.behaviour.Rest == 0:
+	case x.behaviour.Backoff == 0:
 	case rand.IntN(invalidBackoffOneIn) == 0:
 		says.Rest = []string{"-1", "NaN", "soon", "Fri, 31 Dec 1999 23:59:59 GMT"}[rand.IntN(4)]
 	default:
-		says.Rest = strconv.FormatFloat(x.behaviour.Rest.Seconds(), 'f', -1, 64)
-		x.ledger.AsksForRest(x.id, x.ID, x.behaviour.Rest, now)
+		says.Rest = strconv.FormatFloat(x.behaviour.Backoff.Seconds(), 'f', -1, 64)
+		x.ledger.AsksForRest(x.id, x.ID, x.behaviour.Backoff, now)
 	}
 	return x.write(standin.NotRun(x.id, says))
 }
--- a/internal/soak/serving.go
+++ b/internal/soak/serving.go
@@ -63,7 +63,7 @@
 	var out []routing.CrashReport
 	for i, p := range s.places {
 		if r := p.current; !p.idle && r.Service == service && len(out) < gossip.MaxCrashes {
-			known := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(r.ID), StartTime: routing.StartTime(r.born.UnixMilli())})
+			known := routing.NewReplica(routing.Replica{ID: routing.ReplicaID(r.ID), StartTime: routing.StartTime(r.startTime.UnixMilli())})
 			out = append(out, routing.CrashReport{Content: routing.ContentKey(1 + variant<<8 + i), Replica: known.LoadKey()})
 		}
 	}
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -249,7 +249,7 @@
 	s.written[r.ID]++
 	e := standin.Replica{
 		ID: r.ID, Service: r.Service, Address: p.link.Address(), Domain: p.domain, Slots: r.slots, ColdMS: r.coldRemaining(time.Now()).Milliseconds(),
-		Born: r.born.UnixMilli(), Sequence: s.written[r.ID], Draining: draining,
+		Born: r.startTime.UnixMilli(), Sequence: s.written[r.ID], Draining: draining,
 	}
 	s.entries[r.ID] = e
 	s.store.PutReplica(e)
