--- a/internal/soak/crashing.go
+++ b/internal/soak/crashing.go
@@ -138,7 +138,7 @@
 // crashedByRequest ends a replica, and starts another one at its place a while later, or the
 // same one again under its id.
 func (s *site) crashedByRequest(p *place, r *Replica) {
-	if !s.takeDown(p, r) {
+	if !s.tryMarkIdle(p, r) {
 		r.End()
 		return
 	}
@@ -151,14 +151,14 @@
 			pause(ctx, shortestRestart+rand.N(sameIDRestart-shortestRestart))
 			s.ledger.CalmReplica(r.ID, from, time.Now())
 			if ctx.Err() == nil && p.link.Reopen() == nil {
-				_ = s.beginAs(r.ID, p, r.Service)
+				_ = s.startAs(r.ID, p, r.Service)
 			}
 			return
 		}
-		expiry := time.AfterFunc(expiryTime, func() { s.remove(r) })
+		expiry := time.AfterFunc(expiryTime, func() { s.deleteEntry(r) })
 		pause(ctx, shortestRestart+rand.N(longestRestart-shortestRestart))
 		if expiry.Stop() {
-			s.remove(r)
+			s.deleteEntry(r)
 		}
 		s.ledger.CalmReplica(r.ID, from, time.Now())
 		if ctx.Err() == nil {
@@ -183,7 +183,7 @@
 			return err
 		}
 	}
-	return s.begin(p, service)
+	return s.startNew(p, service)
 }
 
 // crash is the end of a replica under a crashing request.
--- a/internal/soak/departing.go
+++ b/internal/soak/departing.go
@@ -15,8 +15,8 @@
 // leaveByAnswers replaces a replica: another one starts, and the old one announces its
 // departure in every response until it terminates. Its entry stays ready.
 func (s *injector) leaveByAnswers(f *Fault) {
-	p, r := s.at(f.Target)
-	if !s.takeDown(p, r) || s.addPlace(r.Service, r.Domain) != nil {
+	p, r := s.pickPlace(f.Target)
+	if !s.tryMarkIdle(p, r) || s.addPlace(r.Service, r.Domain) != nil {
 		return
 	}
 	from := time.Now()
@@ -24,14 +24,14 @@
 	r.Leave()
 	if f.Variant%2 == 0 {
 		// The entry disappears and returns, as after an outage of the store.
-		pause(s.ctx, lapse)
-		s.remove(r)
-		pause(s.ctx, lapse)
-		s.announce(p, r, false)
+		pause(s.ctx, entryGap)
+		s.deleteEntry(r)
+		pause(s.ctx, entryGap)
+		s.writeEntry(p, r, false)
 	}
 	pause(s.ctx, time.Until(from.Add(f.For)))
 	s.disturbReplica(r, r.End)
-	s.remove(r)
+	s.deleteEntry(r)
 }
 
 // Leave makes the replica announce its departure in every response.
--- a/internal/soak/evacuate.go
+++ b/internal/soak/evacuate.go
@@ -40,12 +40,12 @@
 	from := time.Now()
 	s.ledger.Evacuates(domain, from)
 	s.mu.Lock()
-	s.emptied[domain] = true
+	s.evacuated[domain] = true
 	s.mu.Unlock()
 	pause(s.ctx, f.For)
 	s.mu.Lock()
-	inForce := s.emptied[domain]
-	s.emptied[domain] = false
+	inForce := s.evacuated[domain]
+	s.evacuated[domain] = false
 	places := slices.Clone(s.places)
 	s.mu.Unlock()
 	if !inForce {
@@ -60,7 +60,7 @@
 				continue
 			}
 			s.makeCold(p, r, from)
-			time.AfterFunc(coldEntryDelay, func() { s.announceAgain(p, r) })
+			time.AfterFunc(coldEntryDelay, func() { s.rewriteEntry(p, r) })
 		}
 	}
 	s.ledger.TakesBack(domain, from, time.Now())
@@ -72,16 +72,16 @@
 	now := time.Now()
 	r.TurnCold(now.Add(coldStart))
 	s.ledger.TurnsCold(r.ID, coldSpan{span: span{now, now.Add(coldStart)}, known: known})
-	time.AfterFunc(coldStart, func() { s.announceAgain(p, r) })
+	time.AfterFunc(coldStart, func() { s.rewriteEntry(p, r) })
 }
 
-// announceAgain rewrites the entry of a replica unless it was replaced or has terminated.
-func (s *site) announceAgain(p *place, r *Replica) {
+// rewriteEntry rewrites the entry of a replica unless it was replaced or has terminated.
+func (s *site) rewriteEntry(p *place, r *Replica) {
 	s.mu.Lock()
 	serves := p.current == r && !p.idle
 	s.mu.Unlock()
 	if serves {
-		s.announce(p, r, false)
+		s.writeEntry(p, r, false)
 	}
 }
 
@@ -172,12 +172,12 @@
 	})
 }
 
-// heldBack reports whether daemons may send nothing to a replica at a time. That is so while the
+// isIneligible reports whether daemons may send nothing to a replica at a time. That is so while the
 // replica is cold and until daemons must know that it is warm (the store's watches may be silent
 // for 1.7 s, and a daemon that learns late that a replica is cold counts the cold time from then
 // on). It is also so while its domain is evacuated, and just after the domain returned to
 // service, when daemons treat its replicas as cold.
-func (j *judgement) heldBack(replica string, at time.Time) bool {
+func (j *judgement) isIneligible(replica string, at time.Time) bool {
 	isCold := slices.ContainsFunc(j.cold[replica], func(c coldSpan) bool {
 		return !at.Before(c.from) && at.Before(c.to.Add(j.bounds.Apply))
 	})
--- a/internal/soak/exchange.go
+++ b/internal/soak/exchange.go
@@ -23,7 +23,7 @@
 	run          *Run
 	behaviour    behaviour
 	disconnected chan struct{} // closed when the daemon closes the connection
-	random       float64       // random number in [0, 1) that selects the failure, see drawn
+	random       float64       // random number in [0, 1) that selects the failure, see selected
 	surplus      *string       // surplus response that is written before the next one on the connection
 }
 
@@ -80,7 +80,7 @@
 	return standin.Says{Leaving: x.departing}
 }
 
-// statementsWithLoad is like says, with the load.
+// statementsWithLoad is like statements, with the load.
 func (x *exchange) statementsWithLoad() standin.Says {
 	says := x.statements()
 	x.mu.Lock()
@@ -207,19 +207,19 @@
 
 // streamFault returns the failure that ends the stream halfway, or nil if none was selected.
 func (x *exchange) streamFault() func(event string) {
-	hang, broken, lose := x.selected(x.behaviour.Hang), x.selected(x.behaviour.Truncate), x.selected(x.behaviour.ResetAfterRun)
+	hang, truncate, reset := x.selected(x.behaviour.Hang), x.selected(x.behaviour.Truncate), x.selected(x.behaviour.ResetAfterRun)
 	switch {
 	case hang:
 		return func(string) {
 			x.work(hangTime)
 			x.finish(0)
 		}
-	case broken:
+	case truncate:
 		return func(event string) {
 			x.finish(200)
 			x.truncate(event)
 		}
-	case lose:
+	case reset:
 		return func(string) {
 			x.finish(0)
 			resetConn(x.conn.(*net.TCPConn))
--- a/internal/soak/foreign.go
+++ b/internal/soak/foreign.go
@@ -57,7 +57,7 @@
 // writeForeign writes entries with the address of the trap, and overwrites the entry of a
 // replica, both for the duration of the fault.
 func (s *injector) writeForeign(f *Fault) {
-	p, r := s.at(f.Target)
+	p, r := s.pickPlace(f.Target)
 	for i := range 3 {
 		key := fmt.Sprintf("foreign-%d-%d", f.Target, i)
 		s.store.PutEntry(key, foreignEntry(f.Variant+i, r.Service, s.trap.address()))
@@ -73,7 +73,7 @@
 	serves := p.current == r && !p.idle
 	s.mu.Unlock()
 	if serves {
-		s.announce(p, r, false)
+		s.writeEntry(p, r, false)
 	}
 }
 
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -34,7 +34,7 @@
 	*site
 	ctx       context.Context
 	endpoints []*standin.StoreEndpoint
-	note      func(format string, args ...any)
+	logf      func(format string, args ...any)
 
 	copies copies // of the store
 
@@ -77,7 +77,7 @@
 }
 
 func (s *injector) inject(f *Fault) {
-	s.note("%s target %d variant %d for %v", f.Kind, f.Target, f.Variant, f.For.Round(time.Millisecond))
+	s.logf("%s target %d variant %d for %v", f.Kind, f.Target, f.Variant, f.For.Round(time.Millisecond))
 	switch f.Kind {
 	case killDaemon, killAll, freezeDaemon, stopDaemon, hangupDaemon:
 		s.injectProcess(f)
@@ -98,7 +98,7 @@
 	case foreignEntries:
 		s.writeForeign(f)
 	case restReplicas:
-		s.rest(f)
+		s.refuseForBackoff(f)
 	case falseEnds:
 		s.tellFalseEnds(f)
 	case leaveByAnswers:
@@ -112,7 +112,7 @@
 		pause(s.ctx, f.For)
 		s.callerFaults.cancelPercent.Store(0)
 	}
-	s.note("%s target %d ended", f.Kind, f.Target)
+	s.logf("%s target %d ended", f.Kind, f.Target)
 }
 
 func (s *injector) injectProcess(f *Fault) {
@@ -211,7 +211,7 @@
 	d := s.daemon(f)
 	switch f.Kind {
 	case linkReplica:
-		p, r := s.at(f.Target)
+		p, r := s.pickPlace(f.Target)
 		s.disturbReplica(r, func() { hold(p.link) })
 	case linkCallers:
 		s.disturb([]*daemon{d}, func() { hold(d.callers) })
@@ -234,7 +234,7 @@
 			case 0:
 				s.addKey()
 			case 1:
-				s.grow(fillerRoutes)
+				s.addFillerRoutes(fillerRoutes)
 			default:
 				s.revokeKey(f.Target + i)
 			}
--- a/internal/soak/inject_replica.go
+++ b/internal/soak/inject_replica.go
@@ -15,7 +15,7 @@
 }
 
 func (s *injector) injectReplica(f *Fault) {
-	p, r := s.at(f.Target)
+	p, r := s.pickPlace(f.Target)
 	switch f.Kind {
 	case greyReplica:
 		s.makeGrey(f)
@@ -49,7 +49,7 @@
 func (s *injector) makeGrey(f *Fault) {
 	var wg sync.WaitGroup
 	for i := range 1 + f.Variant%maxGrey {
-		_, r := s.at(f.Target + i)
+		_, r := s.pickPlace(f.Target + i)
 		wg.Go(func() {
 			s.disturbReplica(r, func() {
 				r.SetBehaviour(greyBehaviours[(f.Variant/maxGrey)%len(greyBehaviours)])
@@ -64,13 +64,13 @@
 // crash terminates a replica without draining it. Its entry expires, and a new replica of the
 // service next starts at its address.
 func (s *injector) crash(p *place, r *Replica, next string, down time.Duration) {
-	if !s.takeDown(p, r) {
+	if !s.tryMarkIdle(p, r) {
 		return
 	}
 	s.disturbReplica(r, func() {
 		s.endReplica(p, r)
 		pause(s.ctx, max(down, expiryTime))
-		s.remove(r)
+		s.deleteEntry(r)
 	})
 	_ = s.beginAgain(p, next)
 }
@@ -83,12 +83,12 @@
 		return
 	}
 	if inEntry {
-		s.announce(p, r, true)
+		s.writeEntry(p, r, true)
 		s.ledger.Leaves(r.ID, time.Now())
 	} else {
-		s.remove(r)
+		s.deleteEntry(r)
 	}
 	pause(s.ctx, serveAfterDeparture)
 	s.disturbReplica(r, r.End)
-	s.remove(r)
+	s.deleteEntry(r)
 }
--- a/internal/soak/inject_store.go
+++ b/internal/soak/inject_store.go
@@ -78,7 +78,7 @@
 				same := p.current == r && !p.idle
 				s.mu.Unlock()
 				if same {
-					s.announce(p, r, false)
+					s.writeEntry(p, r, false)
 				}
 			})
 		}
--- a/internal/soak/judge_limit.go
+++ b/internal/soak/judge_limit.go
@@ -115,7 +115,7 @@
 	n := 0
 	for replica, from := range j.joined[service] {
 		isThere := !from.After(at) && calm(j.leaving[replica], at, at.Add(1))
-		if isThere && !j.heldBack(replica, at) && !j.rests(replica, by, at) {
+		if isThere && !j.isIneligible(replica, at) && !j.mustBackOff(replica, by, at) {
 			n++
 		}
 	}
--- a/internal/soak/link.go
+++ b/internal/soak/link.go
@@ -167,7 +167,7 @@
 }
 
 // stall waits for the delay of the link's fault, and while the fault stalls this direction.
-func (l *Link) stall(c *linkConn, held func(*Trouble) bool) {
+func (l *Link) stall(c *linkConn, stalled func(*Trouble) bool) {
 	for delayed := false; ; {
 		l.mu.Lock()
 		t := l.trouble
@@ -179,7 +179,7 @@
 			time.Sleep(t.Delay)
 			delayed = true
 		}
-		if !held(&t) {
+		if !stalled(&t) {
 			return
 		}
 		time.Sleep(linkPoll)
@@ -209,7 +209,7 @@
 
 // openPeerLink opens a link that listens on address and forwards to target.
 func openPeerLink(address, target string) (*peerLink, error) {
-	news, err := openLink(address, target)
+	tcp, err := openLink(address, target)
 	if err != nil {
 		return nil, err
 	}
@@ -217,7 +217,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &peerLink{tcp: news, blocked: func(string) bool { return false }}
+	p := &peerLink{tcp: tcp, blocked: func(string) bool { return false }}
 	if p.target, err = net.ResolveUDPAddr("udp4", target); err != nil {
 		return nil, err
 	}
@@ -244,7 +244,7 @@
 	}
 }
 
-// block drops the datagrams of the senders for which blocked returns true. If news is set, it
+// block drops the datagrams of the senders for which blocked returns true. If stallTCP is set, it
 // also stalls all connections.
 func (p *peerLink) block(blocked func(from string) bool, stallTCP bool) {
 	p.mu.Lock()
--- a/internal/soak/resting.go
+++ b/internal/soak/resting.go
@@ -24,21 +24,21 @@
 	wholeServiceOneIn = 4
 	// One refusal in invalidBackoffOneIn requests a backoff with a text that isn't a valid duration.
 	invalidBackoffOneIn = 6
-	// lapse is how long the entry of a refusing replica is missing, in every second fault.
-	lapse = 300 * time.Millisecond
+	// entryGap is how long the entry of a refusing replica is missing, in every second fault.
+	entryGap = 300 * time.Millisecond
 )
 
 // restingBounds limit the requests of a daemon to a replica that requested a backoff from it.
 type restingBounds struct {
 	Grace time.Duration // after the response, in which requests in flight may still arrive
-	Most  int           // requests allowed from then until the end of the backoff
+	Max   int           // requests allowed from then until the end of the backoff
 }
 
 // restAsked is a refusal that requested a backoff from a daemon.
 type restAsked struct {
-	replica string
-	at      time.Time
-	rest    time.Duration
+	replica  string
+	at       time.Time
+	duration time.Duration
 }
 
 // drawStatements adds the faults of replicas that request a backoff, and of those that announce
@@ -60,9 +60,9 @@
 	}
 }
 
-// rest makes some replicas, or all of one service, refuse all requests and request a backoff
+// refuseForBackoff makes some replicas, or all of one service, refuse all requests and request a backoff
 // for the duration of the fault.
-func (s *injector) rest(f *Fault) {
+func (s *injector) refuseForBackoff(f *Fault) {
 	rest := minBackoff + time.Duration(f.Variant%100)*(maxBackoff-minBackoff)/100
 	var wg sync.WaitGroup
 	for _, p := range s.refusingPlaces(f) {
@@ -74,7 +74,7 @@
 			s.ledger.StandsAside(r.ID, from, from.Add(f.For+settling))
 			r.SetBehaviour(behaviour{Shed: 1, Backoff: rest})
 			if f.Target%2 == 0 {
-				s.lapse(p, r)
+				s.dropEntry(p, r)
 			}
 			pause(s.ctx, time.Until(from.Add(f.For)))
 			r.SetBehaviour(ordinary)
@@ -85,7 +85,7 @@
 
 // refusingPlaces returns the places whose replicas refuse requests because of a fault.
 func (s *injector) refusingPlaces(f *Fault) []*place {
-	first, r := s.at(f.Target)
+	first, r := s.pickPlace(f.Target)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	isWhole := f.Variant%wholeServiceOneIn == 0
@@ -99,12 +99,12 @@
 	return out
 }
 
-// lapse deletes the entry of a replica for a short time.
-func (s *injector) lapse(p *place, r *Replica) {
-	pause(s.ctx, lapse)
-	s.remove(r)
-	pause(s.ctx, lapse)
-	s.announceAgain(p, r)
+// dropEntry deletes the entry of a replica for a short time.
+func (s *injector) dropEntry(p *place, r *Replica) {
+	pause(s.ctx, entryGap)
+	s.deleteEntry(r)
+	pause(s.ctx, entryGap)
+	s.rewriteEntry(p, r)
 }
 
 // refuseRequest refuses a request, and requests a backoff if the behaviour says so.
@@ -128,7 +128,7 @@
 	defer l.mu.Unlock()
 	r := l.record(request)
 	d := r.by()
-	l.restsBy[d] = append(l.restsBy[d], restAsked{replica: replica, at: at, rest: rest})
+	l.restsBy[d] = append(l.restsBy[d], restAsked{replica: replica, at: at, duration: rest})
 }
 
 // StandsAside records a period in which a replica refuses all requests, or announces its
@@ -195,10 +195,10 @@
 			n, last = n+1, at
 		}
 	}
-	if n > j.bounds.Resting.Most && calm(j.freezes[by.daemon], a.at, last) {
+	if n > j.bounds.Resting.Max && calm(j.freezes[by.daemon], a.at, last) {
 		j.out = append(j.out, Violation{
 			Promise: "BUDGET", Subject: fmt.Sprintf("%s%s at daemon %d, %v", restSubject, a.replica, by.daemon, a.at.UnixMilli()), At: last,
-			Detail: fmt.Sprintf("%s had asked daemon %d for a backoff of %v and received %d requests from it meanwhile", a.replica, by.daemon, a.rest, n),
+			Detail: fmt.Sprintf("%s had asked daemon %d for a backoff of %v and received %d requests from it meanwhile", a.replica, by.daemon, a.duration, n),
 		})
 	}
 }
@@ -206,7 +206,7 @@
 // backoffEnd returns when a backoff ends: after the requested time, or when the replica restarts
 // under the same id, because the new process didn't request it.
 func (j *judgement) backoffEnd(a *restAsked) time.Time {
-	to := a.at.Add(a.rest)
+	to := a.at.Add(a.duration)
 	for _, of := range j.joined {
 		if began := of[a.replica]; began.After(a.at) && began.Before(to) {
 			to = began
@@ -215,11 +215,11 @@
 	return to
 }
 
-// rests reports whether a daemon must back off from a replica at a time.
-func (j *judgement) rests(replica string, d processLife, at time.Time) bool {
+// mustBackOff reports whether a daemon must back off from a replica at a time.
+func (j *judgement) mustBackOff(replica string, d processLife, at time.Time) bool {
 	for i := range j.restsBy[d] {
 		a := &j.restsBy[d][i]
-		if a.replica == replica && !at.Before(a.at) && at.Before(a.at.Add(a.rest)) {
+		if a.replica == replica && !at.Before(a.at) && at.Before(a.at.Add(a.duration)) {
 			return true
 		}
 	}
--- a/internal/soak/restore.go
+++ b/internal/soak/restore.go
@@ -106,7 +106,7 @@
 	s.storeMu.Unlock()
 	pause(s.ctx, s.ledger.bounds.Contact+2*settling)
 	s.revokeKey(f.Target)
-	p, r := s.at(f.Target)
+	p, r := s.pickPlace(f.Target)
 	s.drain(p, r, f.Variant%2 == 0)
 }
 
@@ -116,7 +116,7 @@
 	s.mu.Lock()
 	c := s.config()
 	s.store.PutConfigAgain(&c)
-	for domain, emptied := range s.emptied {
+	for domain, emptied := range s.evacuated {
 		switch isEvacuated := s.store.IsEvacuated(domain); {
 		case emptied && !isEvacuated:
 			s.store.Evacuate(domain)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -196,7 +196,7 @@
 			r.judge()
 		}
 	})
-	s := &injector{site: r.site, ctx: ctx, endpoints: r.endpoints, note: r.note}
+	s := &injector{site: r.site, ctx: ctx, endpoints: r.endpoints, logf: r.note}
 	var upgrades sync.WaitGroup
 	upgrades.Go(func() {
 		for i := range r.plan.Upgrades {
--- a/internal/soak/serving.go
+++ b/internal/soak/serving.go
@@ -38,7 +38,7 @@
 // tellFalseEnds tells all daemons for a while that all replicas of a service ended a moment ago,
 // each under another request.
 func (s *injector) tellFalseEnds(f *Fault) {
-	_, first := s.at(f.Target)
+	_, first := s.pickPlace(f.Target)
 	at := time.Now().Add(-time.Duration(f.Variant%1000) * oldestFalseEnd / 1000)
 	reports := s.falseEnds(first.Service, f.Variant)
 	for end := time.Now().Add(f.For); time.Now().Before(end) && s.ctx.Err() == nil; pause(s.ctx, endsRepeat) {
@@ -47,7 +47,7 @@
 		}
 		payload, err := gossip.EncodeCrashes(reports)
 		if err != nil {
-			s.note("%s: %v", f.Kind, err)
+			s.logf("%s: %v", f.Kind, err)
 			return
 		}
 		for _, d := range s.fleet.daemons {
@@ -143,7 +143,7 @@
 	for replica, joined := range j.joined[service] {
 		before := from.Add(-j.bounds.Contact)
 		well := calm(j.replicas[replica], before, to) && calm(j.aside[replica], before, to) && calm(j.leaving[replica], before, to)
-		if well && joined.Before(before) && !j.heldBack(replica, from) && !j.heldBack(replica, to) {
+		if well && joined.Before(before) && !j.isIneligible(replica, from) && !j.isIneligible(replica, to) {
 			return true
 		}
 	}
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -56,24 +56,24 @@
 	cold         bool      // replicas are cold after a start
 	begun        time.Time // start of the traffic
 
-	mu       sync.Mutex
-	version  int
-	started  int
-	services map[string]string // of the plain routes
-	keys     []siteKey
-	dropped  []siteKey
-	filler   int // number of unused routes, which make the configuration larger
-	places   []*place
-	emptied  map[string]bool // domains that are evacuated
+	mu        sync.Mutex
+	version   int
+	started   int
+	services  map[string]string // of the plain routes
+	keys      []siteKey
+	revoked   []siteKey
+	filler    int // number of unused routes, which make the configuration larger
+	places    []*place
+	evacuated map[string]bool // domains that are evacuated
 	// entries holds the last entry of each replica by id, written the number of its writes.
 	entries map[string]standin.Replica
-	written map[string]uint64
+	writes  map[string]uint64
 }
 
 type siteKey struct{ key, workspace string }
 
 func newSite(l *Ledger) *site {
-	s := &site{ledger: l, store: standin.NewStore(50), emptied: make(map[string]bool), entries: make(map[string]standin.Replica), written: make(map[string]uint64), services: map[string]string{"once": serviceGate, "safe": serviceGate, "chat": serviceChat, "reply": serviceChat}}
+	s := &site{ledger: l, store: standin.NewStore(50), evacuated: make(map[string]bool), entries: make(map[string]standin.Replica), writes: make(map[string]uint64), services: map[string]string{"once": serviceGate, "safe": serviceGate, "chat": serviceChat, "reply": serviceChat}}
 	for i := range 6 {
 		k := siteKey{fmt.Sprintf("first-%d", i), fmt.Sprintf("w%d", i%3)}
 		s.keys = append(s.keys, k)
@@ -156,7 +156,7 @@
 	i := staying + draw%(len(s.keys)-staying)
 	k := s.keys[i]
 	s.keys = append(s.keys[:i:i], s.keys[i+1:]...)
-	s.dropped = append(s.dropped, k)
+	s.revoked = append(s.revoked, k)
 	s.ledger.KeyRemoved(k.key, s.publish())
 }
 
@@ -172,7 +172,7 @@
 	s.ledger.RouteTo(name, to, s.publish())
 }
 
-func (s *site) grow(routes int) {
+func (s *site) addFillerRoutes(routes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.filler += routes
@@ -186,8 +186,8 @@
 	switch draw := rand.IntN(50); {
 	case draw == 0:
 		return "nobody's"
-	case draw < 8 && len(s.dropped) > 0:
-		return s.dropped[rand.IntN(len(s.dropped))].key
+	case draw < 8 && len(s.revoked) > 0:
+		return s.revoked[rand.IntN(len(s.revoked))].key
 	}
 	return s.keys[rand.IntN(len(s.keys))].key
 }
@@ -208,20 +208,20 @@
 	s.mu.Lock()
 	s.places = append(s.places, p)
 	s.mu.Unlock()
-	return s.begin(p, service)
+	return s.startNew(p, service)
 }
 
-// begin starts a replica under a new id at a place and writes its entry.
-func (s *site) begin(p *place, service string) error {
+// startNew starts a replica under a new id at a place and writes its entry.
+func (s *site) startNew(p *place, service string) error {
 	s.mu.Lock()
 	s.started++
 	id := "i-" + itoa(s.started)
 	s.mu.Unlock()
-	return s.beginAs(id, p, service)
+	return s.startAs(id, p, service)
 }
 
-// beginAs starts a replica under an id at a place and writes its entry.
-func (s *site) beginAs(id string, p *place, service string) error {
+// startAs starts a replica under an id at a place and writes its entry.
+func (s *site) startAs(id string, p *place, service string) error {
 	slots := gateSlots
 	if service == serviceChat {
 		slots = chatSlots
@@ -240,16 +240,16 @@
 	if s.cold && !s.begun.IsZero() {
 		s.makeCold(p, r, time.Time{})
 	}
-	s.announce(p, r, false)
+	s.writeEntry(p, r, false)
 	return nil
 }
 
-func (s *site) announce(p *place, r *Replica, draining bool) {
+func (s *site) writeEntry(p *place, r *Replica, draining bool) {
 	s.mu.Lock()
-	s.written[r.ID]++
+	s.writes[r.ID]++
 	e := standin.Replica{
 		ID: r.ID, Service: r.Service, Address: p.link.Address(), Domain: p.domain, Slots: r.slots, ColdMS: r.coldRemaining(time.Now()).Milliseconds(),
-		Born: r.startTime.UnixMilli(), Sequence: s.written[r.ID], Draining: draining,
+		Born: r.startTime.UnixMilli(), Sequence: s.writes[r.ID], Draining: draining,
 	}
 	s.entries[r.ID] = e
 	s.store.PutReplica(e)
@@ -259,8 +259,8 @@
 	}
 }
 
-// at returns a place that isn't idle, and its replica. If all are idle, it returns the first.
-func (s *site) at(draw int) (*place, *Replica) {
+// pickPlace returns a place that isn't idle, and its replica. If all are idle, it returns the first.
+func (s *site) pickPlace(draw int) (*place, *Replica) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for k := range s.places {
@@ -278,9 +278,9 @@
 	p.idle = true
 }
 
-// takeDown marks the place of a replica as idle, so that the caller may terminate the replica.
+// tryMarkIdle marks the place of a replica as idle, so that the caller may terminate the replica.
 // It returns false if the replica was already taken down.
-func (s *site) takeDown(p *place, r *Replica) bool {
+func (s *site) tryMarkIdle(p *place, r *Replica) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p.current != r || p.idle {
@@ -290,8 +290,8 @@
 	return true
 }
 
-// remove deletes a replica's entry.
-func (s *site) remove(r *Replica) {
+// deleteEntry deletes a replica's entry.
+func (s *site) deleteEntry(r *Replica) {
 	s.mu.Lock()
 	delete(s.entries, r.ID)
 	s.store.DeleteReplica(r.ID)
--- a/internal/soak/upgrade.go
+++ b/internal/soak/upgrade.go
@@ -57,7 +57,7 @@
 // upgrade replaces daemons one after the other. Those that run the build already are left alone.
 func (s *injector) upgrade(u *Upgrade) {
 	pause(s.ctx, time.Until(s.begun.Add(u.At)))
-	s.note("upgrade to build %q begins: %d daemons from %d", u.To, u.Count, u.First)
+	s.logf("upgrade to build %q begins: %d daemons from %d", u.To, u.Count, u.First)
 	for i := range u.Count {
 		d := s.fleet.daemons[(u.First+i)%len(s.fleet.daemons)]
 		if s.ctx.Err() != nil {
@@ -68,7 +68,7 @@
 			pause(s.ctx, u.Gap)
 		}
 	}
-	s.note("upgrade to build %q is over", u.To)
+	s.logf("upgrade to build %q is over", u.To)
 }
 
 // setBuild sets what the daemon runs when it starts next. It returns false if it runs that.
