--- a/internal/soak/crashing.go
+++ b/internal/soak/crashing.go
@@ -139,7 +139,7 @@
 // same one again under its id.
 func (s *site) crashedByRequest(p *place, r *Replica) {
 	if !s.tryMarkIdle(p, r) {
-		r.End()
+		r.Terminate()
 		return
 	}
 	from := time.Now()
@@ -173,7 +173,7 @@
 	if s.refuses {
 		p.link.Close()
 	}
-	r.End()
+	r.Terminate()
 }
 
 // beginAgain starts a replica at a place whose last one has ended.
--- a/internal/soak/departing.go
+++ b/internal/soak/departing.go
@@ -20,8 +20,8 @@
 		return
 	}
 	from := time.Now()
-	s.ledger.StandsAside(r.ID, from, from.Add(time.Hour))
-	r.Leave()
+	s.ledger.SetAside(r.ID, from, from.Add(time.Hour))
+	r.AnnounceDeparture()
 	if f.Variant%2 == 0 {
 		// The entry disappears and returns, as after an outage of the store.
 		pause(s.ctx, entryGap)
@@ -30,27 +30,27 @@
 		s.writeEntry(p, r, false)
 	}
 	pause(s.ctx, time.Until(from.Add(f.For)))
-	s.disturbReplica(r, r.End)
+	s.disturbReplica(r, r.Terminate)
 	s.deleteEntry(r)
 }
 
-// Leave makes the replica announce its departure in every response.
-func (r *Replica) Leave() {
+// AnnounceDeparture makes the replica announce its departure in every response.
+func (r *Replica) AnnounceDeparture() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.departing = true
 }
 
-// SaysThatItLeaves records that a replica announced its departure in the response to a request.
-func (l *Ledger) SaysThatItLeaves(request, replica string) {
+// DepartureAnnounced records that a replica announced its departure in the response to a request.
+func (l *Ledger) DepartureAnnounced(request, replica string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.record(request)
 	r.leavers = append(r.leavers, replica)
 }
 
-// Leavers returns the number of replicas that announced their departure in a response.
-func (l *Ledger) Leavers() int {
+// Departures returns the number of replicas that announced their departure in a response.
+func (l *Ledger) Departures() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	seen := make(map[string]bool)
@@ -69,11 +69,11 @@
 	daemon int
 }
 
-// judgeLeavers finds requests that reached a replica too long after it announced its departure
+// judgeDepartures finds requests that reached a replica too long after it announced its departure
 // in a response. The daemon that forwarded the response must know of the departure even while
 // it is out of touch, unless it was frozen or restarted. Other daemons must know if they and the
 // forwarding daemon were in touch with the store and with each other.
-func (j *judgement) judgeLeavers() {
+func (j *judgement) judgeDepartures() {
 	forwarded, earliest := j.forwardedDepartures()
 	if len(earliest) == 0 {
 		return
--- a/internal/soak/evacuate.go
+++ b/internal/soak/evacuate.go
@@ -38,7 +38,7 @@
 	domain := s.domains[f.Target%len(s.domains)]
 	s.store.Evacuate(domain)
 	from := time.Now()
-	s.ledger.Evacuates(domain, from)
+	s.ledger.Evacuated(domain, from)
 	s.mu.Lock()
 	s.evacuated[domain] = true
 	s.mu.Unlock()
@@ -63,7 +63,7 @@
 			time.AfterFunc(coldEntryDelay, func() { s.rewriteEntry(p, r) })
 		}
 	}
-	s.ledger.TakesBack(domain, from, time.Now())
+	s.ledger.ReturnedToService(domain, from, time.Now())
 	s.store.TakeBack(domain)
 }
 
@@ -71,7 +71,7 @@
 func (s *site) makeCold(p *place, r *Replica, known time.Time) {
 	now := time.Now()
 	r.TurnCold(now.Add(coldStart))
-	s.ledger.TurnsCold(r.ID, coldSpan{span: span{now, now.Add(coldStart)}, known: known})
+	s.ledger.TurnedCold(r.ID, coldSpan{span: span{now, now.Add(coldStart)}, known: known})
 	time.AfterFunc(coldStart, func() { s.rewriteEntry(p, r) })
 }
 
@@ -85,23 +85,23 @@
 	}
 }
 
-// StandsIn records the domain of a replica.
-func (l *Ledger) StandsIn(replica, domain string) {
+// SetDomain records the domain of a replica.
+func (l *Ledger) SetDomain(replica, domain string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.domains[replica] = domain
 }
 
-// Evacuates records that the store accepted the evacuation of a domain.
-func (l *Ledger) Evacuates(domain string, at time.Time) {
+// Evacuated records that the store accepted the evacuation of a domain.
+func (l *Ledger) Evacuated(domain string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.emptied[domain] = append(l.emptied[domain], span{at, at.Add(time.Hour)})
 }
 
-// TakesBack records that a domain is returned to service at a time. It ends all evacuations of
+// ReturnedToService records that a domain is returned to service at a time. It ends all evacuations of
 // the domain, also those that overlap.
-func (l *Ledger) TakesBack(domain string, from, to time.Time) {
+func (l *Ledger) ReturnedToService(domain string, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i := range l.emptied[domain] {
@@ -111,8 +111,8 @@
 	}
 }
 
-// TurnsCold records a period in which a replica is cold.
-func (l *Ledger) TurnsCold(replica string, c coldSpan) {
+// TurnedCold records a period in which a replica is cold.
+func (l *Ledger) TurnedCold(replica string, c coldSpan) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cold[replica] = append(l.cold[replica], c)
--- a/internal/soak/exchange.go
+++ b/internal/soak/exchange.go
@@ -75,7 +75,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.departing {
-		x.ledger.SaysThatItLeaves(x.id, x.ID)
+		x.ledger.DepartureAnnounced(x.id, x.ID)
 	}
 	return standin.Says{Leaving: x.departing}
 }
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -196,7 +196,7 @@
 }
 
 // linkFaults are the variants of link faults.
-var linkFaults = []Trouble{
+var linkFaults = []LinkFault{
 	{Share: 1, Delay: linkDelay}, {Share: 0.5, Reset: true}, {Share: 0.5, Forward: true, Back: true},
 	{Share: 1, Forward: true}, {Share: 1, Back: true}, {Share: 1, Reset: true}, {Share: 0.3, Delay: 10 * linkDelay},
 }
@@ -206,7 +206,7 @@
 	hold := func(l *Link) {
 		l.SetFault(t)
 		pause(s.ctx, f.For)
-		l.SetFault(Trouble{})
+		l.SetFault(LinkFault{})
 	}
 	d := s.daemon(f)
 	switch f.Kind {
--- a/internal/soak/inject_replica.go
+++ b/internal/soak/inject_replica.go
@@ -89,6 +89,6 @@
 		s.deleteEntry(r)
 	}
 	pause(s.ctx, serveAfterDeparture)
-	s.disturbReplica(r, r.End)
+	s.disturbReplica(r, r.Terminate)
 	s.deleteEntry(r)
 }
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -35,7 +35,7 @@
 	// Crashing bounds the requests that crash the replicas that run them.
 	Crashing crashingBounds
 	// Resting bounds what reaches replicas that asked for rest.
-	Resting restingBounds
+	Resting backoffBounds
 	// Refusing is for how long a daemon may refuse what a living replica could serve.
 	Refusing time.Duration
 }
@@ -49,7 +49,7 @@
 		Limit:    limitBounds{Window: 5 * time.Second, Factor: 2, Slack: 3, Least: 20, Share: 0.03},
 		Evacuate: 2500 * time.Millisecond, Cold: coldOverage*coldPerSecond + coldSlack,
 		Crashing: crashingBounds{Ends: 3, More: 3},
-		Resting:  restingBounds{Grace: 500 * time.Millisecond, Max: 2},
+		Resting:  backoffBounds{Grace: 500 * time.Millisecond, Max: 2},
 		Refusing: time.Second,
 	}
 }
@@ -73,8 +73,8 @@
 	j.judgeFew()
 	j.judgeRepeats()
 	j.judgeCrashing()
-	j.judgeResting()
-	j.judgeLeavers()
+	j.judgeBackoffs()
+	j.judgeDepartures()
 	j.judgeServing()
 	j.judgeLimit()
 	j.judgeCold()
--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -110,17 +110,17 @@
 		{"a new key is not known for long", "CONFIG", once, func(s *scene) { s.KeyAdded("k", "w", at(90)); s.send(); s.answer(Answer{Status: 401}) }},
 		{"work for a replica that left", "DRAIN", once, func(s *scene) { s.Leaves("r1", at(95)); s.send().run("r1", 100.1) }},
 		{"work for one that leaves just now", "", once, func(s *scene) { s.Leaves("r1", at(99)); s.send().run("r1", 100.1) }},
-		{"work for an evacuated domain", "EVAC", once, func(s *scene) { s.StandsIn("r1", "z"); s.Evacuates("z", at(95)); s.send().run("r1", 100.1) }},
-		{"work for one evacuated just now", "", once, func(s *scene) { s.StandsIn("r1", "z"); s.Evacuates("z", at(99)); s.send().run("r1", 100.1) }},
+		{"work for an evacuated domain", "EVAC", once, func(s *scene) { s.SetDomain("r1", "z"); s.Evacuated("z", at(95)); s.send().run("r1", 100.1) }},
+		{"work for one evacuated just now", "", once, func(s *scene) { s.SetDomain("r1", "z"); s.Evacuated("z", at(99)); s.send().run("r1", 100.1) }},
 		{"work for one taken back", "", once, func(s *scene) {
-			s.StandsIn("r1", "z")
-			s.Evacuates("z", at(90))
-			s.TakesBack("z", at(90), at(100))
+			s.SetDomain("r1", "z")
+			s.Evacuated("z", at(90))
+			s.ReturnedToService("z", at(90), at(100))
 			s.send().run("r1", 100.1)
 		}},
 		{"work for an evacuated domain by a daemon out of touch", "", once, func(s *scene) {
-			s.StandsIn("r1", "z")
-			s.Evacuates("z", at(95))
+			s.SetDomain("r1", "z")
+			s.Evacuated("z", at(95))
 			s.DisturbDaemon(0, at(96), at(99))
 			s.send().run("r1", 100.1)
 		}},
@@ -268,14 +268,14 @@
 		turn   func(*Ledger)
 		broken bool
 	}{
-		{"as many as it may get", most, func(l *Ledger) { l.TurnsCold("r1", coldSpan{span: span{at(99), at(103)}}) }, false},
-		{"one more", most + 1, func(l *Ledger) { l.TurnsCold("r1", coldSpan{span: span{at(99), at(103)}}) }, true},
-		{"one more at a warm replica", most + 1, func(l *Ledger) { l.TurnsCold("r1", coldSpan{span: span{at(90), at(99)}}) }, false},
+		{"as many as it may get", most, func(l *Ledger) { l.TurnedCold("r1", coldSpan{span: span{at(99), at(103)}}) }, false},
+		{"one more", most + 1, func(l *Ledger) { l.TurnedCold("r1", coldSpan{span: span{at(99), at(103)}}) }, true},
+		{"one more at a warm replica", most + 1, func(l *Ledger) { l.TurnedCold("r1", coldSpan{span: span{at(90), at(99)}}) }, false},
 		{"one more by a daemon that could not know", most + 1, func(l *Ledger) {
-			l.TurnsCold("r1", coldSpan{span: span{at(99), at(103)}, known: at(98)})
+			l.TurnedCold("r1", coldSpan{span: span{at(99), at(103)}, known: at(98)})
 			l.DisturbDaemon(0, at(97), at(100))
 		}, false},
-		{"one more by one that could", most + 1, func(l *Ledger) { l.TurnsCold("r1", coldSpan{span: span{at(99), at(103)}, known: at(98)}) }, true},
+		{"one more by one that could", most + 1, func(l *Ledger) { l.TurnedCold("r1", coldSpan{span: span{at(99), at(103)}, known: at(98)}) }, true},
 	} {
 		l := newLedger(defaultBounds())
 		c.turn(l)
@@ -350,24 +350,24 @@
 		}, false},
 		{"a fourth replica that was cold a second ago, as daemons may believe that it still is", 9, over, func(l *Ledger) {
 			l.Joins("r4", "gate", at(1))
-			l.TurnsCold("r4", coldSpan{span: span{at(90), at(99)}})
+			l.TurnedCold("r4", coldSpan{span: span{at(90), at(99)}})
 		}, false},
 		{"a fourth replica that rests for the daemon that sent them", 9, over, func(l *Ledger) {
 			l.Joins("r4", "gate", at(1))
-			l.AsksForRest("q1", "r4", 5*time.Second, at(98))
+			l.BackoffRequested("q1", "r4", 5*time.Second, at(98))
 		}, false},
 		{"a fourth replica whose rest is over", 9, over, func(l *Ledger) {
 			l.Joins("r4", "gate", at(1))
-			l.AsksForRest("q1", "r4", 5*time.Second, at(90))
+			l.BackoffRequested("q1", "r4", 5*time.Second, at(90))
 		}, true},
 		{"a fourth replica that rests for another daemon", 9, over, func(l *Ledger) {
 			l.Joins("r4", "gate", at(1))
 			l.Sent(Request{ID: "other", Route: routes[1], Daemon: 1, Sent: at(97)})
-			l.AsksForRest("other", "r4", 5*time.Second, at(98))
+			l.BackoffRequested("other", "r4", 5*time.Second, at(98))
 		}, true},
 		{"a fourth replica that was cold long ago", 9, over, func(l *Ledger) {
 			l.Joins("r4", "gate", at(1))
-			l.TurnsCold("r4", coldSpan{span: span{at(90), at(96)}})
+			l.TurnedCold("r4", coldSpan{span: span{at(90), at(96)}})
 		}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/soak/link.go
+++ b/internal/soak/link.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Trouble is the fault that a link injects into its connections. The zero value is none.
-type Trouble struct {
+// LinkFault is the fault that a link injects into its connections. The zero value is none.
+type LinkFault struct {
 	Share   float64       // fraction of the connections affected, including open ones
 	Delay   time.Duration // added to each read
 	Reset   bool          // resets the connections
@@ -27,7 +27,7 @@
 	mu       sync.Mutex
 	listener net.Listener
 	target   string
-	trouble  Trouble
+	fault    LinkFault
 	conns    map[*linkConn]struct{}
 }
 
@@ -62,10 +62,10 @@
 }
 
 // SetFault replaces the link's fault; the zero value ends it.
-func (l *Link) SetFault(t Trouble) {
+func (l *Link) SetFault(t LinkFault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.trouble = t
+	l.fault = t
 	if !t.Reset {
 		return
 	}
@@ -116,7 +116,7 @@
 
 func (l *Link) forward(near *net.TCPConn) {
 	l.mu.Lock()
-	target, t := l.target, l.trouble
+	target, t := l.target, l.fault
 	l.mu.Unlock()
 	c := &linkConn{near: near, random: rand.Float64()}
 	if t.Reset && c.random < t.Share {
@@ -133,8 +133,8 @@
 	l.conns[c] = struct{}{}
 	l.mu.Unlock()
 	var wg sync.WaitGroup
-	wg.Go(func() { l.copyBytes(c, c.far, c.near, func(t *Trouble) bool { return t.Forward }) })
-	wg.Go(func() { l.copyBytes(c, c.near, c.far, func(t *Trouble) bool { return t.Back }) })
+	wg.Go(func() { l.copyBytes(c, c.far, c.near, func(t *LinkFault) bool { return t.Forward }) })
+	wg.Go(func() { l.copyBytes(c, c.near, c.far, func(t *LinkFault) bool { return t.Back }) })
 	wg.Wait()
 	_ = c.near.Close()
 	_ = c.far.Close()
@@ -144,7 +144,7 @@
 }
 
 // copyBytes copies one direction. It forwards the end of the stream with CloseWrite.
-func (l *Link) copyBytes(c *linkConn, to, from *net.TCPConn, stalled func(*Trouble) bool) {
+func (l *Link) copyBytes(c *linkConn, to, from *net.TCPConn, stalled func(*LinkFault) bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
@@ -167,10 +167,10 @@
 }
 
 // stall waits for the delay of the link's fault, and while the fault stalls this direction.
-func (l *Link) stall(c *linkConn, stalled func(*Trouble) bool) {
+func (l *Link) stall(c *linkConn, stalled func(*LinkFault) bool) {
 	for delayed := false; ; {
 		l.mu.Lock()
-		t := l.trouble
+		t := l.fault
 		l.mu.Unlock()
 		if c.random >= t.Share {
 			return
@@ -250,9 +250,9 @@
 	p.mu.Lock()
 	p.blocked = blocked
 	p.mu.Unlock()
-	t := Trouble{}
+	t := LinkFault{}
 	if stallTCP {
-		t = Trouble{Share: 1, Forward: true, Back: true}
+		t = LinkFault{Share: 1, Forward: true, Back: true}
 	}
 	p.tcp.SetFault(t)
 }
--- a/internal/soak/replica.go
+++ b/internal/soak/replica.go
@@ -114,8 +114,8 @@
 	return float64(len(r.arrivals)) > coldFailureFactor*coldPerSecond
 }
 
-// End terminates the replica: it closes the listener and resets all connections.
-func (r *Replica) End() {
+// Terminate terminates the replica: it closes the listener and resets all connections.
+func (r *Replica) Terminate() {
 	_ = r.listener.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/soak/resting.go
+++ b/internal/soak/resting.go
@@ -28,8 +28,8 @@
 	entryGap = 300 * time.Millisecond
 )
 
-// restingBounds limit the requests of a daemon to a replica that requested a backoff from it.
-type restingBounds struct {
+// backoffBounds limit the requests of a daemon to a replica that requested a backoff from it.
+type backoffBounds struct {
 	Grace time.Duration // after the response, in which requests in flight may still arrive
 	Max   int           // requests allowed from then until the end of the backoff
 }
@@ -71,7 +71,7 @@
 			r := p.current
 			s.mu.Unlock()
 			from := time.Now()
-			s.ledger.StandsAside(r.ID, from, from.Add(f.For+settling))
+			s.ledger.SetAside(r.ID, from, from.Add(f.For+settling))
 			r.SetBehaviour(behaviour{Shed: 1, Backoff: rest})
 			if f.Target%2 == 0 {
 				s.dropEntry(p, r)
@@ -117,13 +117,13 @@
 		says.Rest = []string{"-1", "NaN", "soon", "Fri, 31 Dec 1999 23:59:59 GMT"}[rand.IntN(4)]
 	default:
 		says.Rest = strconv.FormatFloat(x.behaviour.Backoff.Seconds(), 'f', -1, 64)
-		x.ledger.AsksForRest(x.id, x.ID, x.behaviour.Backoff, now)
+		x.ledger.BackoffRequested(x.id, x.ID, x.behaviour.Backoff, now)
 	}
 	return x.write(standin.NotRun(x.id, says))
 }
 
-// AsksForRest records that the response to a request asked the daemon for a backoff.
-func (l *Ledger) AsksForRest(request, replica string, rest time.Duration, at time.Time) {
+// BackoffRequested records that the response to a request asked the daemon for a backoff.
+func (l *Ledger) BackoffRequested(request, replica string, rest time.Duration, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.record(request)
@@ -131,9 +131,9 @@
 	l.restsBy[d] = append(l.restsBy[d], restAsked{replica: replica, at: at, duration: rest})
 }
 
-// StandsAside records a period in which a replica refuses all requests, or announces its
+// SetAside records a period in which a replica refuses all requests, or announces its
 // departure only in responses.
-func (l *Ledger) StandsAside(replica string, from, to time.Time) {
+func (l *Ledger) SetAside(replica string, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.aside[replica] = append(l.aside[replica], span{from, to})
@@ -146,8 +146,8 @@
 	l.freezes[daemon] = append(l.freezes[daemon], span{from, to})
 }
 
-// Rests returns the number of backoffs that replicas requested.
-func (l *Ledger) Rests() int {
+// Backoffs returns the number of backoffs that replicas requested.
+func (l *Ledger) Backoffs() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
@@ -157,8 +157,8 @@
 	return n
 }
 
-// restSubject is the prefix of the subject of violations of a backoff.
-const restSubject = "rest of "
+// backoffSubject is the prefix of the subject of violations of a backoff.
+const backoffSubject = "backoff of "
 
 // path identifies the requests from one process of a daemon to a replica.
 type path struct {
@@ -166,11 +166,11 @@
 	by      processLife
 }
 
-// judgeResting finds backoffs during which the daemon sent the replica too many requests. Each
+// judgeBackoffs finds backoffs during which the daemon sent the replica too many requests. Each
 // backoff is checked on its own. A restarted daemon doesn't know of backoffs that were requested
 // before, and requests from a frozen daemon may be in flight for as long as it is frozen. No
 // other disturbance of a daemon or of the store is an excuse.
-func (j *judgement) judgeResting() {
+func (j *judgement) judgeBackoffs() {
 	if len(j.restsBy) == 0 {
 		return
 	}
@@ -197,7 +197,7 @@
 	}
 	if n > j.bounds.Resting.Max && calm(j.freezes[by.daemon], a.at, last) {
 		j.out = append(j.out, Violation{
-			Promise: "BUDGET", Subject: fmt.Sprintf("%s%s at daemon %d, %v", restSubject, a.replica, by.daemon, a.at.UnixMilli()), At: last,
+			Promise: "BUDGET", Subject: fmt.Sprintf("%s%s at daemon %d, %v", backoffSubject, a.replica, by.daemon, a.at.UnixMilli()), At: last,
 			Detail: fmt.Sprintf("%s had asked daemon %d for a backoff of %v and received %d requests from it meanwhile", a.replica, by.daemon, a.duration, n),
 		})
 	}
--- a/internal/soak/resting_test.go
+++ b/internal/soak/resting_test.go
@@ -34,8 +34,8 @@
 		{"three, one of them after the end of the backoff", false, 3, []float64{101, 102, 103.1}, nil},
 		{"three within a fraction of a second", true, .75, []float64{100.6, 100.65, 100.7}, nil},
 		{"a backoff shorter than the grace", false, .4, []float64{100.1, 100.2, 100.3}, nil},
-		{"a shorter backoff requested later doesn't shorten it", true, 3, []float64{101, 102, 102.5}, func(l *Ledger) { l.AsksForRest("0 1 100", "r", time.Second, at(100.2)) }},
-		{"a longer backoff requested later is checked on its own", true, 1, []float64{102, 103, 104}, func(l *Ledger) { l.AsksForRest("0 1 100", "r", 5*time.Second, at(100.5)) }},
+		{"a shorter backoff requested later doesn't shorten it", true, 3, []float64{101, 102, 102.5}, func(l *Ledger) { l.BackoffRequested("0 1 100", "r", time.Second, at(100.2)) }},
+		{"a longer backoff requested later is checked on its own", true, 1, []float64{102, 103, 104}, func(l *Ledger) { l.BackoffRequested("0 1 100", "r", 5*time.Second, at(100.5)) }},
 		{"three from another daemon, which wasn't asked to back off", false, 3, nil, func(l *Ledger) {
 			for _, when := range []float64{101, 102, 102.5} {
 				send(l, 1, 1, when)
@@ -65,14 +65,14 @@
 	} {
 		l := newLedger(defaultBounds())
 		send(l, 0, 1, 100)
-		l.AsksForRest("0 1 100", "r", time.Duration(c.rest*float64(time.Second)), at(100))
+		l.BackoffRequested("0 1 100", "r", time.Duration(c.rest*float64(time.Second)), at(100))
 		for _, when := range c.arrivals {
 			send(l, 0, 1, when)
 		}
 		if c.play != nil {
 			c.play(l)
 		}
-		broken := slices.ContainsFunc(l.Judge(at(200)), func(v Violation) bool { return v.Promise == "BUDGET" && strings.HasPrefix(v.Subject, restSubject) })
+		broken := slices.ContainsFunc(l.Judge(at(200)), func(v Violation) bool { return v.Promise == "BUDGET" && strings.HasPrefix(v.Subject, backoffSubject) })
 		if broken != c.broken {
 			t.Errorf("%s: broken %t, want %t", c.name, broken, c.broken)
 		}
@@ -116,7 +116,7 @@
 	} {
 		l := newLedger(defaultBounds())
 		l.Sent(Request{ID: "q", Route: routes[1], Daemon: 0, Incarnation: 1, Sent: at(99.9)})
-		l.SaysThatItLeaves("q", "r")
+		l.DepartureAnnounced("q", "r")
 		l.Answered("q", Answer{At: at(100.1), Begun: at(100), Status: 200, Seal: "r"})
 		q := Request{ID: "late", Route: routes[1], Daemon: c.later.daemon, Incarnation: c.later.incarnation, Sent: at(c.later.sent)}
 		l.Sent(q)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -234,7 +234,7 @@
 	defer r.mu.Unlock()
 	r.report.Requests, r.report.Served = total, totalServed
 	r.report.Crowded, r.report.Ended = r.site.ledger.Crowded(), r.site.ledger.Ends()
-	r.report.Rests, r.report.Leavers = r.site.ledger.Rests(), r.site.ledger.Leavers()
+	r.report.Rests, r.report.Leavers = r.site.ledger.Backoffs(), r.site.ledger.Departures()
 	r.report.Share, r.report.QuietShare = share(totalServed, total), share(served, all)
 	if all < leastAtEnd || r.report.QuietShare < r.site.ledger.bounds.Share {
 		r.report.Violations = append(r.report.Violations, Violation{Promise: "RECOVER", Subject: "fleet", At: now, Detail: fmt.Sprintf("%d of %d requests were served at the end of the quiet time", served, all)})
--- a/internal/soak/serving_test.go
+++ b/internal/soak/serving_test.go
@@ -47,16 +47,16 @@
 			refuse(l, 100, 101.5, 0, none)
 		}},
 		{"while it rests", false, func(l *Ledger) {
-			l.StandsAside("r", at(98), at(100.5))
+			l.SetAside("r", at(98), at(100.5))
 			refuse(l, 100, 101.5, 0, string(coordination.ReasonResting))
 		}},
 		{"while it is cold", false, func(l *Ledger) {
-			l.TurnsCold("r", coldSpan{span: span{at(99), at(101)}})
+			l.TurnedCold("r", coldSpan{span: span{at(99), at(101)}})
 			refuse(l, 100, 101.5, 0, string(coordination.ReasonCold))
 		}},
 		{"while its domain is evacuated", false, func(l *Ledger) {
-			l.StandsIn("r", "z")
-			l.Evacuates("z", at(99))
+			l.SetDomain("r", "z")
+			l.Evacuated("z", at(99))
 			refuse(l, 100, 101.5, 0, string(coordination.ReasonNoUpstream))
 		}},
 		{"while the route moves", false, func(l *Ledger) {
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -236,7 +236,7 @@
 	s.mu.Unlock()
 	p.link.SetTarget(r.Address())
 	s.ledger.Joins(id, service, time.Now())
-	s.ledger.StandsIn(id, p.domain)
+	s.ledger.SetDomain(id, p.domain)
 	if s.cold && !s.begun.IsZero() {
 		s.makeCold(p, r, time.Time{})
 	}
@@ -303,6 +303,6 @@
 func (s *site) close() {
 	for _, p := range s.places {
 		p.link.Close()
-		p.current.End()
+		p.current.Terminate()
 	}
 }
