--- a/internal/soak/departing.go
+++ b/internal/soak/departing.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// minServeAfterDeparture is added to the duration of a fault, so that a departing replica serves on for
-// longer than daemons may take to stop using it.
+// minServeAfterDeparture is added to the duration of a fault, so that a departing replica serves
+// on for longer than daemons may take to stop using it.
 const minServeAfterDeparture = 4 * time.Second
 
 // leaveByAnswers replaces a replica: another one starts, and the old one announces its
@@ -95,8 +95,8 @@
 	}
 }
 
-// forwardedDepartures returns when each daemon first forwarded the announcement of a replica's departure,
-// and for each replica which daemon was the first to do so.
+// forwardedDepartures returns when each daemon first forwarded the announcement of a replica's
+// departure, and for each replica which daemon was the first to do so.
 func (j *judgement) forwardedDepartures() (forwarded map[path]time.Time, earliest map[string]forwardedDeparture) {
 	forwarded, earliest = make(map[path]time.Time), make(map[string]forwardedDeparture)
 	for _, r := range j.order {
--- a/internal/soak/evacuate.go
+++ b/internal/soak/evacuate.go
@@ -15,7 +15,8 @@
 	coldPerSecond = 6 // requests that a cold replica can serve
 	coldOverage   = 1.5
 	coldSlack     = 5
-	// coldFailureFactor is the multiple of coldPerSecond above which a cold replica resets connections.
+	// coldFailureFactor is the multiple of coldPerSecond above which a cold replica resets
+	// connections.
 	coldFailureFactor = 3
 	// coldEntryDelay is the delay from the moment a replica turns cold until its entry says so.
 	coldEntryDelay = 600 * time.Millisecond
@@ -99,8 +100,8 @@
 	l.emptied[domain] = append(l.emptied[domain], span{at, at.Add(time.Hour)})
 }
 
-// ReturnedToService records that a domain is returned to service at a time. It ends all evacuations of
-// the domain, also those that overlap.
+// ReturnedToService records that a domain is returned to service at a time. It ends all
+// evacuations of the domain, also those that overlap.
 func (l *Ledger) ReturnedToService(domain string, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -126,8 +127,8 @@
 			if late <= j.bounds.Evacuate || !a.At.Before(e.to) {
 				continue
 			}
-			held := !calm(j.replicas[a.Replica], e.from, a.At) // a link fault may have delayed it
-			if !held && j.inTouch(r.Daemon, e.from, a.At) {
+			delayed := !calm(j.replicas[a.Replica], e.from, a.At) // a link fault may have delayed it
+			if !delayed && j.inTouch(r.Daemon, e.from, a.At) {
 				j.add("EVAC", r, a.At, "reached %s %v after the store accepted the evacuation of domain %s, via daemon %d", a.Replica, late, j.domains[a.Replica], r.Daemon)
 			}
 		}
--- a/internal/soak/exchange.go
+++ b/internal/soak/exchange.go
@@ -125,8 +125,8 @@
 	slowWork  = 1700 * time.Millisecond
 )
 
-// workDuration returns the duration of one of the pieces of a response: the whole response of a plain
-// request, or one event of a stream.
+// workDuration returns the time that one of the pieces of a response takes: the complete response
+// of a plain request, or one event of a stream.
 func (x *exchange) workDuration(pieces int) time.Duration {
 	if isSteady(x.id) && pieces > 1 {
 		return steadyWork/2 + rand.N(steadyWork)
@@ -152,8 +152,8 @@
 		return false
 	case x.selected(x.behaviour.Truncate):
 		x.finish(200)
-		whole := standin.Answer(200, x.id, x.ID, plainBody(x.id, x.ID), x.statements())
-		_, _ = x.conn.Write([]byte(whole[:len(whole)*2/3]))
+		response := standin.Answer(200, x.id, x.ID, plainBody(x.id, x.ID), x.statements())
+		_, _ = x.conn.Write([]byte(response[:len(response)*2/3]))
 		return false
 	case x.selected(x.behaviour.ResetAfterRun):
 		x.finish(0)
@@ -161,15 +161,15 @@
 		return false
 	}
 	x.finish(200)
-	whole := standin.Answer(200, x.id, x.ID, plainBody(x.id, x.ID), x.statements())
+	response := standin.Answer(200, x.id, x.ID, plainBody(x.id, x.ID), x.statements())
 	if x.selected(x.behaviour.Surplus) {
 		if rand.IntN(2) == 0 {
-			whole += whole
+			response += response
 		} else {
-			*x.surplus = whole
+			*x.surplus = response
 		}
 	}
-	_, err := x.conn.Write([]byte(whole))
+	_, err := x.conn.Write([]byte(response))
 	return err == nil
 }
 
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -229,7 +229,8 @@
 	return d.incarnation
 }
 
-// probeReadiness polls the readiness of a daemon until ctx is done, as the users' load balancer does.
+// probeReadiness polls the readiness of a daemon until ctx is done, as the users' load balancer
+// does.
 func (d *daemon) probeReadiness(ctx context.Context) {
 	client := &http.Client{Timeout: readyTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for ctx.Err() == nil {
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -203,7 +203,7 @@
 
 func (s *injector) injectLink(f *Fault) {
 	t := linkFaults[f.Variant%len(linkFaults)]
-	hold := func(l *Link) {
+	apply := func(l *Link) {
 		l.SetFault(t)
 		pause(s.ctx, f.For)
 		l.SetFault(LinkFault{})
@@ -212,11 +212,11 @@
 	switch f.Kind {
 	case linkReplica:
 		p, r := s.pickPlace(f.Target)
-		s.disturbReplica(r, func() { hold(p.link) })
+		s.disturbReplica(r, func() { apply(p.link) })
 	case linkCallers:
-		s.disturb([]*daemon{d}, func() { hold(d.callers) })
+		s.disturb([]*daemon{d}, func() { apply(d.callers) })
 	case linkStore:
-		s.disturb([]*daemon{d}, func() { hold(d.store) })
+		s.disturb([]*daemon{d}, func() { apply(d.store) })
 	}
 }
 
--- a/internal/soak/resting.go
+++ b/internal/soak/resting.go
@@ -60,10 +60,10 @@
 	}
 }
 
-// refuseForBackoff makes some replicas, or all of one service, refuse all requests and request a backoff
-// for the duration of the fault.
+// refuseForBackoff makes some replicas, or all of one service, refuse all requests and request a
+// backoff for the duration of the fault.
 func (s *injector) refuseForBackoff(f *Fault) {
-	rest := minBackoff + time.Duration(f.Variant%100)*(maxBackoff-minBackoff)/100
+	backoff := minBackoff + time.Duration(f.Variant%100)*(maxBackoff-minBackoff)/100
 	var wg sync.WaitGroup
 	for _, p := range s.refusingPlaces(f) {
 		wg.Go(func() {
@@ -72,7 +72,7 @@
 			s.mu.Unlock()
 			from := time.Now()
 			s.ledger.SetAside(r.ID, from, from.Add(f.For+settling))
-			r.SetBehaviour(behaviour{Shed: 1, Backoff: rest})
+			r.SetBehaviour(behaviour{Shed: 1, Backoff: backoff})
 			if f.Target%2 == 0 {
 				s.dropEntry(p, r)
 			}
@@ -88,11 +88,11 @@
 	first, r := s.pickPlace(f.Target)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	isWhole := f.Variant%wholeServiceOneIn == 0
+	allOfService := f.Variant%wholeServiceOneIn == 0
 	out := []*place{first}
 	for _, p := range s.places {
 		same := p != first && !p.idle && p.current.Service == r.Service
-		if same && (isWhole || len(out) < 1+f.Target%maxRefusing) {
+		if same && (allOfService || len(out) < 1+f.Target%maxRefusing) {
 			out = append(out, p)
 		}
 	}
@@ -123,12 +123,12 @@
 }
 
 // BackoffRequested records that the response to a request asked the daemon for a backoff.
-func (l *Ledger) BackoffRequested(request, replica string, rest time.Duration, at time.Time) {
+func (l *Ledger) BackoffRequested(request, replica string, backoff time.Duration, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.record(request)
 	d := r.by()
-	l.restsBy[d] = append(l.restsBy[d], restAsked{replica: replica, at: at, duration: rest})
+	l.restsBy[d] = append(l.restsBy[d], restAsked{replica: replica, at: at, duration: backoff})
 }
 
 // SetAside records a period in which a replica refuses all requests, or announces its
@@ -185,8 +185,7 @@
 	}
 }
 
-// judgeBackoff checks one backoff against the arrivals at the replica from the daemon that it
-// asked.
+// judgeBackoff checks one backoff, given the arrivals at the replica from the daemon it asked.
 func (j *judgement) judgeBackoff(a *restAsked, by processLife, arrivals []time.Time) {
 	from, to := a.at.Add(j.bounds.Resting.Grace), j.backoffEnd(a)
 	n, last := 0, from
--- a/internal/soak/resting_test.go
+++ b/internal/soak/resting_test.go
@@ -133,11 +133,11 @@
 
 // TestReplicasThatAskForRestAreLeftAlone guards against daemons that ignore the backoff which a
 // replica requests in a refusal. A replica responded with 503 and requested a backoff of 3 s, and
-// received three requests from that daemon in one case and four in another, all sent after the refusal: the daemon
-// read only the load from responses. It counted each refusal as a failure, ejected the replica
-// for 0.5 s after the fourth and for 1 s after the next, and then sent to it again. When most
-// replicas are in trouble, ejections are ignored, so that more replicas in trouble at once mean
-// more violations.
+// received three requests from that daemon in one case and four in another, all sent after the
+// refusal: the daemon read only the load from responses. It counted each refusal as a failure,
+// ejected the replica for 0.5 s after the fourth and for 1 s after the next, and then sent to it
+// again. When most replicas are in trouble, ejections are ignored, so that more replicas in
+// trouble at once mean more violations.
 func TestReplicasThatAskForRestAreLeftAlone(t *testing.T) {
 	const daemons = 8
 	some := func(at time.Duration, target int) Fault {
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -244,6 +244,8 @@
 	return nil
 }
 
+// writeEntry writes the entry of a replica to the store. An entry that isn't draining ends an
+// earlier departure of the replica in the ledger.
 func (s *site) writeEntry(p *place, r *Replica, draining bool) {
 	s.mu.Lock()
 	s.writes[r.ID]++
@@ -259,7 +261,8 @@
 	}
 }
 
-// pickPlace returns a place that isn't idle, and its replica. If all are idle, it returns the first.
+// pickPlace returns a place that isn't idle, and its replica. If all are idle, it returns the
+// first.
 func (s *site) pickPlace(draw int) (*place, *Replica) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -279,7 +282,7 @@
 }
 
 // tryMarkIdle marks the place of a replica as idle, so that the caller may terminate the replica.
-// It returns false if the replica was already taken down.
+// It returns false if the place was already idle or has another replica.
 func (s *site) tryMarkIdle(p *place, r *Replica) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -290,7 +293,7 @@
 	return true
 }
 
-// deleteEntry deletes a replica's entry.
+// deleteEntry deletes a replica's entry, which the ledger records as its departure.
 func (s *site) deleteEntry(r *Replica) {
 	s.mu.Lock()
 	delete(s.entries, r.ID)
