--- a/internal/soak/plants_test.go
+++ b/internal/soak/plants_test.go
@@ -143,9 +143,9 @@
 	return out
 }
 
-// TestPlantsFitTheSources checks that the text of each edit still occurs exactly once in its
+// TestPlantedEditsMatchSources checks that the text of each edit still occurs exactly once in its
 // source file. The tests that build the planted faults take too long for every test run.
-func TestPlantsFitTheSources(t *testing.T) {
+func TestPlantedEditsMatchSources(t *testing.T) {
 	for _, p := range plants {
 		for _, e := range p.edits() {
 			source, err := os.ReadFile(filepath.Join("..", "..", e.file))
--- a/internal/soak/processes_test.go
+++ b/internal/soak/processes_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// TestOnlyTheSoakStartsProcesses checks that no package but this one imports os/exec: no process
+// TestOnlySoakStartsProcesses checks that no package but this one imports os/exec: no process
 // of the system starts another one.
-func TestOnlyTheSoakStartsProcesses(t *testing.T) {
+func TestOnlySoakStartsProcesses(t *testing.T) {
 	root, err := filepath.Abs("../..")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/soak/resting_test.go
+++ b/internal/soak/resting_test.go
@@ -20,8 +20,8 @@
 	play     func(l *Ledger)
 }
 
-// TestJudgeOfResting checks which arrivals at a replica during a requested backoff violate it.
-func TestJudgeOfResting(t *testing.T) {
+// TestBackoffViolations checks which arrivals at a replica during a requested backoff violate it.
+func TestBackoffViolations(t *testing.T) {
 	send := func(l *Ledger, daemon, incarnation int, when float64) {
 		q := Request{ID: fmt.Sprint(daemon, incarnation, when), Route: routes[1], Daemon: daemon, Incarnation: incarnation, Sent: at(when)}
 		l.Sent(q)
@@ -79,10 +79,10 @@
 	}
 }
 
-// TestJudgeOfLeavers checks which requests reach a replica too late after its departure. Replica
+// TestDepartureViolations checks which requests reach a replica too late after its departure. Replica
 // "r" announces it in a response that daemon 0 begins to forward at 100 s; one later request
 // follows.
-func TestJudgeOfLeavers(t *testing.T) {
+func TestDepartureViolations(t *testing.T) {
 	type later struct {
 		sent        float64
 		daemon      int
@@ -131,14 +131,14 @@
 	}
 }
 
-// TestReplicasThatAskForRestAreLeftAlone guards against daemons that ignore the backoff which a
+// TestDaemonsHonorRequestedBackoffs guards against daemons that ignore the backoff which a
 // replica requests in a refusal. A replica responded with 503 and requested a backoff of 3 s, and
 // received three requests from that daemon in one case and four in another, all sent after the
 // refusal: the daemon read only the load from responses. It counted each refusal as a failure,
 // ejected the replica for 0.5 s after the fourth and for 1 s after the next, and then sent to it
 // again. When most replicas are in trouble, ejections are ignored, so that more replicas in
 // trouble at once mean more violations.
-func TestReplicasThatAskForRestAreLeftAlone(t *testing.T) {
+func TestDaemonsHonorRequestedBackoffs(t *testing.T) {
 	const daemons = 8
 	some := func(at time.Duration, target int) Fault {
 		return Fault{At: at, For: 4 * time.Second, Kind: restReplicas, Target: target, Variant: 81}
@@ -160,10 +160,10 @@
 	}
 }
 
-// TestReplicasThatLeaveByTheirAnswersAreLeftAlone guards against the same failure to read
+// TestDaemonsHonorAnnouncedDepartures guards against the same failure to read
 // responses, with replicas that announce their departure in responses while their entries stay
 // ready. 83 requests reached such replicas too late, over 14 pairs of daemon and replica.
-func TestReplicasThatLeaveByTheirAnswersAreLeftAlone(t *testing.T) {
+func TestDaemonsHonorAnnouncedDepartures(t *testing.T) {
 	const daemons = 8
 	leave := func(at time.Duration, target int) Fault {
 		return Fault{At: at, For: 6 * time.Second, Kind: leaveByAnswers, Target: target, Variant: target}
--- a/transport/relay/self_report_test.go
+++ b/transport/relay/self_report_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// testBackoff reproduces the incident of internal/soak's TestReplicasThatAskForRestAreLeftAlone at a
+// testBackoff reproduces the incident of internal/soak's TestDaemonsHonorRequestedBackoffs at a
 // single daemon: a replica rejects a request and requests a backoff. It is the only replica, so
 // that no other rule, such as ejection, keeps requests from it.
 func testBackoff(t *testing.T) {
