--- a/internal/soak/departing.go
+++ b/internal/soak/departing.go
@@ -69,11 +69,11 @@
 	daemon int
 }
 
-// judgeDepartures finds requests that reached a replica too long after it announced its departure
+// judgeLeavers finds requests that reached a replica too long after it announced its departure
 // in a response. The daemon that forwarded the response must know of the departure even while
 // it is out of touch, unless it was frozen or restarted. Other daemons must know if they and the
 // forwarding daemon were in touch with the store and with each other.
-func (j *judgement) judgeDepartures() {
+func (j *judgement) judgeLeavers() {
 	forwarded, earliest := j.forwardedDepartures()
 	if len(earliest) == 0 {
 		return
--- a/internal/soak/resting.go
+++ b/internal/soak/resting.go
@@ -166,11 +166,11 @@
 	by      processLife
 }
 
-// judgeBackoffs finds backoffs during which the daemon sent the replica too many requests. Each
+// judgeResting finds backoffs during which the daemon sent the replica too many requests. Each
 // backoff is checked on its own. A restarted daemon doesn't know of backoffs that were requested
 // before, and requests from a frozen daemon may be in flight for as long as it is frozen. No
 // other disturbance of a daemon or of the store is an excuse.
-func (j *judgement) judgeBackoffs() {
+func (j *judgement) judgeResting() {
 	if len(j.restsBy) == 0 {
 		return
 	}
@@ -180,13 +180,13 @@
 			continue
 		}
 		for i := range list {
-			j.judgeBackoff(&list[i], by, arrivals[path{list[i].replica, by}])
+			j.judgeRest(&list[i], by, arrivals[path{list[i].replica, by}])
 		}
 	}
 }
 
-// judgeBackoff checks one backoff, given the arrivals at the replica from the daemon it asked.
-func (j *judgement) judgeBackoff(a *restAsked, by processLife, arrivals []time.Time) {
+// judgeRest checks one backoff, given the arrivals at the replica from the daemon it asked.
+func (j *judgement) judgeRest(a *restAsked, by processLife, arrivals []time.Time) {
 	from, to := a.at.Add(j.bounds.Resting.Grace), j.backoffEnd(a)
 	n, last := 0, from
 	for _, at := range arrivals {
