--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -65,7 +65,7 @@
 	filler    int // number of unused routes, which make the configuration larger
 	places    []*place
 	evacuated map[string]bool // domains that are evacuated
-	// entries holds the last entry of each replica by id, written the number of its writes.
+	// entries holds the last entry of each replica by id, writes the number of its writes.
 	entries map[string]standin.Replica
 	writes  map[string]uint64
 }
