--- a/internal/soak/crashing.go
+++ b/internal/soak/crashing.go
@@ -79,9 +79,9 @@
 		out := &caller{site: c.site, number: rand.IntN(1 << 16)}
 		if out.connect() {
 			q := c.request(out)
-			out.begin(&q)
-			out.exchange(&q)
-			out.hangUp()
+			out.prepare(&q)
+			out.roundTrip(&q)
+			out.disconnect()
 		}
 		pause(ctx, c.Every/2+rand.N(c.Every))
 	}
@@ -122,14 +122,14 @@
 // crash ends the replica under a request.
 func (x *exchange) crash(number int) bool {
 	if !x.work(rand.N(crashWork)) {
-		x.end(0)
+		x.finish(0)
 		return false
 	}
 	if strings.HasSuffix(x.run.Target, latePath) {
-		x.write(standin.StreamHead(x.id, x.ID, x.saysLoad()))
+		x.write(standin.StreamHead(x.id, x.ID, x.statementsWithLoad()))
 		x.work(rand.N(crashWork))
 	}
-	x.end(0)
+	x.finish(0)
 	x.ledger.Crashed(number, x.ID, time.Now())
 	x.crashed()
 	return false
@@ -138,8 +138,8 @@
 // crashedByRequest ends a replica, and starts another one at its place a while later, or the
 // same one again under its id.
 func (s *site) crashedByRequest(p *place, r *Replica) {
-	if !s.takeDown(p, r) {
-		r.End()
+	if !s.tryMarkIdle(p, r) {
+		r.Terminate()
 		return
 	}
 	from := time.Now()
@@ -151,14 +151,14 @@
 			pause(ctx, shortestRestart+rand.N(sameIDRestart-shortestRestart))
 			s.ledger.CalmReplica(r.ID, from, time.Now())
 			if ctx.Err() == nil && p.link.Reopen() == nil {
-				_ = s.beginAs(r.ID, p, r.Service)
+				_ = s.startAs(r.ID, p, r.Service)
 			}
 			return
 		}
-		expiry := time.AfterFunc(expiryTime, func() { s.remove(r) })
+		expiry := time.AfterFunc(expiryTime, func() { s.deleteEntry(r) })
 		pause(ctx, shortestRestart+rand.N(longestRestart-shortestRestart))
 		if expiry.Stop() {
-			s.remove(r)
+			s.deleteEntry(r)
 		}
 		s.ledger.CalmReplica(r.ID, from, time.Now())
 		if ctx.Err() == nil {
@@ -173,7 +173,7 @@
 	if s.refuses {
 		p.link.Close()
 	}
-	r.End()
+	r.Terminate()
 }
 
 // beginAgain starts a replica at a place whose last one has ended.
@@ -183,7 +183,7 @@
 			return err
 		}
 	}
-	return s.begin(p, service)
+	return s.startNew(p, service)
 }
 
 // crash is the end of a replica under a crashing request.
--- a/internal/soak/departing.go
+++ b/internal/soak/departing.go
@@ -1,5 +1,5 @@
-// This file plays replicas that leave and say so in their answers only, whatever their entries
-// say, and judges what reaches them after that.
+// This file simulates replicas that announce their departure only in their responses, while
+// their entries still say ready, and checks that daemons stop sending them requests.
 
 package soak
 
@@ -8,49 +8,49 @@
 	"time"
 )
 
-// leastServeOn is added to the length of a fault: a replica that leaves by its answers serves
-// on for longer than daemons may need.
-const leastServeOn = 4 * time.Second
+// minServeAfterDeparture is added to the duration of a fault, so that a departing replica serves
+// on for longer than daemons may take to stop using it.
+const minServeAfterDeparture = 4 * time.Second
 
-// leaveByAnswers replaces a replica: another one starts, and the old one says in all its
-// answers that it leaves, until it ends. Its entry goes on saying that it is ready.
+// leaveByAnswers replaces a replica: another one starts, and the old one announces its
+// departure in every response until it terminates. Its entry stays ready.
 func (s *injector) leaveByAnswers(f *Fault) {
-	p, r := s.at(f.Target)
-	if !s.takeDown(p, r) || s.addPlace(r.Service, r.Domain) != nil {
+	p, r := s.pickPlace(f.Target)
+	if !s.tryMarkIdle(p, r) || s.addPlace(r.Service, r.Domain) != nil {
 		return
 	}
 	from := time.Now()
-	s.ledger.StandsAside(r.ID, from, from.Add(time.Hour))
-	r.Leave()
+	s.ledger.SetAside(r.ID, from, from.Add(time.Hour))
+	r.AnnounceDeparture()
 	if f.Variant%2 == 0 {
-		// Its entry goes and is back, as when the store was away.
-		pause(s.ctx, lapse)
-		s.remove(r)
-		pause(s.ctx, lapse)
-		s.announce(p, r, false)
+		// The entry disappears and returns, as after an outage of the store.
+		pause(s.ctx, entryGap)
+		s.deleteEntry(r)
+		pause(s.ctx, entryGap)
+		s.writeEntry(p, r, false)
 	}
 	pause(s.ctx, time.Until(from.Add(f.For)))
-	s.disturbReplica(r, r.End)
-	s.remove(r)
+	s.disturbReplica(r, r.Terminate)
+	s.deleteEntry(r)
 }
 
-// Leave has the replica say in all answers that it leaves.
-func (r *Replica) Leave() {
+// AnnounceDeparture makes the replica announce its departure in every response.
+func (r *Replica) AnnounceDeparture() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.leaving = true
+	r.departing = true
 }
 
-// SaysThatItLeaves notes that a replica's answer to a request says that it leaves.
-func (l *Ledger) SaysThatItLeaves(request, replica string) {
+// DepartureAnnounced records that a replica announced its departure in the response to a request.
+func (l *Ledger) DepartureAnnounced(request, replica string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.record(request)
 	r.leavers = append(r.leavers, replica)
 }
 
-// Leavers returns how many replicas have said in their answers that they leave.
-func (l *Ledger) Leavers() int {
+// Departures returns the number of replicas that announced their departure in a response.
+func (l *Ledger) Departures() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	seen := make(map[string]bool)
@@ -62,53 +62,55 @@
 	return len(seen)
 }
 
-// passedOn is the first answer with which a daemon passed on that a replica leaves.
-type passedOn struct {
+// forwardedDeparture identifies the first response by which a daemon forwarded the announcement of a
+// replica's departure.
+type forwardedDeparture struct {
 	at     time.Time
 	daemon int
 }
 
-// judgeLeavers looks for requests that reached a replica although it had said in an answer that
-// it leaves. The daemon that passed the answer on must know, in touch or not, unless it was
-// frozen or started again; so must others, in touch with the store and each other.
+// judgeLeavers finds requests that reached a replica too long after it announced its departure
+// in a response. The daemon that forwarded the response must know of the departure even while
+// it is out of touch, unless it was frozen or restarted. Other daemons must know if they and the
+// forwarding daemon were in touch with the store and with each other.
 func (j *judgement) judgeLeavers() {
-	told, first := j.leavings()
-	if len(first) == 0 {
+	forwarded, earliest := j.forwardedDepartures()
+	if len(earliest) == 0 {
 		return
 	}
 	for _, r := range j.order {
 		for _, a := range r.arrivals {
-			p, ok := first[a.Replica]
+			p, ok := earliest[a.Replica]
 			if !ok || j.isPrevious(r.by()) || !calm(j.replicas[a.Replica], r.Sent, a.At) {
 				continue
 			}
-			own, wasTold := told[path{a.Replica, r.by()}]
+			at, hasForwarded := forwarded[path{a.Replica, r.by()}]
 			switch {
-			case wasTold && r.Sent.Sub(own) > j.bounds.Drain && calm(j.freezes[r.Daemon], own, a.At):
-				j.add("DRAIN", r, a.At, "reached %s, which had said %v before that it leaves, by way of daemon %d, which had passed that on", a.Replica, r.Sent.Sub(own), r.Daemon)
+			case hasForwarded && r.Sent.Sub(at) > j.bounds.Drain && calm(j.freezes[r.Daemon], at, a.At):
+				j.add("DRAIN", r, a.At, "reached %s, %v after the announcement of its departure, via daemon %d, which had forwarded the announcement", a.Replica, r.Sent.Sub(at), r.Daemon)
 			case r.Sent.Sub(p.at) > j.bounds.Drain && j.inTouch(r.Daemon, p.at, a.At) && j.inTouch(p.daemon, p.at, a.At):
-				j.add("DRAIN", r, a.At, "reached %s, which had said %v before by way of daemon %d that it leaves, by way of daemon %d", a.Replica, r.Sent.Sub(p.at), p.daemon, r.Daemon)
+				j.add("DRAIN", r, a.At, "reached %s, %v after daemon %d forwarded the announcement of its departure, via daemon %d", a.Replica, r.Sent.Sub(p.at), p.daemon, r.Daemon)
 			}
 		}
 	}
 }
 
-// leavings returns when each daemon passed on first that a replica leaves, and who did so first
-// of all.
-func (j *judgement) leavings() (told map[path]time.Time, first map[string]passedOn) {
-	told, first = make(map[path]time.Time), make(map[string]passedOn)
+// forwardedDepartures returns when each daemon first forwarded the announcement of a replica's
+// departure, and for each replica which daemon was the first to do so.
+func (j *judgement) forwardedDepartures() (forwarded map[path]time.Time, earliest map[string]forwardedDeparture) {
+	forwarded, earliest = make(map[path]time.Time), make(map[string]forwardedDeparture)
 	for _, r := range j.order {
 		if r.answer == nil || !slices.Contains(r.leavers, r.answer.Seal) || j.isPrevious(r.by()) {
 			continue
 		}
 		replica, at := r.answer.Seal, r.answer.Begun
 		key := path{replica, r.by()}
-		if before, ok := told[key]; !ok || at.Before(before) {
-			told[key] = at
+		if before, ok := forwarded[key]; !ok || at.Before(before) {
+			forwarded[key] = at
 		}
-		if before, ok := first[replica]; !ok || at.Before(before.at) {
-			first[replica] = passedOn{at, r.Daemon}
+		if before, ok := earliest[replica]; !ok || at.Before(before.at) {
+			earliest[replica] = forwardedDeparture{at, r.Daemon}
 		}
 	}
-	return told, first
+	return forwarded, earliest
 }
--- a/internal/soak/exchange.go
+++ b/internal/soak/exchange.go
@@ -1,5 +1,5 @@
-// This file plays one exchange of a replica: it runs the request, answers it, and
-// misbehaves as the replica does.
+// This file implements one exchange at a simulated replica: it runs the request, responds,
+// and injects the failures of the replica's behaviour.
 
 package soak
 
@@ -14,20 +14,20 @@
 	"hingewinch.org/hingewinch/platform/standin"
 )
 
-// exchange is one request at a replica.
+// exchange is one request at a replica and its response.
 type exchange struct {
 	*Replica
-	conn      net.Conn
-	head      standin.RequestHead
-	id        string // of the request
-	run       *Run
-	behaviour behaviour
-	gone      chan struct{} // closed when the daemon's end is closed
-	draw      float64
-	stray     *string // an answer that is written in the place of the next one
+	conn         net.Conn
+	head         standin.RequestHead
+	id           string // of the request
+	run          *Run
+	behaviour    behaviour
+	disconnected chan struct{} // closed when the daemon closes the connection
+	random       float64       // random number in [0, 1) that selects the failure, see selected
+	surplus      *string       // surplus response that is written before the next one on the connection
 }
 
-// serve answers one request. It returns false if the connection ends.
+// serve handles one request. It returns false if the connection must be closed.
 func (x *exchange) serve(req *http.Request, body string) bool {
 	now := time.Now()
 	arrival := Arrival{Replica: x.ID, Service: x.Service, At: now, Deadline: now.Add(x.head.Remaining)}
@@ -35,7 +35,7 @@
 		return x.write(standin.Misdirected(x.id, x.ID))
 	}
 	x.ledger.Arrived(x.id, arrival)
-	if x.fallsOver(now) {
+	if x.failsWhileCold(now) {
 		resetConn(x.conn.(*net.TCPConn))
 		return false
 	}
@@ -46,19 +46,19 @@
 		x.busy++
 	}
 	x.mu.Unlock()
-	if full || x.drawn(x.behaviour.Shed) {
+	if full || x.selected(x.behaviour.Shed) {
 		if !full {
-			x.leaveSlot()
+			x.releaseSlot()
 		}
-		return x.turnAway()
+		return x.refuseRequest()
 	}
-	defer x.leaveSlot()
+	defer x.releaseSlot()
 	x.run = x.ledger.Began(x.id, Run{
 		Arrival: arrival, Method: req.Method, Target: req.URL.RequestURI(), Body: body, Workspace: x.head.Workspace,
 	})
-	if *x.stray != "" {
-		_, _ = x.conn.Write([]byte(*x.stray))
-		*x.stray = ""
+	if *x.surplus != "" {
+		_, _ = x.conn.Write([]byte(*x.surplus))
+		*x.surplus = ""
 	}
 	if n := crashingNumber(req.URL.Path); n > 0 {
 		return x.crash(n)
@@ -69,122 +69,124 @@
 	return x.plain()
 }
 
-// says is what the replica says of itself in an answer that is about to go out, its load left
-// out.
-func (x *exchange) says() standin.SelfReport {
+// statements returns the replica's statements about itself for a response that is about to be
+// written, without its load.
+func (x *exchange) statements() standin.SelfReport {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.leaving {
-		x.ledger.SaysThatItLeaves(x.id, x.ID)
+	if x.departing {
+		x.ledger.DepartureAnnounced(x.id, x.ID)
 	}
-	return standin.SelfReport{Leaving: x.leaving}
+	return standin.SelfReport{Leaving: x.departing}
 }
 
-// saysLoad is the same with the load.
-func (x *exchange) saysLoad() standin.SelfReport {
-	says := x.says()
+// statementsWithLoad is like statements, with the load.
+func (x *exchange) statementsWithLoad() standin.SelfReport {
+	says := x.statements()
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	says.Load = &standin.Load{Running: x.busy, Slots: x.slots}
 	return says
 }
 
-func (x *exchange) leaveSlot() {
+func (x *exchange) releaseSlot() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.busy--
 }
 
-// drawn takes its share of the one draw of the exchange.
-func (x *exchange) drawn(share float64) bool {
-	hit := x.draw >= 0 && x.draw < share
-	x.draw -= share
+// selected reports whether the failure with this probability was selected. All failures of an
+// exchange share one random number, so that at most one is selected.
+func (x *exchange) selected(share float64) bool {
+	hit := x.random >= 0 && x.random < share
+	x.random -= share
 	return hit
 }
 
-// work waits as long as the work takes, or until the daemon's end is closed.
+// work waits for d. It returns false if the daemon closed the connection first.
 func (x *exchange) work(d time.Duration) bool {
 	select {
-	case <-x.gone:
+	case <-x.disconnected:
 		return false
 	case <-time.After(d):
 		return true
 	}
 }
 
-func (x *exchange) end(status int) { x.ledger.Ended(x.run, status, time.Now()) }
+func (x *exchange) finish(status int) { x.ledger.Ended(x.run, status, time.Now()) }
 
 const (
-	leastWork = 5 * time.Millisecond
-	mostWork  = 60 * time.Millisecond
-	hangTime  = 20 * time.Second
-	// One request in slowOneIn works much longer, so that callers leave and stops
-	// begin while it runs.
+	minWork  = 5 * time.Millisecond
+	maxWork  = 60 * time.Millisecond
+	hangTime = 20 * time.Second
+	// One request in slowOneIn runs for slowWork, so that callers disconnect and daemons
+	// begin to shut down while it runs.
 	slowOneIn = 16
 	slowWork  = 1700 * time.Millisecond
 )
 
-// workOf returns how long a plain request works, or an event of a stream takes.
-func (x *exchange) workOf(pieces int) time.Duration {
+// workDuration returns the time that one of the pieces of a response takes: the complete response
+// of a plain request, or one event of a stream.
+func (x *exchange) workDuration(pieces int) time.Duration {
 	if isSteady(x.id) && pieces > 1 {
 		return steadyWork/2 + rand.N(steadyWork)
 	}
 	if hashOf(x.id)%slowOneIn == 0 {
 		return slowWork / time.Duration(pieces)
 	}
-	return leastWork + rand.N(mostWork-leastWork)
+	return minWork + rand.N(maxWork-minWork)
 }
 
 func (x *exchange) plain() bool {
-	if !x.work(x.workOf(1)) {
-		x.end(0)
+	if !x.work(x.workDuration(1)) {
+		x.finish(0)
 		return false
 	}
 	switch {
-	case x.drawn(x.behaviour.Fail):
-		x.end(500)
-		return x.write(standin.Response(500, x.id, x.ID, "failed", x.says()))
-	case x.drawn(x.behaviour.Hang):
+	case x.selected(x.behaviour.Fail):
+		x.finish(500)
+		return x.write(standin.Response(500, x.id, x.ID, "failed", x.statements()))
+	case x.selected(x.behaviour.Hang):
 		x.work(hangTime)
-		x.end(0)
+		x.finish(0)
 		return false
-	case x.drawn(x.behaviour.Break):
-		x.end(200)
-		whole := standin.Response(200, x.id, x.ID, plainBody(x.id, x.ID), x.says())
-		_, _ = x.conn.Write([]byte(whole[:len(whole)*2/3]))
+	case x.selected(x.behaviour.Truncate):
+		x.finish(200)
+		response := standin.Response(200, x.id, x.ID, plainBody(x.id, x.ID), x.statements())
+		_, _ = x.conn.Write([]byte(response[:len(response)*2/3]))
 		return false
-	case x.drawn(x.behaviour.Lose):
-		x.end(0)
+	case x.selected(x.behaviour.ResetAfterRun):
+		x.finish(0)
 		resetConn(x.conn.(*net.TCPConn))
 		return false
 	}
-	x.end(200)
-	whole := standin.Response(200, x.id, x.ID, plainBody(x.id, x.ID), x.says())
-	if x.drawn(x.behaviour.Surplus) {
+	x.finish(200)
+	response := standin.Response(200, x.id, x.ID, plainBody(x.id, x.ID), x.statements())
+	if x.selected(x.behaviour.Surplus) {
 		if rand.IntN(2) == 0 {
-			whole += whole
+			response += response
 		} else {
-			*x.stray = whole
+			*x.surplus = response
 		}
 	}
-	_, err := x.conn.Write([]byte(whole))
+	_, err := x.conn.Write([]byte(response))
 	return err == nil
 }
 
-// stream answers with events, from the one after the caller's last. It returns false
-// if the connection ends.
+// stream responds with events, starting after the last one that the caller received. It returns
+// false if the connection must be closed.
 func (x *exchange) stream() bool {
 	from := x.head.LastEventID
-	if x.drawn(x.behaviour.Fail) {
-		x.end(500)
-		return x.write(standin.Response(500, x.id, x.ID, "failed", x.says()))
+	if x.selected(x.behaviour.Fail) {
+		x.finish(500)
+		return x.write(standin.Response(500, x.id, x.ID, "failed", x.statements()))
 	}
 	fault := x.streamFault()
-	head := standin.StreamHead(x.id, x.ID, x.saysLoad())
+	head := standin.StreamHead(x.id, x.ID, x.statementsWithLoad())
 	events := streamEvents(x.id)
 	for i := from; i < len(events); i++ {
-		if !x.work(x.workOf(len(events))) || i == from && !x.write(head) {
-			x.end(0)
+		if !x.work(x.workDuration(len(events))) || i == from && !x.write(head) {
+			x.finish(0)
 			return false
 		}
 		if fault != nil && i == (from+len(events))/2 {
@@ -192,46 +194,46 @@
 			return false
 		}
 		if !x.write(chunk(events[i])) {
-			x.end(0)
+			x.finish(0)
 			return false
 		}
 	}
-	x.end(200)
+	x.finish(200)
 	if from >= len(events) {
 		x.write(head)
 	}
 	return x.write("0\r\n\r\n")
 }
 
-// streamFault draws how the stream ends in its middle; nil if it does not.
+// streamFault returns the failure that ends the stream halfway, or nil if none was selected.
 func (x *exchange) streamFault() func(event string) {
-	hang, broken, lose := x.drawn(x.behaviour.Hang), x.drawn(x.behaviour.Break), x.drawn(x.behaviour.Lose)
+	hang, truncate, reset := x.selected(x.behaviour.Hang), x.selected(x.behaviour.Truncate), x.selected(x.behaviour.ResetAfterRun)
 	switch {
 	case hang:
 		return func(string) {
 			x.work(hangTime)
-			x.end(0)
+			x.finish(0)
 		}
-	case broken:
+	case truncate:
 		return func(event string) {
-			x.end(200)
-			x.breakOff(event)
+			x.finish(200)
+			x.truncate(event)
 		}
-	case lose:
+	case reset:
 		return func(string) {
-			x.end(0)
+			x.finish(0)
 			resetConn(x.conn.(*net.TCPConn))
 		}
 	}
 	return nil
 }
 
-// chunk is a piece of a body in chunks.
+// chunk encodes a piece of a body with chunked transfer coding.
 func chunk(piece string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(piece), piece) }
 
-// breakOff ends a stream inside an event, or between two: then only the end of
-// the stream is missing.
-func (x *exchange) breakOff(piece string) {
+// truncate truncates a stream, either within an event or after it. In the latter case only the
+// final chunk is missing.
+func (x *exchange) truncate(piece string) {
 	if hashOf(x.id)%2 == 0 {
 		_, _ = fmt.Fprintf(x.conn, "%x\r\n%s", len(piece), piece[:len(piece)/2])
 		return
--- a/internal/soak/inject_replica.go
+++ b/internal/soak/inject_replica.go
@@ -1,4 +1,4 @@
-// This file carries out the faults of replicas: grey ones, crashes and drains.
+// This file injects the faults of replicas: grey failures, crashes and drains.
 
 package soak
 
@@ -15,7 +15,7 @@
 }
 
 func (s *injector) injectReplica(f *Fault) {
-	p, r := s.at(f.Target)
+	p, r := s.pickPlace(f.Target)
 	switch f.Kind {
 	case greyReplica:
 		s.makeGrey(f)
@@ -27,32 +27,32 @@
 			other = serviceOther
 		}
 		s.crash(p, r, other, expiryTime)
-		// What was lost is made good at an address of its own.
+		// Another replica, at a new address, replaces the one that crashed.
 		_ = s.addPlace(r.Service, r.Domain)
 	case flapReplica:
 		for range 3 {
 			if s.ctx.Err() != nil {
 				return
 			}
-			s.crash(p, r, r.Service, flapGap)
+			s.crash(p, r, r.Service, flapInterval)
 			s.mu.Lock()
 			r = p.current
 			s.mu.Unlock()
-			pause(s.ctx, flapGap)
+			pause(s.ctx, flapInterval)
 		}
 	case drainReplica:
 		s.drain(p, r, f.Variant%2 == 0)
 	}
 }
 
-// makeGrey gives some replicas a bad behaviour for a time.
+// makeGrey gives up to maxGrey replicas one of the greyBehaviours for the duration of the fault.
 func (s *injector) makeGrey(f *Fault) {
 	var wg sync.WaitGroup
-	for i := range 1 + f.Variant%mostGrey {
-		_, r := s.at(f.Target + i)
+	for i := range 1 + f.Variant%maxGrey {
+		_, r := s.pickPlace(f.Target + i)
 		wg.Go(func() {
 			s.disturbReplica(r, func() {
-				r.SetBehaviour(greyBehaviours[(f.Variant/mostGrey)%len(greyBehaviours)])
+				r.SetBehaviour(greyBehaviours[(f.Variant/maxGrey)%len(greyBehaviours)])
 				pause(s.ctx, f.For)
 				r.SetBehaviour(ordinary)
 			})
@@ -61,34 +61,34 @@
 	wg.Wait()
 }
 
-// crash ends a replica without draining; its entry expires, and a new replica of a
-// service begins at its address.
+// crash terminates a replica without draining it. Its entry expires, and a new replica of the
+// service next starts at its address.
 func (s *injector) crash(p *place, r *Replica, next string, down time.Duration) {
-	if !s.takeDown(p, r) {
+	if !s.tryMarkIdle(p, r) {
 		return
 	}
 	s.disturbReplica(r, func() {
 		s.endReplica(p, r)
 		pause(s.ctx, max(down, expiryTime))
-		s.remove(r)
+		s.deleteEntry(r)
 	})
 	_ = s.beginAgain(p, next)
 }
 
-// drain replaces a replica: the new one starts, the old one says that it leaves,
-// or its entry goes, and it serves on for a while.
-func (s *injector) drain(p *place, r *Replica, announced bool) {
-	s.vacate(p)
+// drain replaces a replica: a new one starts, and the old one announces its departure in its
+// entry or deletes the entry, and serves on for a while.
+func (s *injector) drain(p *place, r *Replica, inEntry bool) {
+	s.markIdle(p)
 	if s.addPlace(r.Service, r.Domain) != nil {
 		return
 	}
-	if announced {
-		s.announce(p, r, true)
+	if inEntry {
+		s.writeEntry(p, r, true)
 		s.ledger.Leaves(r.ID, time.Now())
 	} else {
-		s.remove(r)
+		s.deleteEntry(r)
 	}
-	pause(s.ctx, serveOn)
-	s.disturbReplica(r, r.End)
-	s.remove(r)
+	pause(s.ctx, serveAfterDeparture)
+	s.disturbReplica(r, r.Terminate)
+	s.deleteEntry(r)
 }
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -35,7 +35,7 @@
 	// Crashing bounds the requests that crash the replicas that run them.
 	Crashing crashingBounds
 	// Resting bounds what reaches replicas that asked for rest.
-	Resting restingBounds
+	Resting backoffBounds
 	// Refusing is for how long a daemon may refuse what a living replica could serve.
 	Refusing time.Duration
 }
@@ -49,7 +49,7 @@
 		Limit:    limitBounds{Window: 5 * time.Second, Factor: 2, Slack: 3, Least: 20, Share: 0.03},
 		Evacuate: 2500 * time.Millisecond, Cold: coldOverage*coldPerSecond + coldSlack,
 		Crashing: crashingBounds{Ends: 3, More: 3},
-		Resting:  restingBounds{Grace: 500 * time.Millisecond, Most: 2},
+		Resting:  backoffBounds{Grace: 500 * time.Millisecond, Max: 2},
 		Refusing: time.Second,
 	}
 }
@@ -318,7 +318,7 @@
 	atWork := run.Ended.IsZero() || run.Status == 0 && run.Ended.After(at.Add(-settling))
 	return atWork && slices.ContainsFunc(j.stops[r.Daemon], func(s span) bool {
 		sinceStop := at.Sub(s.from)
-		return r.Sent.Sub(s.from) <= stopTakes && sinceStop >= grace*(stopParts-1)/stopParts && sinceStop <= grace+settling
+		return r.Sent.Sub(s.from) <= stopTakes && sinceStop >= gracePeriod*(stopParts-1)/stopParts && sinceStop <= gracePeriod+settling
 	})
 }
 
--- a/internal/soak/link.go
+++ b/internal/soak/link.go
@@ -1,5 +1,5 @@
-// This file forwards bytes between two ends on loopback and troubles them on the
-// way: delays, resets, silence, one direction cut.
+// This file implements links, which forward bytes and datagrams between two loopback addresses
+// and inject network faults: delays, resets, and stalls of one or both directions.
 
 package soak
 
@@ -10,33 +10,33 @@
 	"time"
 )
 
-// Trouble is what a link does to connections.
-type Trouble struct {
-	Share   float64       // of the connections; those that are open are drawn as well
-	Delay   time.Duration // of each piece
-	Reset   bool          // breaks them
-	Forward bool          // holds up what goes from the opener
-	Back    bool          // holds up what goes to the opener
+// LinkFault is the fault that a link injects into its connections. The zero value is none.
+type LinkFault struct {
+	Share   float64       // fraction of the connections affected, including open ones
+	Delay   time.Duration // added to each read
+	Reset   bool          // resets the connections
+	Forward bool          // stalls the direction from the side that opened the connection
+	Back    bool          // stalls the direction to the side that opened the connection
 }
 
-// linkPoll is how often a held-up direction looks whether it may go on.
+// linkPoll is the interval at which a stalled direction checks whether it may continue.
 const linkPoll = 5 * time.Millisecond
 
-// Link is a forwarder. It is safe for use by many goroutines.
+// Link forwards TCP connections from one address to another. It is safe for concurrent use.
 type Link struct {
 	mu       sync.Mutex
 	listener net.Listener
 	target   string
-	trouble  Trouble
+	fault    LinkFault
 	conns    map[*linkConn]struct{}
 }
 
 type linkConn struct {
 	near, far *net.TCPConn
-	draw      float64 // decides whether the trouble applies, by its share
+	random    float64 // random number in [0, 1); a fault applies if its Share is greater
 }
 
-// openLink forwards from an address to a target.
+// openLink opens a link that listens on address and forwards to target.
 func openLink(address, target string) (*Link, error) {
 	l, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -47,36 +47,36 @@
 	return link, nil
 }
 
-// Address returns where the link listens.
+// Address returns the address on which the link listens.
 func (l *Link) Address() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.listener.Addr().String()
 }
 
-// SetTarget sends new connections to another target.
+// SetTarget changes the target of new connections.
 func (l *Link) SetTarget(target string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.target = target
 }
 
-// SetTrouble replaces the link's trouble; the zero value ends it.
-func (l *Link) SetTrouble(t Trouble) {
+// SetFault replaces the link's fault; the zero value ends it.
+func (l *Link) SetFault(t LinkFault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.trouble = t
+	l.fault = t
 	if !t.Reset {
 		return
 	}
 	for c := range l.conns {
-		if c.draw < t.Share {
+		if c.random < t.Share {
 			c.reset()
 		}
 	}
 }
 
-// Close ends the link and its connections. New ones are refused.
+// Close closes the listener and resets all connections.
 func (l *Link) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,7 +86,8 @@
 	}
 }
 
-// Reopen listens again after Close, at the same address unless that was taken meanwhile.
+// Reopen listens again after Close, on the same address, or on another port if that address
+// is in use.
 func (l *Link) Reopen() error {
 	address := l.Address()
 	listener, err := net.Listen("tcp4", address)
@@ -109,16 +110,16 @@
 		if err != nil {
 			return
 		}
-		go l.carry(c.(*net.TCPConn))
+		go l.forward(c.(*net.TCPConn))
 	}
 }
 
-func (l *Link) carry(near *net.TCPConn) {
+func (l *Link) forward(near *net.TCPConn) {
 	l.mu.Lock()
-	target, t := l.target, l.trouble
+	target, t := l.target, l.fault
 	l.mu.Unlock()
-	c := &linkConn{near: near, draw: rand.Float64()}
-	if t.Reset && c.draw < t.Share {
+	c := &linkConn{near: near, random: rand.Float64()}
+	if t.Reset && c.random < t.Share {
 		resetConn(near)
 		return
 	}
@@ -132,8 +133,8 @@
 	l.conns[c] = struct{}{}
 	l.mu.Unlock()
 	var wg sync.WaitGroup
-	wg.Go(func() { l.pump(c, c.far, c.near, func(t *Trouble) bool { return t.Forward }) })
-	wg.Go(func() { l.pump(c, c.near, c.far, func(t *Trouble) bool { return t.Back }) })
+	wg.Go(func() { l.copyBytes(c, c.far, c.near, func(t *LinkFault) bool { return t.Forward }) })
+	wg.Go(func() { l.copyBytes(c, c.near, c.far, func(t *LinkFault) bool { return t.Back }) })
 	wg.Wait()
 	_ = c.near.Close()
 	_ = c.far.Close()
@@ -142,12 +143,12 @@
 	l.mu.Unlock()
 }
 
-// pump copies one direction. The end of the sender is passed on like its bytes.
-func (l *Link) pump(c *linkConn, to, from *net.TCPConn, held func(*Trouble) bool) {
+// copyBytes copies one direction. It forwards the end of the stream with CloseWrite.
+func (l *Link) copyBytes(c *linkConn, to, from *net.TCPConn, stalled func(*LinkFault) bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		l.hold(c, held)
+		l.stall(c, stalled)
 		if n > 0 {
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				c.reset()
@@ -165,20 +166,20 @@
 	}
 }
 
-// hold waits while the link's trouble holds this direction up.
-func (l *Link) hold(c *linkConn, held func(*Trouble) bool) {
+// stall waits for the delay of the link's fault, and while the fault stalls this direction.
+func (l *Link) stall(c *linkConn, stalled func(*LinkFault) bool) {
 	for delayed := false; ; {
 		l.mu.Lock()
-		t := l.trouble
+		t := l.fault
 		l.mu.Unlock()
-		if c.draw >= t.Share {
+		if c.random >= t.Share {
 			return
 		}
 		if t.Delay > 0 && !delayed {
 			time.Sleep(t.Delay)
 			delayed = true
 		}
-		if !held(&t) {
+		if !stalled(&t) {
 			return
 		}
 		time.Sleep(linkPoll)
@@ -195,10 +196,10 @@
 	_ = c.Close()
 }
 
-// peerLink carries datagrams and connections to one daemon, at the address that
-// the others know.
+// peerLink forwards datagrams and connections to one daemon, from the address that the daemon
+// announces to its peers.
 type peerLink struct {
-	news   *Link
+	tcp    *Link
 	socket *net.UDPConn
 	target *net.UDPAddr
 
@@ -206,9 +207,9 @@
 	blocked func(from string) bool // by the sender's IP
 }
 
-// openPeerLink forwards what comes to an address to the daemon's own.
+// openPeerLink opens a link that listens on address and forwards to target.
 func openPeerLink(address, target string) (*peerLink, error) {
-	news, err := openLink(address, target)
+	tcp, err := openLink(address, target)
 	if err != nil {
 		return nil, err
 	}
@@ -216,7 +217,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &peerLink{news: news, blocked: func(string) bool { return false }}
+	p := &peerLink{tcp: tcp, blocked: func(string) bool { return false }}
 	if p.target, err = net.ResolveUDPAddr("udp4", target); err != nil {
 		return nil, err
 	}
@@ -243,19 +244,20 @@
 	}
 }
 
-// block drops the datagrams of some senders. News is held up if all are blocked.
-func (p *peerLink) block(blocked func(from string) bool, news bool) {
+// block drops the datagrams of the senders for which blocked returns true. If stallTCP is set, it
+// also stalls all connections.
+func (p *peerLink) block(blocked func(from string) bool, stallTCP bool) {
 	p.mu.Lock()
 	p.blocked = blocked
 	p.mu.Unlock()
-	t := Trouble{}
-	if news {
-		t = Trouble{Share: 1, Forward: true, Back: true}
+	t := LinkFault{}
+	if stallTCP {
+		t = LinkFault{Share: 1, Forward: true, Back: true}
 	}
-	p.news.SetTrouble(t)
+	p.tcp.SetFault(t)
 }
 
 func (p *peerLink) close() {
 	_ = p.socket.Close()
-	p.news.Close()
+	p.tcp.Close()
 }
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -1,5 +1,5 @@
-// This file holds what the operators publish in a run: routes, keys and
-// replicas, written to the store and noted in the ledger when it has taken them.
+// This file implements the site around the fleet: the configuration and the replicas' entries.
+// It writes both to the store, and records them in the ledger once the store accepted them.
 
 package soak
 
@@ -35,15 +35,15 @@
 	{Name: "reply", Prefix: prefixReply, Method: http.MethodPost, Stream: true, Repeatable: true, Attempts: 2, Timeout: 3 * time.Second},
 }
 
-// place is one address of the site at which replicas follow each other.
+// place is an address of the site. Its replicas replace each other, one at a time.
 type place struct {
 	link    *Link
 	domain  string
 	current *Replica
-	idle    bool // its replica has ended and nothing has taken its place
+	idle    bool // its replica has terminated or is departing, and has no successor here
 }
 
-// site is everything around the fleet.
+// site is the environment of the fleet: the store, the configuration and the replicas.
 type site struct {
 	ledger       *Ledger
 	store        *standin.Store
@@ -51,29 +51,29 @@
 	callerFaults callerFaults
 	domains      []string
 	steady       *Steady   // nil: ordinary traffic
-	refuses      bool      // replicas that end refuse connections
-	trap         *trap     // where entries lead that name no replica
+	refuses      bool      // the links of terminated replicas refuse connections
+	trap         *trap     // address in the entries of the foreign writer
 	cold         bool      // replicas are cold after a start
-	begun        time.Time // of the traffic
+	begun        time.Time // start of the traffic
 
-	mu       sync.Mutex
-	version  int
-	started  int
-	services map[string]string // of the plain routes
-	keys     []siteKey
-	dropped  []siteKey
-	filler   int // routes that nobody uses
-	places   []*place
-	emptied  map[string]bool // domains that are evacuated
-	// entries are what the replicas wrote last, and written how often each wrote.
+	mu        sync.Mutex
+	version   int
+	started   int
+	services  map[string]string // of the plain routes
+	keys      []siteKey
+	revoked   []siteKey
+	filler    int // number of unused routes, which make the configuration larger
+	places    []*place
+	evacuated map[string]bool // domains that are evacuated
+	// entries holds the last entry of each replica by id, writes the number of its writes.
 	entries map[string]standin.Replica
-	written map[string]uint64
+	writes  map[string]uint64
 }
 
 type siteKey struct{ key, workspace string }
 
 func newSite(l *Ledger) *site {
-	s := &site{ledger: l, store: standin.NewStore(50), emptied: make(map[string]bool), entries: make(map[string]standin.Replica), written: make(map[string]uint64), services: map[string]string{"once": serviceGate, "safe": serviceGate, "chat": serviceChat, "reply": serviceChat}}
+	s := &site{ledger: l, store: standin.NewStore(50), evacuated: make(map[string]bool), entries: make(map[string]standin.Replica), writes: make(map[string]uint64), services: map[string]string{"once": serviceGate, "safe": serviceGate, "chat": serviceChat, "reply": serviceChat}}
 	for i := range 6 {
 		k := siteKey{fmt.Sprintf("first-%d", i), fmt.Sprintf("w%d", i%3)}
 		s.keys = append(s.keys, k)
@@ -85,7 +85,7 @@
 	return s
 }
 
-// Targets of all routes, in milliseconds, as those of the users' sites.
+// Latency targets of all routes, in milliseconds. They are the same as at the users' sites.
 const (
 	firstByteTargetMS = 300
 	eventTargetMS     = 300
@@ -101,8 +101,8 @@
 	return standin.KindAtMostOnce
 }
 
-// publish writes the configuration and returns when the store has taken it. The
-// caller holds the lock.
+// publish writes a new version of the configuration, and returns the time at which the store
+// accepted it. The caller must hold s.mu.
 func (s *site) publish() time.Time {
 	s.version++
 	c := s.config()
@@ -110,7 +110,7 @@
 	return time.Now()
 }
 
-// config returns the configuration of the present version. The caller holds the lock.
+// config returns the configuration of the current version. The caller must hold s.mu.
 func (s *site) config() standin.Config {
 	c := standin.Config{Version: s.version, Services: []standin.Service{{Name: serviceGate}, {Name: serviceOther}, {Name: serviceChat, Engine: &standin.Engine{}}}}
 	if s.cold {
@@ -145,7 +145,7 @@
 	s.ledger.KeyAdded(k.key, k.workspace, s.publish())
 }
 
-// revokeKey takes a key away; the first three stay.
+// revokeKey revokes a key. The first three keys are never revoked.
 func (s *site) revokeKey(draw int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,7 +156,7 @@
 	i := staying + draw%(len(s.keys)-staying)
 	k := s.keys[i]
 	s.keys = append(s.keys[:i:i], s.keys[i+1:]...)
-	s.dropped = append(s.dropped, k)
+	s.revoked = append(s.revoked, k)
 	s.ledger.KeyRemoved(k.key, s.publish())
 }
 
@@ -172,34 +172,33 @@
 	s.ledger.RouteTo(name, to, s.publish())
 }
 
-func (s *site) grow(routes int) {
+func (s *site) addFillerRoutes(routes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.filler += routes
 	s.publish()
 }
 
-// drawKey returns a key: mostly one that holds, at times one that was taken away
-// or never held.
+// drawKey returns a random key. Most are valid; some were revoked or never existed.
 func (s *site) drawKey() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch draw := rand.IntN(50); {
 	case draw == 0:
 		return "nobody's"
-	case draw < 8 && len(s.dropped) > 0:
-		return s.dropped[rand.IntN(len(s.dropped))].key
+	case draw < 8 && len(s.revoked) > 0:
+		return s.revoked[rand.IntN(len(s.revoked))].key
 	}
 	return s.keys[rand.IntN(len(s.keys))].key
 }
 
-// Slots of the replicas: few, so that some requests are refused.
+// Slots of the replicas: few enough that some requests are refused.
 const (
 	gateSlots = 6
 	chatSlots = 24
 )
 
-// addPlace opens an address of the site with its first replica.
+// addPlace opens a new address of the site and starts its first replica.
 func (s *site) addPlace(service, domain string) error {
 	link, err := openLink("127.0.0.1:0", "127.0.0.1:1")
 	if err != nil {
@@ -209,20 +208,20 @@
 	s.mu.Lock()
 	s.places = append(s.places, p)
 	s.mu.Unlock()
-	return s.begin(p, service)
+	return s.startNew(p, service)
 }
 
-// begin starts a replica at a place and announces it.
-func (s *site) begin(p *place, service string) error {
+// startNew starts a replica under a new id at a place and writes its entry.
+func (s *site) startNew(p *place, service string) error {
 	s.mu.Lock()
 	s.started++
 	id := "i-" + itoa(s.started)
 	s.mu.Unlock()
-	return s.beginAs(id, p, service)
+	return s.startAs(id, p, service)
 }
 
-// beginAs starts a replica under an id.
-func (s *site) beginAs(id string, p *place, service string) error {
+// startAs starts a replica under an id at a place and writes its entry.
+func (s *site) startAs(id string, p *place, service string) error {
 	slots := gateSlots
 	if service == serviceChat {
 		slots = chatSlots
@@ -237,20 +236,22 @@
 	s.mu.Unlock()
 	p.link.SetTarget(r.Address())
 	s.ledger.Joins(id, service, time.Now())
-	s.ledger.StandsIn(id, p.domain)
+	s.ledger.SetDomain(id, p.domain)
 	if s.cold && !s.begun.IsZero() {
-		s.chill(p, r, time.Time{})
+		s.makeCold(p, r, time.Time{})
 	}
-	s.announce(p, r, false)
+	s.writeEntry(p, r, false)
 	return nil
 }
 
-func (s *site) announce(p *place, r *Replica, draining bool) {
+// writeEntry writes the entry of a replica to the store. An entry that isn't draining ends an
+// earlier departure of the replica in the ledger.
+func (s *site) writeEntry(p *place, r *Replica, draining bool) {
 	s.mu.Lock()
-	s.written[r.ID]++
+	s.writes[r.ID]++
 	e := standin.Replica{
-		ID: r.ID, Service: r.Service, Address: p.link.Address(), Domain: p.domain, Slots: r.slots, ColdMS: r.coldLeft(time.Now()).Milliseconds(),
-		StartTime: r.born.UnixMilli(), Sequence: s.written[r.ID], Draining: draining,
+		ID: r.ID, Service: r.Service, Address: p.link.Address(), Domain: p.domain, Slots: r.slots, ColdMS: r.coldRemaining(time.Now()).Milliseconds(),
+		StartTime: r.startTime.UnixMilli(), Sequence: s.writes[r.ID], Draining: draining,
 	}
 	s.entries[r.ID] = e
 	s.store.PutReplica(e)
@@ -260,8 +261,9 @@
 	}
 }
 
-// at returns a place whose replica lives, and the replica.
-func (s *site) at(draw int) (*place, *Replica) {
+// pickPlace returns a place that isn't idle, and its replica. If all are idle, it returns the
+// first.
+func (s *site) pickPlace(draw int) (*place, *Replica) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for k := range s.places {
@@ -272,16 +274,16 @@
 	return s.places[0], s.places[0].current
 }
 
-// vacate marks a place whose replica ends.
-func (s *site) vacate(p *place) {
+// markIdle marks a place as idle.
+func (s *site) markIdle(p *place) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p.idle = true
 }
 
-// takeDown marks the place of a replica that ends. It returns false if something else ends
-// the replica, or has done so.
-func (s *site) takeDown(p *place, r *Replica) bool {
+// tryMarkIdle marks the place of a replica as idle, so that the caller may terminate the replica.
+// It returns false if the place was already idle or has another replica.
+func (s *site) tryMarkIdle(p *place, r *Replica) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p.current != r || p.idle {
@@ -291,8 +293,8 @@
 	return true
 }
 
-// remove deletes a replica's entry.
-func (s *site) remove(r *Replica) {
+// deleteEntry deletes a replica's entry, which the ledger records as its departure.
+func (s *site) deleteEntry(r *Replica) {
 	s.mu.Lock()
 	delete(s.entries, r.ID)
 	s.store.DeleteReplica(r.ID)
@@ -300,10 +302,10 @@
 	s.ledger.Leaves(r.ID, time.Now())
 }
 
-// close ends all replicas.
+// close terminates all replicas and closes their links.
 func (s *site) close() {
 	for _, p := range s.places {
 		p.link.Close()
-		p.current.End()
+		p.current.Terminate()
 	}
 }
