--- a/coordination/routing/silence.go
+++ b/coordination/routing/silence.go
@@ -5,7 +5,7 @@
 // Inputs: this daemon's own attempts that met silence or no connection, and the reports of other
 // daemons, each of which every daemon forwards once. The rule:
 //
-//  1. A daemon reports a replica that accepted no connection, or that was silent for blameTimeout
+//  1. A daemon reports a replica that accepted no connection, or that was silent for unresponsiveTimeout
 //     (timeouts.go). A request that is retried elsewhere sooner reports nothing: a replica that is
 //     merely busy keeps some requests waiting that long, and if all daemons then avoided it, the
 //     other replicas of a small service would be overloaded next.
--- a/daemon/routes/restored_test.go
+++ b/daemon/routes/restored_test.go
@@ -42,7 +42,7 @@
 	return feed.Version{Known: err == nil, Sequence: v}
 }
 
-// config and replica return documents in the format of writtenDocuments.
+// config and replica return documents in the format of textDocuments.
 func config(version int, at feed.Revision) feed.Item {
 	return feed.Item{Key: "config", Value: []byte(strconv.Itoa(version)), Revision: at}
 }
