--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,12 +1,12 @@
 // Package soak runs real daemons as separate processes on one machine, injects
-// faults from outside, and checks the promises of docs/PROMISES.md
-// while they run, from what callers and replicas see on their sockets. It is no
-// part of the product.
+// faults from outside, and checks the guarantees of docs/PROMISES.md
+// while they run, from what callers and replicas observe on their sockets. It is
+// a test tool and not part of the product.
 //
-// Everything in a run follows from its seed: the size of the fleet, the traffic
-// and the schedule of faults. The machine's timing does not, so a seed that failed
-// once may pass when it is played again; its log, its faults and the daemons'
-// output are kept.
+// The seed determines the size of the fleet, the traffic and the schedule of
+// faults. It does not determine the machine's timing, so a seed that failed once
+// may pass when it is run again; the log, the faults and the daemons' output of
+// a run are kept.
 //
 // # Usage
 //
@@ -16,8 +16,8 @@
 //
 // # Parts
 //
-// Plan holds the schedule. Ledger holds what was seen and judges it; it is pure.
-// Fleet starts daemons and ends only those. Link delays, cuts and silences
-// connections. Replica and caller are the two ends, store comes from
+// Plan holds the schedule. Ledger records what was observed and checks it; it does
+// no I/O. Fleet starts daemons and stops only those. Link delays, cuts and silences
+// connections. Replica and caller are the two endpoints; the store comes from
 // platform/standin.
 package soak
