--- a/internal/soak/crashing.go
+++ b/internal/soak/crashing.go
@@ -1,7 +1,7 @@
-// This file plays requests that crash the replicas that run them, and judges what becomes of
-// them: once such a request has ended three replicas, daemons in touch may let it reach three
-// more, ever. Beside them some callers ask for one thing over and over, which must be served
-// however many ends it was near.
+// This file sends requests that crash the replicas that run them, and checks that they are
+// quarantined: once such a request has crashed three replicas, daemons that are up to date may
+// let it reach three more, ever. Meanwhile some callers repeat one harmless request, which must
+// be served however many crashes it was in flight beside.
 
 package soak
 
@@ -17,42 +17,42 @@
 	"hingewinch.org/hingewinch/platform/standin"
 )
 
-// Crashing is a request that crashes each replica that begins to run it. It comes again and
-// again, with the same path, caller and body, at any daemon.
+// Crashing is a request that crashes each replica that begins to run it. It is sent repeatedly,
+// with the same path, caller and body, to any daemon.
 type Crashing struct {
 	Route int           `json:"route"` // number of its route
-	At    time.Duration `json:"at"`    // when it comes first
-	Every time.Duration `json:"every"` // mean pause between two tries
-	// Late says that the replica has sent a part of its answer when it ends.
+	At    time.Duration `json:"at"`    // when it is first sent
+	Every time.Duration `json:"every"` // mean pause between two attempts
+	// Late says that the replica has sent part of its response when it crashes.
 	Late bool `json:"late"`
 }
 
-// Figures of crashing requests.
+// Parameters of crashing requests.
 const (
 	leastEvery      = 150 * time.Millisecond
 	mostEvery       = 500 * time.Millisecond
 	latestCrashing  = 6 * time.Second
-	crashWork       = 60 * time.Millisecond // at most, before the replica ends
+	crashWork       = 60 * time.Millisecond // at most, before the replica crashes
 	shortestRestart = 400 * time.Millisecond
 	longestRestart  = 2 * time.Second
-	sameIDRestart   = time.Second // at most, for one that comes back under its id
+	sameIDRestart   = time.Second // at most, for one that restarts under the same id
 
 	crashingPath = "crashing-"
 	latePath     = "-late"
 
-	// One request in pollOneIn is the same as all others of its kind.
+	// One request in pollOneIn is a poll; all polls are identical.
 	pollOneIn  = 40
 	pollTarget = prefixSafe + "status"
 	pollKey    = "first-0"
 )
 
-// crashingBounds bound what becomes of a crashing request.
+// crashingBounds limits how far a crashing request may spread.
 type crashingBounds struct {
-	Ends int // replicas that it may end before it is known
-	More int // arrivals at replicas later than Contact after the last of them
+	Ends int // replicas that it may crash before it must be quarantined
+	More int // arrivals at replicas later than Contact after the last of these crashes
 }
 
-// drawCrashing adds the crashing requests of a seed, with draws of their own.
+// drawCrashing adds the crashing requests of a seed, from a random source of their own.
 func (p *Plan) drawCrashing(seed uint64, s Shape) {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	for range s.Crashing {
@@ -71,8 +71,8 @@
 	tries  int
 }
 
-// run sends the request until ctx ends, each time on a new connection to a daemon that is
-// drawn. It does not wait as long as refusals ask it to.
+// run sends the request until ctx is done, each time on a new connection to a random
+// daemon. It ignores the backoff that refusals request.
 func (c *crasher) run(ctx context.Context) {
 	pause(ctx, c.At)
 	for ctx.Err() == nil {
@@ -103,23 +103,23 @@
 	return q
 }
 
-// crashingNumber returns the number of the crashing request that a path names; 0: none.
+// crashingNumber returns the number of the crashing request that a path names, or 0 for none.
 func crashingNumber(path string) int {
 	_, rest, ok := strings.Cut(path, crashingPath)
 	if !ok {
 		return 0
 	}
-	n, _ := strconv.Atoi(strings.TrimSuffix(rest, latePath)) // a path of another form names none
+	n, _ := strconv.Atoi(strings.TrimSuffix(rest, latePath)) // a path of another form yields 0
 	return n
 }
 
-// poll makes a request one that is asked for over and over.
+// poll turns a request into one that is identical to all other polls.
 func (c *caller) poll(q Request) Request {
 	q.Route, q.Target, q.Key = routes[1], pollTarget, pollKey
 	return q
 }
 
-// crash ends the replica under a request.
+// crash crashes the replica while it runs a request.
 func (x *exchange) crash(number int) bool {
 	if !x.work(rand.N(crashWork)) {
 		x.end(0)
@@ -135,8 +135,8 @@
 	return false
 }
 
-// crashedByRequest ends a replica, and starts another one at its place a while later, or the
-// same one again under its id.
+// crashedByRequest terminates a replica, and after a delay starts another one in its place, or
+// the same one again under its id.
 func (s *site) crashedByRequest(p *place, r *Replica) {
 	if !s.takeDown(p, r) {
 		r.End()
@@ -167,8 +167,8 @@
 	}()
 }
 
-// endReplica ends a replica. Where the site's replicas refuse, new connections are refused
-// until another one begins at its place.
+// endReplica terminates a replica. Where the site's replicas refuse, new connections are refused
+// until another one starts in its place.
 func (s *site) endReplica(p *place, r *Replica) {
 	if s.refuses {
 		p.link.Close()
@@ -176,7 +176,7 @@
 	r.End()
 }
 
-// beginAgain starts a replica at a place whose last one has ended.
+// beginAgain starts a replica in a place whose previous one has terminated.
 func (s *site) beginAgain(p *place, service string) error {
 	if s.refuses {
 		if err := p.link.Reopen(); err != nil {
@@ -186,13 +186,13 @@
 	return s.begin(p, service)
 }
 
-// crash is the end of a replica under a crashing request.
+// crash is one crash of a replica that a crashing request caused.
 type crash struct {
 	replica string
 	at      time.Time
 }
 
-// Crashed notes that a crashing request ended a replica.
+// Crashed records that a crashing request crashed a replica.
 func (l *Ledger) Crashed(number int, replica string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -202,7 +202,7 @@
 	}
 }
 
-// judgeCrashing looks for crashing requests that went on reaching replicas.
+// judgeCrashing reports crashing requests that kept reaching replicas.
 func (j *judgement) judgeCrashing() {
 	for number, ends := range j.crashes {
 		if len(ends) < j.bounds.Crashing.Ends {
@@ -219,13 +219,14 @@
 			slices.SortFunc(late, time.Time.Compare)
 			j.out = append(j.out, Violation{
 				Promise: "BUDGET", Subject: crashingPath + itoa(number), At: late[j.bounds.Crashing.More],
-				Detail: fmt.Sprintf("reached replicas %d times more after it had ended the third, %d are allowed; it ended %d", len(late), j.bounds.Crashing.More, len(ends)),
+				Detail: fmt.Sprintf("reached replicas %d more times after it had crashed the third, %d are allowed; it crashed %d", len(late), j.bounds.Crashing.More, len(ends)),
 			})
 		}
 	}
 }
 
-// lateArrivals returns when a request reached replicas after a time by way of a daemon in touch.
+// lateArrivals returns when a request reached replicas after a time through a daemon that was up
+// to date.
 func (j *judgement) lateArrivals(r *record, after time.Time) []time.Time {
 	var out []time.Time
 	for _, a := range r.arrivals {
@@ -237,7 +238,7 @@
 	return out
 }
 
-// Ends returns how many replicas crashing requests ended.
+// Ends returns how many replicas crashing requests crashed.
 func (l *Ledger) Ends() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -248,17 +249,17 @@
 	return n
 }
 
-// judgeInnocent looks for ordinary requests that were refused as if replicas ended under them.
-// One that is the same as others may have been beside three ends in a row, for which it is
-// held back; at the end of the quiet time a whole answer has acquitted it.
+// judgeInnocent reports ordinary requests that were quarantined as if they crashed replicas.
+// A poll may have been in flight at three crashes in a row, for which it is quarantined;
+// by the end of the quiet time a complete response has cleared it.
 func (j *judgement) judgeInnocent(r *record) {
 	isPoll := r.Target == pollTarget
 	if r.Crashing == 0 && r.answer.Held && (!isPoll || r.Sent.After(j.quietFrom) && !j.quietFrom.IsZero()) {
-		j.add("HELD", r, r.answer.At, "daemon %d held back a request for %s, which crashes no replica", r.Daemon, r.Target)
+		j.add("HELD", r, r.answer.At, "daemon %d quarantined a request for %s, which crashes no replica", r.Daemon, r.Target)
 	}
 }
 
-// EndsSoon notes that requests sent from now on must be served.
+// EndsSoon records the time from which requests that are sent must be served.
 func (l *Ledger) EndsSoon(at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
