--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -1,5 +1,6 @@
-// This file judges what the ledger holds. Bounds in time hold for daemons in
-// touch: those that, with the store, were undisturbed for Contact before.
+// This file checks the guarantees against the ledger. Time bounds apply to daemons
+// that are up to date: neither they nor the store were disturbed during the
+// preceding Contact.
 
 package soak
 
@@ -11,37 +12,37 @@
 	"time"
 )
 
-// bounds are the figures of the promises.
+// bounds are the limits that the guarantees set.
 type bounds struct {
-	Contact time.Duration // undisturbed time after which a daemon is in touch
+	Contact time.Duration // undisturbed time after which a daemon is up to date
 	Apply   time.Duration // until a configuration is in force
-	Drain   time.Duration // until a leaving replica gets no more work
-	Leave   time.Duration // until the work for a caller that left ends
-	Late    time.Duration // how much later than its deadline an answer may come
-	Resend  time.Duration // slack of the deadlines that replicas are given
-	Ratio   float64       // of the repeats
+	Drain   time.Duration // until a draining replica gets no more requests
+	Leave   time.Duration // until the work for a caller that disconnected stops
+	Late    time.Duration // how long after its deadline a response may come
+	Resend  time.Duration // slack of the deadlines that are sent to replicas
+	Ratio   float64       // retries allowed per request
 	Extra   float64
 	Window  time.Duration
-	// Few is the number of cases up to which a rule that allows a few is kept.
+	// Few is the number of violations that rules with a tolerance allow.
 	Few int
-	// Share is the part of the requests that must be served at the end of the
+	// Share is the fraction of the requests that must be served at the end of the
 	// quiet time.
 	Share float64
 	Limit limitBounds
-	// Evacuate is the time until an evacuated domain gets no more requests, and Cold how
-	// many requests all daemons may send a cold replica in a second.
+	// Evacuate is the time until an evacuated domain gets no more requests. Cold is how
+	// many requests all daemons together may send a cold replica in a second.
 	Evacuate time.Duration
 	Cold     int
-	// Crashing bounds the requests that crash the replicas that run them.
+	// Crashing limits the spread of requests that crash the replicas that run them.
 	Crashing crashingBounds
-	// Resting bounds what reaches replicas that asked for rest.
+	// Resting limits what reaches replicas that requested a backoff.
 	Resting restingBounds
-	// Refusing is for how long a daemon may refuse what a living replica could serve.
+	// Refusing is how long a daemon may refuse requests that a live replica could serve.
 	Refusing time.Duration
 }
 
-// defaultBounds returns the bounds of a run. Those in time are the users' and
-// half a second for the machine's own delays.
+// defaultBounds returns the bounds of a run. The time bounds are those guaranteed to
+// users plus half a second for the machine's own delays.
 func defaultBounds() bounds {
 	return bounds{
 		Contact: 3 * time.Second, Apply: 2500 * time.Millisecond, Drain: 2500 * time.Millisecond, Leave: time.Second,
@@ -54,7 +55,7 @@
 	}
 }
 
-// Violation is a promise that was broken.
+// Violation is a guarantee that was broken.
 type Violation struct {
 	Promise string    `json:"promise"`
 	Subject string    `json:"subject"` // a request, a daemon or a service
@@ -62,7 +63,7 @@
 	Detail  string    `json:"detail"`
 }
 
-// Judge judges everything so far and returns what was not returned before.
+// Judge checks everything recorded so far and returns the violations that it has not returned before.
 func (l *Ledger) Judge(now time.Time) []Violation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,7 +91,7 @@
 	return fresh
 }
 
-// judgement collects violations. few are cases of which some are allowed.
+// judgement collects violations. few holds those of rules with a tolerance.
 type judgement struct {
 	*Ledger
 	now time.Time
@@ -109,7 +110,7 @@
 func (j *judgement) judge(r *record) {
 	if !r.known {
 		if len(r.runs) > 0 {
-			j.out = append(j.out, Violation{Promise: "UNASKED", Subject: r.runs[0].Target, At: r.runs[0].At, Detail: "nobody sent a request with this id"})
+			j.out = append(j.out, Violation{Promise: "UNASKED", Subject: r.runs[0].Target, At: r.runs[0].At, Detail: "no caller sent a request with this id"})
 		}
 		return
 	}
@@ -127,14 +128,14 @@
 	j.judgeDeadline(r)
 }
 
-// inTouch reports whether a daemon and the store were undisturbed from Contact
-// before a time until another.
+// inTouch reports whether a daemon was up to date from one time to another: it and
+// the store were undisturbed, and so for Contact before.
 func (j *judgement) inTouch(daemon int, from, to time.Time) bool {
 	from = from.Add(-j.bounds.Contact)
 	return calm(j.daemons[daemon], from, to) && calm(j.store, from, to) && calm(j.stops[daemon], from, to)
 }
 
-// undisturbed is the same without the store and with planned stops allowed.
+// undisturbed is inTouch without regard to the store and to graceful shutdowns.
 func (j *judgement) undisturbed(daemon int, from, to time.Time) bool {
 	return calm(j.daemons[daemon], from.Add(-j.bounds.Contact), to)
 }
@@ -149,17 +150,17 @@
 			j.add("UNASKED", r, run.At, "ran as %s %s with a body of %d bytes, sent as %s %s with %d", run.Method, run.Target, len(run.Body), r.Route.Method, r.Target, len(r.Body))
 		}
 		if key == nil {
-			j.add("ROUTE", r, run.At, "ran with a key that nobody ever held")
+			j.add("ROUTE", r, run.At, "ran with a key that was never configured")
 			continue
 		}
 		if run.Workspace != key.workspace {
-			j.add("UNASKED", r, run.At, "ran for workspace %q, its key is of %q", run.Workspace, key.workspace)
+			j.add("UNASKED", r, run.At, "ran for workspace %q, its key belongs to %q", run.Workspace, key.workspace)
 		}
 		if key.removed.IsZero() {
 			continue
 		}
 		if r.Sent.Sub(key.removed) > j.bounds.Apply && j.inTouch(r.Daemon, key.removed, run.At) && !j.missesEras(r) {
-			j.add("CONFIG", r, run.At, "ran with a key that was taken away %v before it was sent, by way of daemon %d", r.Sent.Sub(key.removed), r.Daemon)
+			j.add("CONFIG", r, run.At, "ran with a key that was revoked %v before it was sent, through daemon %d", r.Sent.Sub(key.removed), r.Daemon)
 		}
 	}
 	for _, run := range r.runs {
@@ -199,18 +200,18 @@
 	for _, left := range j.leaving[run.Replica] {
 		late := run.At.Sub(left.from)
 		if late > j.bounds.Drain && run.At.Before(left.to) && j.inTouch(r.Daemon, left.from, run.At) && calm(j.replicas[run.Replica], left.from, run.At) && !j.missesEras(r) {
-			j.add("DRAIN", r, run.At, "reached %s %v after the store took its leaving, by way of daemon %d", run.Replica, late, r.Daemon)
+			j.add("DRAIN", r, run.At, "reached %s %v after the store accepted its departure, through daemon %d", run.Replica, late, r.Daemon)
 		}
 	}
 }
 
 func (j *judgement) judgeArrivals(r *record) {
 	for _, a := range r.arrivals {
-		// A link that held the request up makes its deadline look later than the
+		// A link that delayed the request makes its deadline look later than the
 		// daemon set it.
 		held := !calm(j.replicas[a.Replica], r.Sent, a.At)
 		if late := a.Deadline.Sub(r.Deadline); late > j.bounds.Resend && !held && j.undisturbed(r.Daemon, a.At, a.At) {
-			j.addFew("BUDGET", r, a.At, "replica %s was given %v more than the caller's deadline", a.Replica, late)
+			j.addFew("BUDGET", r, a.At, "replica %s got a deadline %v later than the caller's", a.Replica, late)
 		}
 	}
 }
@@ -226,41 +227,41 @@
 		}
 		reached := calm(j.replicas[run.Replica], run.At, ended)
 		if reached && ended.Sub(r.left) > j.bounds.Leave {
-			j.addFew("GONE", r, ended, "%s worked %v longer than its caller waited", run.Replica, ended.Sub(r.left))
+			j.addFew("GONE", r, ended, "%s worked for %v after its caller disconnected", run.Replica, ended.Sub(r.left))
 		}
 	}
 }
 
-// promises are the statuses that say that a request has not run and never will.
+// promises are the statuses that guarantee that a request has not run and never will.
 var promises = []int{http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest}
 
 func (j *judgement) judgeAnswer(r *record) {
 	a := r.answer
 	if slices.Contains(promises, a.Status) && !r.Route.Repeatable && len(r.runs) > 0 {
-		j.add("REFUSED", r, a.At, "status %d says that it never runs, and it ran at %s", a.Status, r.runs[0].Replica)
+		j.add("REFUSED", r, a.At, "status %d guarantees that it never runs, but it ran at %s", a.Status, r.runs[0].Replica)
 	}
 	switch {
 	case a.Status == 0:
 	case a.Status >= http.StatusMultipleChoices:
 		if a.Seal != "" && !slices.ContainsFunc(r.runs, func(run *Run) bool { return run.Replica == a.Seal && run.Status == a.Status }) {
-			j.add("MIXED", r, a.At, "status %d carries the seal of %s, which did not give it", a.Status, a.Seal)
+			j.add("MIXED", r, a.At, "status %d carries the seal of %s, which did not send it", a.Status, a.Seal)
 		}
 	case !slices.ContainsFunc(r.runs, func(run *Run) bool { return run.Replica == a.Seal }):
-		j.add("MIXED", r, a.At, "success carries the seal %q of no replica that ran it", a.Seal)
+		j.add("MIXED", r, a.At, "success carries seal %q, which is not of a replica that ran it", a.Seal)
 	case r.Route.Stream:
 		j.judgeStream(r)
 	case a.Whole && a.Body != plainBody(r.ID, a.Seal):
-		j.add("MIXED", r, a.At, "body of %d bytes is not the replica's: %.60q", len(a.Body), a.Body)
+		j.add("MIXED", r, a.At, "body of %d bytes differs from the replica's: %.60q", len(a.Body), a.Body)
 	}
 }
 
 func (j *judgement) judgeStream(r *record) {
 	want, got := streamBody(r.ID, 0), r.answer.Body
 	if r.answer.Whole && got != want {
-		j.add("ORDER", r, r.answer.At, "stream of %d bytes ended as complete, the replica's has %d", len(got), len(want))
+		j.add("ORDER", r, r.answer.At, "stream of %d bytes ended as complete, but the replica's has %d", len(got), len(want))
 	}
 	if !r.answer.Whole && !strings.HasPrefix(want, got) {
-		j.add("ORDER", r, r.answer.At, "the part of %d bytes is not the beginning of the replica's stream", len(got))
+		j.add("ORDER", r, r.answer.At, "partial stream of %d bytes is not a prefix of the replica's stream", len(got))
 	}
 }
 
@@ -280,16 +281,16 @@
 		return
 	}
 	if key.added.IsZero() {
-		j.add("DENIED", r, r.answer.At, "daemon %d does not know a key that always held", r.Daemon)
+		j.add("DENIED", r, r.answer.At, "daemon %d rejected a key that was always valid", r.Daemon)
 		return
 	}
 	if r.Sent.Sub(key.added) > j.bounds.Apply && j.inTouch(r.Daemon, key.added, r.answer.At) && !j.missesEras(r) {
-		j.add("CONFIG", r, r.answer.At, "daemon %d does not know a key that was added %v before", r.Daemon, r.Sent.Sub(key.added))
+		j.add("CONFIG", r, r.answer.At, "daemon %d rejected a key that was added %v earlier", r.Daemon, r.Sent.Sub(key.added))
 	}
 }
 
-// judgeLoss looks for a connection that ended without an answer although the
-// daemon was well, or stopped as planned, and the replica sound.
+// judgeLoss reports connections that closed without a response although the daemon
+// was undisturbed, or shut down gracefully, and the replica was undisturbed.
 func (j *judgement) judgeLoss(r *record) {
 	a := r.answer
 	if a.Status != 0 || a.Err == nil || len(r.runs) == 0 || !r.left.IsZero() || a.At.After(r.Deadline) {
@@ -300,21 +301,21 @@
 		return
 	}
 	if j.undisturbed(r.Daemon, r.Sent, a.At) && calm(j.replicas[run.Replica], run.At.Add(-j.bounds.Contact), a.At) {
-		j.add("LOST", r, a.At, "daemon %d closed the connection without an answer: %v", r.Daemon, a.Err)
+		j.add("LOST", r, a.At, "daemon %d closed the connection without a response: %v", r.Daemon, a.Err)
 	}
 }
 
-// The end of a planned stop may cut a request that was sent within stopTakes of its begin if
-// the replica is still at work on it in the last part of the grace, one of stopParts.
+// The end of a graceful shutdown may cut a request that was sent within stopTakes of its start if
+// the replica is still running it in the last of the stopParts parts of the grace period.
 const (
 	stopTakes = 3 * time.Second
 	stopParts = 6
 )
 
-// cutByStop reports whether a request was cut, as it may be, by the end of a planned stop.
+// cutByStop reports whether the end of a graceful shutdown cut a request, which is allowed.
 func (j *judgement) cutByStop(r *record, run *Run) bool {
 	at := r.answer.At
-	// The cut itself ends the work, without an answer, at about the moment that the caller sees.
+	// The cut itself stops the work, without a response, at about the moment that the caller observes.
 	atWork := run.Ended.IsZero() || run.Status == 0 && run.Ended.After(at.Add(-settling))
 	return atWork && slices.ContainsFunc(j.stops[r.Daemon], func(s span) bool {
 		sinceStop := at.Sub(s.from)
@@ -328,6 +329,6 @@
 		at = r.answer.At
 	}
 	if late := at.Sub(r.Deadline); late > j.bounds.Late && r.left.IsZero() && j.undisturbed(r.Daemon, r.Sent, at) {
-		j.addFew("CONFIG", r, at, "final answer of daemon %d came %v after the deadline", r.Daemon, late)
+		j.addFew("CONFIG", r, at, "final response of daemon %d came %v after the deadline", r.Daemon, late)
 	}
 }
