--- a/internal/soak/judge_counts.go
+++ b/internal/soak/judge_counts.go
@@ -1,5 +1,5 @@
-// This file judges what only counts can tell: findings that are allowed a few times, and
-// retries within a window.
+// This file checks the guarantees that depend on counts: rules that tolerate a few violations,
+// and retries within a window.
 
 package soak
 
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// judgeFew takes the cases of which a few are allowed.
+// judgeFew reports the violations of rules with a tolerance where there are more than it allows.
 func (j *judgement) judgeFew() {
 	byPromise := make(map[string][]Violation)
 	for _, v := range j.few {
@@ -22,8 +22,8 @@
 	}
 }
 
-// judgeRepeats counts, for each service, the arrivals beyond the first of each
-// request in every window that ends with one.
+// judgeRepeats counts the retries of each service, which are the arrivals after the
+// first of each request, in every window that ends with a retry.
 func (j *judgement) judgeRepeats() {
 	repeats, firsts := make(map[string][]time.Time), make(map[string][]time.Time)
 	for _, r := range j.order {
@@ -39,10 +39,10 @@
 		slices.SortFunc(list, time.Time.Compare)
 		for i, end := range list {
 			n := countWithin(list[:i+1], end, j.bounds.Window)
-			// The users count the better of this window and the one before.
+			// Users count the larger of this window and the preceding one.
 			requests := max(countWithin(firsts[service], end, j.bounds.Window), countWithin(firsts[service], end.Add(-j.bounds.Window), j.bounds.Window))
 			if most := j.bounds.Ratio*float64(requests) + j.bounds.Extra; float64(n) > most {
-				j.out = append(j.out, Violation{Promise: "BUDGET", Subject: service, At: end, Detail: fmt.Sprintf("%d repeats in a window, allowed are %.0f", n, most)})
+				j.out = append(j.out, Violation{Promise: "BUDGET", Subject: service, At: end, Detail: fmt.Sprintf("%d retries in a window, %.0f are allowed", n, most)})
 				break
 			}
 		}
@@ -60,7 +60,7 @@
 }
 
 // Served returns how many of the requests that were sent within a time, with a
-// key that held, got a success.
+// valid key, succeeded.
 func (l *Ledger) Served(from, to time.Time) (served, all int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
