--- a/internal/soak/judge_limit.go
+++ b/internal/soak/judge_limit.go
@@ -1,5 +1,5 @@
-// This file notes and judges how evenly replicas were loaded: LIMIT holds for calm times, in
-// which no replica of the service was in trouble.
+// This file records and checks how evenly replicas were loaded: LIMIT applies while no replica
+// of the service was disturbed.
 
 package soak
 
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// limitBounds are the figures of LIMIT: of the requests of Window that daemons in touch
-// sent, Least or more, up to Share may reach a replica that holds more than Factor times its
-// service's mean and Slack.
+// limitBounds are the limits of LIMIT. In each Window in which daemons that are up to date
+// sent at least Least requests, a fraction of up to Share may reach a replica whose requests in
+// flight exceed Factor times its service's mean plus Slack.
 type limitBounds struct {
 	Window time.Duration
 	Factor float64
@@ -21,29 +21,29 @@
 	Share  float64
 }
 
-// moment is a change of what a replica holds, or an arrival there.
+// moment is a change of a replica's requests in flight, or an arrival there.
 type moment struct {
 	at      time.Time
 	replica string
-	change  int         // of the requests that it holds; 0 is an arrival
+	change  int         // of its requests in flight; 0 is an arrival
 	from    processLife // the daemon that sent it
 	sent    time.Time
 }
 
-// judged is an arrival that counts.
+// judged is an arrival to which LIMIT applies.
 type judged struct {
 	at   time.Time
 	over bool
 }
 
-// Ready notes when all daemons were ready first.
+// Ready records when all daemons were first ready.
 func (l *Ledger) Ready(at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ready = at
 }
 
-// Joins notes that a replica of a service began to serve.
+// Joins records that a replica of a service began to serve.
 func (l *Ledger) Joins(replica, service string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -53,22 +53,22 @@
 	l.joined[service][replica] = at
 }
 
-// Crowded returns the greatest share of the requests of a calm window that reached a replica
-// which held too much, as far as it was judged.
+// Crowded returns the largest fraction of the requests of an undisturbed window that reached an
+// overloaded replica, over all windows checked so far.
 func (l *Ledger) Crowded() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.crowded
 }
 
-// judgeLimit looks for a calm window with too many arrivals at replicas that hold too much.
+// judgeLimit reports undisturbed windows with too many arrivals at overloaded replicas.
 func (j *judgement) judgeLimit() {
 	for service, moments := range j.moments() {
 		j.judgeWindows(service, j.arrivalsInTouch(service, moments))
 	}
 }
 
-// moments returns what happened at the replicas of each service, in its order.
+// moments returns the events at the replicas of each service, ordered by time.
 func (j *judgement) moments() map[string][]moment {
 	out := make(map[string][]moment)
 	for _, r := range j.order {
@@ -83,7 +83,7 @@
 		}
 	}
 	for _, list := range out {
-		// At one time a request ends before another arrives, and arrives before it runs.
+		// At equal times a request ends before another arrives, and arrives before it runs.
 		slices.SortStableFunc(list, func(a, b moment) int {
 			return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.change, b.change))
 		})
@@ -91,8 +91,8 @@
 	return out
 }
 
-// arrivalsInTouch returns the arrivals at a service that daemons in touch sent, and whether
-// the replica was over the bound.
+// arrivalsInTouch returns the arrivals at a service that daemons that were up to date sent, and
+// whether the replica was over the bound.
 func (j *judgement) arrivalsInTouch(service string, moments []moment) []judged {
 	var out []judged
 	held, total := make(map[string]int), 0
@@ -109,8 +109,8 @@
 	return out
 }
 
-// serving returns how many replicas a service had at a time that may get their part of the
-// requests of a daemon: evacuated and cold ones may not, nor those that asked it for rest.
+// serving returns how many replicas of a service were eligible at a time for a full share of
+// a daemon's requests: not evacuated, not cold, and not backing off for that daemon.
 func (j *judgement) serving(service string, by processLife, at time.Time) int {
 	n := 0
 	for replica, from := range j.joined[service] {
@@ -146,11 +146,11 @@
 		}
 		broken = true
 		j.out = append(j.out, Violation{Promise: "LIMIT", Subject: service, At: a.at, Detail: fmt.Sprintf(
-			"%d of %d requests of %v reached a replica that held over %g times the mean and %g", over, n, b.Window, b.Factor, b.Slack)})
+			"%d of %d requests of %v reached a replica with more than %g times the mean plus %g in flight", over, n, b.Window, b.Factor, b.Slack)})
 	}
 }
 
-// calmService reports whether no replica of a service was in trouble during a time.
+// calmService reports whether no replica of a service was disturbed during a time.
 func (j *judgement) calmService(service string, from, to time.Time) bool {
 	for replica := range j.joined[service] {
 		if !calm(j.replicas[replica], from, to) || !calm(j.aside[replica], from, to) {
