--- a/internal/soak/judge_regress.go
+++ b/internal/soak/judge_regress.go
@@ -1,5 +1,5 @@
-// This file judges that a process does not go back: what it must have known once, it goes by until
-// its end, whatever happens to the store, its copies and the other daemons later.
+// This file checks that a process does not regress: once it must have received a change, it applies
+// the change until it terminates, whatever happens later to the store, its backups and other daemons.
 
 package soak
 
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// knew reports whether the process that took a request must have known something that the store took
-// at a time: it ran already, and it and the store were undisturbed until the bound had passed.
+// knew reports whether the process that accepted a request must have received a change that the store
+// accepted at a time: it ran already, and it and the store were undisturbed until the bound had passed.
 func (j *judgement) knew(r *record, since time.Time, bound time.Duration) bool {
 	begun, ok := j.begins[r.by()]
 	from, to := since.Add(-j.bounds.Contact), since.Add(bound)
@@ -17,13 +17,14 @@
 		calm(j.daemons[r.Daemon], from, to) && calm(j.stops[r.Daemon], from, to) && calm(j.store, from, to)
 }
 
-// missesEras reports whether the process that took a request is of the last build, which knows no eras of
-// the store, and the store has come back from a copy: that build takes what changes for older then.
+// missesEras reports whether the process that accepted a request is of the previous build, which does not
+// support eras of the store, and the store was restored from a backup: that build then mistakes changes
+// for older documents.
 func (j *judgement) missesEras(r *record) bool {
 	return j.isPrevious(r.by()) && !j.restored.IsZero() && r.Sent.After(j.restored)
 }
 
-// Restored notes that the store came back from a copy of itself.
+// Restored records that the store was restored from a backup.
 func (l *Ledger) Restored(at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -32,20 +33,20 @@
 	}
 }
 
-// judgeRegress looks for what an older configuration, or an older entry, allows alone.
+// judgeRegress reports what only an older configuration or an older entry allows.
 func (j *judgement) judgeRegress(r *record) {
 	key := j.keys[r.Key]
 	for _, run := range r.runs {
 		if key != nil && !key.removed.IsZero() && j.knew(r, key.removed, j.bounds.Apply) {
-			j.add("CONFIG", r, run.At, "ran with a key that this process of daemon %d knew to be taken away, %v before", r.Daemon, run.At.Sub(key.removed))
+			j.add("CONFIG", r, run.At, "ran with a key whose revocation this process of daemon %d had applied; it was revoked %v earlier", r.Daemon, run.At.Sub(key.removed))
 		}
 		for _, left := range j.leaving[run.Replica] {
 			if run.At.Before(left.to) && j.knew(r, left.from, j.bounds.Drain) {
-				j.add("DRAIN", r, run.At, "reached %s, which this process of daemon %d knew to leave since %v", run.Replica, r.Daemon, run.At.Sub(left.from))
+				j.add("DRAIN", r, run.At, "reached %s, whose departure this process of daemon %d had received; it was announced %v earlier", run.Replica, r.Daemon, run.At.Sub(left.from))
 			}
 		}
 	}
 	if a := r.answer; a != nil && a.Seal == "" && a.Status == http.StatusUnauthorized && key != nil && key.removed.IsZero() && !key.added.IsZero() && j.knew(r, key.added, j.bounds.Apply) {
-		j.add("CONFIG", r, a.At, "this process of daemon %d knew a key that it does not know any more", r.Daemon)
+		j.add("CONFIG", r, a.At, "this process of daemon %d rejected a key that it had received", r.Daemon)
 	}
 }
