--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -1,4 +1,4 @@
-// This file keeps what callers and replicas saw, and what was done to the fleet.
+// This file records what callers and replicas observed, and what was done to the fleet.
 
 package soak
 
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// Route is one route of a run.
+// Route is a configured route with the properties that the checks need.
 type Route struct {
 	Name   string
 	Prefix string
 	Method string
 	// Repeatable says whether a request may run more than once, Stream whether
-	// its answer is a stream.
+	// its response is a stream.
 	Repeatable bool
 	Stream     bool
 	Attempts   int
@@ -31,93 +31,93 @@
 	Incarnation int // of the daemon
 	Sent        time.Time
 	Deadline    time.Time
-	Subject     int // of a chat: requests with one subject share their prompt
+	Subject     int // of a chat: requests with the same subject share their prompt
 	Tokens      int // of that prompt
-	Crashing    int // number of the crashing request, from 1; 0: it is an ordinary one
+	Crashing    int // number of the crashing request, from 1; 0 for an ordinary request
 }
 
-// by returns the process of a daemon that took the request.
+// by returns the process of a daemon that accepted the request.
 func (q *Request) by() processLife { return processLife{q.Daemon, q.Incarnation} }
 
-// Arrival is a request as it reached a replica.
+// Arrival records that a request reached a replica.
 type Arrival struct {
 	Replica  string
 	Service  string
 	At       time.Time
-	Deadline time.Time // what the daemon gave the replica
+	Deadline time.Time // as the daemon sent it to the replica
 }
 
-// Run is the work of a replica on a request.
+// Run is the execution of a request by a replica.
 type Run struct {
 	Arrival
 	Method, Target, Body, Workspace string
-	Status                          int       // of the replica's answer; 0: none yet
-	Ended                           time.Time // zero: still at work
+	Status                          int       // of the replica's response; 0: none yet
+	Ended                           time.Time // zero: still running
 }
 
-// Answer is what a caller got.
+// Answer is the response that a caller received.
 type Answer struct {
-	At     time.Time // when it was over
+	At     time.Time // when it ended
 	Status int       // 0: none
-	Seal   string    // the replica that vouches for it; may be empty
+	Seal   string    // the replica that sealed it; may be empty
 	Body   string
 	Begun  time.Time // when its header was read
-	Reason string    // of a refusal, as the daemon names it
-	Held   bool      // a refusal that says that replicas end under the request
+	Reason string    // of a refusal, as the daemon reports it
+	Held   bool      // a refusal because the request is quarantined
 	Whole  bool      // it ended as complete
-	Err    error     // why it is not whole
+	Err    error     // why it is not complete
 }
 
-// record is all that is known of a request.
+// record is everything recorded about a request.
 type record struct {
 	Request
 	known    bool // a caller sent it
 	arrivals []Arrival
 	runs     []*Run
-	leavers  []string  // replicas that said in their answers to it that they leave
-	left     time.Time // the caller left before its answer
+	leavers  []string  // replicas that announced their departure in their responses to it
+	left     time.Time // when the caller disconnected before its response
 	answer   *Answer
 }
 
-// span is a time in which something was disturbed.
+// span is a period, usually one in which something was disturbed.
 type span struct{ from, to time.Time }
 
-// change is a fact that holds from a time on.
+// change is a value that applies from a time on.
 type change struct {
 	at    time.Time
 	value string
 }
 
-// Ledger is the memory of a run. It is safe for use by many goroutines.
+// Ledger records the events of a run. It is safe for concurrent use.
 type Ledger struct {
 	mu       sync.Mutex
 	bounds   bounds
 	requests map[string]*record
 	order    []*record
 
-	daemons  map[int][]span    // unplanned trouble of a daemon or its links
-	replicas map[string][]span // trouble of a replica or its link
+	daemons  map[int][]span    // unplanned disturbances of a daemon or its links
+	replicas map[string][]span // disturbances of a replica or its link
 	store    []span
-	stops    map[int][]span                  // planned stops
-	leaving  map[string][]span               // from when the store took a replica's leaving, until it came back
-	joined   map[string]map[string]time.Time // when each replica of a service began
-	ready    time.Time                       // when all daemons were ready first
+	stops    map[int][]span                  // graceful shutdowns
+	leaving  map[string][]span               // from when the store accepted a replica's departure, until it returned
+	joined   map[string]map[string]time.Time // when each replica of a service began to serve
+	ready    time.Time                       // when all daemons were first ready
 	routes   map[string][]change             // a route's service
 	keys     map[string]*keyLife
 	found    map[string]Violation
 	domains  map[string]string           // of replicas
-	emptied  map[string][]span           // evacuations of domains, as the store took them
+	emptied  map[string][]span           // evacuations of domains, as the store accepted them
 	cold     map[string][]coldSpan       // of replicas
-	crowded  float64                     // the greatest share that LIMIT bounds
-	ended    []Violation                 // daemons that ended by themselves
+	crowded  float64                     // the largest fraction that LIMIT bounds
+	ended    []Violation                 // daemons that terminated by themselves, or did not shut down in time
 	crashes  map[int][]crash             // by number of the crashing request
-	restsBy  map[processLife][]restAsked // by the daemon that was asked
+	restsBy  map[processLife][]restAsked // by the daemon process that got the request
 	builds   map[processLife]Build
 	begins   map[processLife]time.Time // of processes
-	restored time.Time                 // when the store came back from a copy of itself first
+	restored time.Time                 // when the store was first restored from a backup
 	freezes  map[int][]span            // of daemons
-	aside    map[string][]span         // when replicas rested, or left by their answers alone
-	// quietFrom is when the end of the quiet time begins, whose requests must be served.
+	aside    map[string][]span         // when replicas backed off, or announced their departure in responses alone
+	// quietFrom is when the last part of the quiet time begins, in which requests must be served.
 	quietFrom time.Time
 }
 
@@ -127,7 +127,6 @@
 	removed   time.Time // zero: never
 }
 
-// newLedger returns an empty ledger.
 func newLedger(b bounds) *Ledger {
 	return &Ledger{
 		bounds: b, requests: make(map[string]*record), daemons: make(map[int][]span), replicas: make(map[string][]span),
@@ -148,7 +147,7 @@
 	return r
 }
 
-// Sent notes a request before its first byte is written.
+// Sent records a request before its first byte is written.
 func (l *Ledger) Sent(q Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -156,21 +155,21 @@
 	r.Request, r.known = q, true
 }
 
-// Left notes that the caller of a request closed its connection.
+// Left records that the caller of a request closed its connection.
 func (l *Ledger) Left(id string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.record(id).left = at
 }
 
-// Answered notes what a caller got.
+// Answered records the response that a caller received.
 func (l *Ledger) Answered(id string, a Answer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.record(id).answer = &a
 }
 
-// Arrived notes a request that reached a replica, run or not.
+// Arrived records a request that reached a replica, whether or not it runs.
 func (l *Ledger) Arrived(id string, a Arrival) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -178,7 +177,7 @@
 	r.arrivals = append(r.arrivals, a)
 }
 
-// Began notes that a replica works on a request.
+// Began records that a replica began to run a request.
 func (l *Ledger) Began(id string, run Run) *Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -187,49 +186,49 @@
 	return &run
 }
 
-// Ended notes how a replica's work ended; status 0 is no answer.
+// Ended records the end of a run; status 0 is no response.
 func (l *Ledger) Ended(run *Run, status int, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	run.Status, run.Ended = status, at
 }
 
-// DisturbDaemon notes unplanned trouble of a daemon or its links.
+// DisturbDaemon records an unplanned disturbance of a daemon or its links.
 func (l *Ledger) DisturbDaemon(i int, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.daemons[i] = append(l.daemons[i], span{from, to})
 }
 
-// DisturbReplica notes trouble of a replica or its link.
+// DisturbReplica records a disturbance of a replica or its link.
 func (l *Ledger) DisturbReplica(id string, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.replicas[id] = append(l.replicas[id], span{from, to})
 }
 
-// Calm notes the end of a daemon's trouble that was noted with its beginning.
+// Calm records the end of a daemon's disturbance that was recorded when it began.
 func (l *Ledger) Calm(i int, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	endSpan(l.daemons[i], from, to)
 }
 
-// CalmReplica notes the end of a replica's trouble.
+// CalmReplica records the end of a replica's disturbance.
 func (l *Ledger) CalmReplica(id string, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	endSpan(l.replicas[id], from, to)
 }
 
-// CalmStore notes the end of the store's trouble.
+// CalmStore records the end of the store's disturbance.
 func (l *Ledger) CalmStore(from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	endSpan(l.store, from, to)
 }
 
-// StoppedUntil notes the end of a planned stop.
+// StoppedUntil records the end of a graceful shutdown.
 func (l *Ledger) StoppedUntil(i int, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -244,31 +243,31 @@
 	}
 }
 
-// StopTooLong notes a planned stop that had to be ended by a kill. It breaks a
-// promise unless the daemon was disturbed meanwhile.
+// StopTooLong records a graceful shutdown that had to be ended by a kill. It breaks a
+// guarantee unless the daemon was disturbed meanwhile.
 func (l *Ledger) StopTooLong(i int, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if calm(l.daemons[i], from.Add(-l.bounds.Contact), to) {
-		l.ended = append(l.ended, Violation{Promise: "LOST", Subject: "d" + itoa(i), At: to, Detail: "did not end within its grace"})
+		l.ended = append(l.ended, Violation{Promise: "LOST", Subject: "d" + itoa(i), At: to, Detail: "did not terminate within its grace period"})
 	}
 }
 
-// DisturbStore notes trouble of the store.
+// DisturbStore records a disturbance of the store.
 func (l *Ledger) DisturbStore(from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.store = append(l.store, span{from, to})
 }
 
-// Stopped notes a planned stop.
+// Stopped records a graceful shutdown.
 func (l *Ledger) Stopped(i int, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stops[i] = append(l.stops[i], span{from, to})
 }
 
-// Leaves notes that the store took a replica's leaving, announced or not.
+// Leaves records that the store accepted a replica's departure, announced or not.
 func (l *Ledger) Leaves(replica string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -278,7 +277,7 @@
 	}
 }
 
-// Returns notes that the store took an entry of a replica that had left, under the same id.
+// Returns records that the store accepted a new entry of a replica that had left, under the same id.
 func (l *Ledger) Returns(replica string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -289,7 +288,7 @@
 	}
 }
 
-// RouteTo notes that the store took a configuration in which a route goes to a
+// RouteTo records that the store accepted a configuration in which a route leads to a
 // service.
 func (l *Ledger) RouteTo(route, service string, at time.Time) {
 	l.mu.Lock()
@@ -297,14 +296,14 @@
 	l.routes[route] = append(l.routes[route], change{at, service})
 }
 
-// KeyAdded notes that the store took a configuration with a new key.
+// KeyAdded records that the store accepted a configuration with a new key.
 func (l *Ledger) KeyAdded(key, workspace string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.keys[key] = &keyLife{workspace: workspace, added: at}
 }
 
-// KeyRemoved notes that the store took a configuration without a key.
+// KeyRemoved records that the store accepted a configuration without a key.
 func (l *Ledger) KeyRemoved(key string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -313,14 +312,14 @@
 	}
 }
 
-// EndedByItself notes that a daemon's process ended although nobody ended it.
+// EndedByItself records that a daemon's process terminated although the run did not stop it.
 func (l *Ledger) EndedByItself(daemon string, at time.Time, why string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ended = append(l.ended, Violation{Promise: "RUNS", Subject: daemon, At: at, Detail: "ended by itself: " + why})
+	l.ended = append(l.ended, Violation{Promise: "RUNS", Subject: daemon, At: at, Detail: "terminated by itself: " + why})
 }
 
-// calm reports whether nothing of a list overlaps a time.
+// calm reports whether no span of a list overlaps a period.
 func calm(list []span, from, to time.Time) bool {
 	for _, s := range list {
 		if s.from.Before(to) && s.to.After(from) {
