--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -1,4 +1,4 @@
-// This file draws what happens in a run from its seed.
+// This file generates the plan of a run from its seed.
 
 package soak
 
@@ -9,46 +9,45 @@
 	"time"
 )
 
-// faultKind names a kind of trouble.
 type faultKind string
 
-// The kinds of trouble.
+// The kinds of faults.
 const (
 	killDaemon    faultKind = "kill_daemon"    // SIGKILL, started again
 	killAll       faultKind = "kill_all"       // every daemon at once
 	freezeDaemon  faultKind = "freeze_daemon"  // SIGSTOP, SIGCONT later
 	stopDaemon    faultKind = "stop_daemon"    // SIGTERM, started again
 	hangupDaemon  faultKind = "hangup_daemon"  // the settings file changes, SIGHUP
-	storeAway     faultKind = "store_away"     // for all daemons
-	storeTurns    faultKind = "store_turns"    // turns some daemons away
-	storeExpires  faultKind = "store_lapses"   // away, and entries expire meanwhile
-	storeForgets  faultKind = "store_forgets"  // watches fall silent, then the history is gone
-	restoreStore  faultKind = "restore_store"  // away, and back from a copy of itself
+	storeAway     faultKind = "store_away"     // unreachable for all daemons
+	storeTurns    faultKind = "store_turns"    // rejects some daemons
+	storeExpires  faultKind = "store_lapses"   // unreachable, and entries expire meanwhile
+	storeForgets  faultKind = "store_forgets"  // watches fall silent, then the history is lost
+	restoreStore  faultKind = "restore_store"  // unreachable, then restored from a backup
 	cutDaemon     faultKind = "cut_daemon"     // from the other daemons
 	cutDomain     faultKind = "cut_domain"     // a failure domain's daemons from the others
-	linkReplica   faultKind = "link_replica"   // trouble on connections to a replica
-	linkCallers   faultKind = "link_callers"   // trouble on callers' connections to a daemon
-	linkStore     faultKind = "link_store"     // trouble between a daemon and the store
-	greyReplica   faultKind = "grey_replica"   // fails a share of its requests
-	crashReplica  faultKind = "crash_replica"  // ends without draining, comes back
-	flapReplica   faultKind = "flap_replica"   // down and up by turns
-	drainReplica  faultKind = "drain_replica"  // replaced, after it announced that it drains
+	linkReplica   faultKind = "link_replica"   // disturbs connections to a replica
+	linkCallers   faultKind = "link_callers"   // disturbs callers' connections to a daemon
+	linkStore     faultKind = "link_store"     // disturbs connections of a daemon to the store
+	greyReplica   faultKind = "grey_replica"   // fails a fraction of its requests
+	crashReplica  faultKind = "crash_replica"  // terminates without draining, then restarts
+	flapReplica   faultKind = "flap_replica"   // goes down and up repeatedly
+	drainReplica  faultKind = "drain_replica"  // replaced, after it announced that it is draining
 	reuseAddress  faultKind = "reuse_address"  // another service takes its address
-	addKey        faultKind = "add_key"        // a workspace gets a key
-	revokeKey     faultKind = "revoke_key"     // a workspace loses a key
-	moveRoute     faultKind = "move_route"     // a route goes to another service
-	configStorm   faultKind = "config_storm"   // changes in quick succession
-	callersRepeat faultKind = "callers_repeat" // callers repeat at once and often
-	callersLeave  faultKind = "callers_leave"  // callers leave before their answer
+	addKey        faultKind = "add_key"        // adds a key to a workspace
+	revokeKey     faultKind = "revoke_key"     // removes a key from a workspace
+	moveRoute     faultKind = "move_route"     // a route leads to another service
+	configStorm   faultKind = "config_storm"   // configuration changes in quick succession
+	callersRepeat faultKind = "callers_repeat" // callers retry immediately and often
+	callersLeave  faultKind = "callers_leave"  // callers disconnect before their response
 
-	evacuateDomain faultKind = "evacuate_domain"  // a failure domain is emptied and taken back
-	foreignEntries faultKind = "foreign_entries"  // another writer writes among the replicas' entries
-	restReplicas   faultKind = "rest_replicas"    // some turn all away and ask for rest
-	falseEnds      faultKind = "false_ends"       // daemons are told of ends of replicas that live
-	leaveByAnswers faultKind = "leave_by_answers" // a replica leaves and says so in its answers only
+	evacuateDomain faultKind = "evacuate_domain"  // a failure domain is evacuated and returned to service
+	foreignEntries faultKind = "foreign_entries"  // another client writes among the replicas' entries
+	restReplicas   faultKind = "rest_replicas"    // some refuse all requests and request a backoff
+	falseEnds      faultKind = "false_ends"       // daemons receive crash reports of live replicas
+	leaveByAnswers faultKind = "leave_by_answers" // a replica announces its departure in its responses only
 )
 
-// weights say how often a kind is drawn.
+// weights are the relative frequencies of the kinds.
 var weights = []struct {
 	kind   faultKind
 	weight int
@@ -60,17 +59,17 @@
 	{addKey, 2}, {revokeKey, 5}, {moveRoute, 4}, {configStorm, 2}, {callersRepeat, 1}, {callersLeave, 2},
 }
 
-// Fault is one trouble of a run.
+// Fault is one fault of a run.
 type Fault struct {
 	At   time.Duration `json:"at"`  // from the start of traffic
 	For  time.Duration `json:"for"` // how long it lasts
 	Kind faultKind     `json:"kind"`
-	// Target and Variant are draws; what they pick depends on the kind.
+	// Target and Variant are random numbers; what they select depends on the kind.
 	Target  int `json:"target"`
 	Variant int `json:"variant"`
 }
 
-// Plan is all that is decided before a run.
+// Plan is everything that is decided before a run.
 type Plan struct {
 	Seed    uint64        `json:"seed"`
 	Daemons int           `json:"daemons"`
@@ -82,56 +81,56 @@
 	Trouble time.Duration `json:"trouble"` // time in which faults begin
 	Quiet   time.Duration `json:"quiet"`   // time after the last fault has ended
 	Steady  *Steady       `json:"steady,omitempty"`
-	// Cold says that replicas are cold after a start, and when their domain is taken back.
+	// Cold says that replicas are cold after a start, and when their domain is returned to service.
 	Cold bool `json:"cold"`
-	// Crashing are requests that crash each replica that begins to run them. With any,
-	// replicas that end refuse connections, and some callers ask for one thing over and over.
+	// Crashing are requests that crash each replica that begins to run them. If there are any,
+	// terminated replicas refuse connections, and some callers poll with identical requests.
 	Crashing []Crashing `json:"crashing,omitempty"`
-	// Upgrades replace daemons by another build. With any, the run begins with the last build.
+	// Upgrades replace daemons by another build. If there are any, the run begins with the previous build.
 	Upgrades []Upgrade `json:"upgrades,omitempty"`
 }
 
-// Shape bounds what is drawn.
+// Shape limits the random choices of a plan.
 type Shape struct {
 	Trouble      time.Duration
 	Quiet        time.Duration
 	MostDaemons  int
 	FaultsPerSec float64
 	// EvacuationsPerSec is how often domains are evacuated. Above 0 replicas are cold
-	// after a start. Seeds that were kept before there were any are played with 0.
+	// after a start. Seeds that were recorded before evacuations existed are run with 0.
 	EvacuationsPerSec float64
 	// Crashing is how many requests crash the replicas that run them.
 	Crashing int
-	// ForeignPerSec is how often another writer writes among the replicas' entries.
+	// ForeignPerSec is how often another client writes among the replicas' entries.
 	ForeignPerSec float64
-	// RestsPerSec is how often some replicas ask for rest, and LeavingsPerSec how often one
-	// leaves by its answers alone.
+	// RestsPerSec is how often some replicas request a backoff, and LeavingsPerSec how often one
+	// announces its departure in its responses alone.
 	RestsPerSec    float64
 	LeavingsPerSec float64
-	// FalseEndsPerSec is how often daemons are told of ends of replicas that live.
+	// FalseEndsPerSec is how often daemons receive crash reports of live replicas.
 	FalseEndsPerSec float64
-	// RestoresPerSec is how often the store comes back from a copy of itself.
+	// RestoresPerSec is how often the store is restored from a backup.
 	RestoresPerSec float64
-	// Upgrades says that the fleet is upgraded while it runs.
+	// Upgrades says whether the fleet is upgraded while it runs.
 	Upgrades bool
 }
 
-// DefaultShape returns the shape of a run by hand.
+// DefaultShape returns the shape of a run that is started by hand.
 func DefaultShape() Shape {
 	return Shape{Trouble: 18 * time.Second, Quiet: 9 * time.Second, MostDaemons: 10, FaultsPerSec: 1.2, EvacuationsPerSec: 0.15, Crashing: 1, ForeignPerSec: 0.15, RestsPerSec: 0.3, LeavingsPerSec: 0.15, FalseEndsPerSec: 0.1, RestoresPerSec: 0.1}
 }
 
-// bounds of the draws.
+// Limits of the random choices.
 const (
 	leastDaemons  = 3
 	longestFault  = 4 * time.Second
 	shortestFault = 300 * time.Millisecond
 	// leastEvacuation is added to the length of a fault: all but one evacuation in eighteen last
-	// longer than the 2.5 s after which they are judged.
+	// longer than the 2.5 s after which they are checked.
 	leastEvacuation = 2 * time.Second
 )
 
-// NewPlan draws the plan of a seed.
+// NewPlan generates the plan of a seed.
 func NewPlan(seed uint64, s Shape) *Plan {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	p := &Plan{
@@ -156,8 +155,8 @@
 	return p
 }
 
-// drawEvacuations adds the evacuations of a seed. They have draws of their own, so that the
-// other faults of a seed are the same without them.
+// drawEvacuations adds the evacuations of a seed. They have a random source of their own, so
+// that the other faults of a seed are the same without them.
 func (p *Plan) drawEvacuations(seed uint64, s Shape) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	p.Cold = s.EvacuationsPerSec > 0
