--- a/internal/soak/restore.go
+++ b/internal/soak/restore.go
@@ -1,6 +1,6 @@
-// This file has the store come back from a copy of itself. What was written since the copy was made
-// is gone, its revisions are given out again, and the operator and the replicas write again what
-// was lost. Some time later, when the store counts as calm, something changes that is judged.
+// This file restores the store from a backup. What was written since the backup was made is lost,
+// its revisions are assigned again, and the operator and the replicas rewrite what was lost. Some
+// time later, when the store counts as undisturbed, a change follows whose effects are checked.
 
 package soak
 
@@ -12,25 +12,25 @@
 	"hingewinch.org/hingewinch/platform/standin"
 )
 
-// Figures of restores.
+// Parameters of restores.
 const (
 	copyInterval = 250 * time.Millisecond
 	oldestCopy   = 8 * time.Second
-	// shortestAway and moreAway bound how long the store is away.
+	// shortestAway and moreAway limit how long the store is unreachable.
 	shortestAway = 100 * time.Millisecond
 	moreAway     = 2 * time.Second
-	// rewriteTime is how long after the store's return what was lost is written again.
+	// rewriteTime is how long after the store is restored the lost documents are rewritten.
 	rewriteTime = 200 * time.Millisecond
-	// changesLost are written to one document shortly before the store goes away: one of them is written
-	// again, so that daemons stand above the store's revision when it is back.
+	// changesLost changes are written to one document shortly before the store becomes unreachable. Only
+	// one of them is rewritten, so that daemons are ahead of the store's revision when it is restored.
 	changesLost = 8
 	lostBefore  = 300 * time.Millisecond
-	// changesAtOnce are written at once after that in half of the restores, so that the revisions of
-	// before are soon given out again. In the other half they stay unused for long.
+	// changesAtOnce changes are written immediately after that in half of the restores, so that the lost
+	// revisions are soon assigned again. In the other half they stay unassigned for long.
 	changesAtOnce = 6
 )
 
-// drawRestores adds the restores of a seed, with draws of their own.
+// drawRestores adds the restores of a seed, from a random source of their own.
 func (p *Plan) drawRestores(seed uint64, s Shape) {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	for range int(math.Ceil(s.RestoresPerSec * s.Trouble.Seconds())) {
@@ -41,7 +41,7 @@
 	}
 }
 
-// copies are the newest copies of the store.
+// copies holds the most recent backups of the store, oldest first.
 type copies struct{ list []datedCopy }
 
 type datedCopy struct {
@@ -49,7 +49,7 @@
 	store *standin.StoreCopy
 }
 
-// keepCopies copies the store over and over.
+// keepCopies backs up the store periodically.
 func (s *injector) keepCopies() {
 	for s.ctx.Err() == nil {
 		now := time.Now()
@@ -67,7 +67,7 @@
 	}
 }
 
-// of returns the newest copy of at least an age, or the oldest one.
+// of returns the newest backup that has at least the given age, or the oldest one.
 func (c *copies) of(age time.Duration, now time.Time) *standin.StoreCopy {
 	found := c.list[0]
 	for _, d := range c.list {
@@ -78,7 +78,7 @@
 	return found.store
 }
 
-// restore takes the store away, and brings it back from a copy. What follows its return is judged.
+// restore makes the store unreachable and restores it from a backup. The changes that follow are checked.
 func (s *injector) restore(f *Fault) {
 	age := time.Second + time.Duration(f.Variant%int(oldestCopy/time.Millisecond))*time.Millisecond
 	s.storeMu.Lock()
@@ -110,8 +110,8 @@
 	s.drain(p, r, f.Variant%2 == 0)
 }
 
-// rewrite writes what the operator and the replicas have written and the copy lacks. Entries of
-// replicas that have gone since expire.
+// rewrite writes what the operator and the replicas have written and the backup lacks. Entries of
+// replicas that have terminated since then expire.
 func (s *injector) rewrite() {
 	s.mu.Lock()
 	c := s.config()
