--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -1,4 +1,4 @@
-// This file puts a run together: start, trouble, quiet, judgement, report.
+// This file runs a plan: start, faults, quiet time, checks, report.
 
 package soak
 
@@ -19,29 +19,29 @@
 	"hingewinch.org/hingewinch/platform/standin"
 )
 
-// Options say how a run is carried out.
+// Options are the paths that a run uses.
 type Options struct {
-	Daemon   string // path of the daemon's program
-	Previous string // path of the last build's, for plans with upgrades
+	Daemon   string // path of the daemon's binary
+	Previous string // path of the previous build's binary, for plans with upgrades
 	Dir      string // where settings, logs and the report go
 }
 
-// Report is the outcome of a run.
+// Report is the result of a run.
 type Report struct {
 	Plan       *Plan       `json:"plan"`
-	Requests   int         `json:"requests"` // of callers that stayed, with keys that held
+	Requests   int         `json:"requests"` // of callers that did not disconnect, with valid keys
 	Served     int         `json:"served"`
 	Share      float64     `json:"share_served"`
 	QuietShare float64     `json:"share_served_at_the_end"`
-	Crowded    float64     `json:"share_at_crowded_replicas"` // in the worst calm window
+	Crowded    float64     `json:"share_at_crowded_replicas"` // in the worst undisturbed window
 	Ended      int         `json:"replicas_ended"`            // by crashing requests
-	Rests      int         `json:"rests"`                     // that replicas asked for
-	Leavers    int         `json:"left_by_answers"`           // replicas that said so to a caller
+	Rests      int         `json:"rests"`                     // backoffs that replicas requested
+	Leavers    int         `json:"left_by_answers"`           // replicas that announced their departure to a caller
 	Violations []Violation `json:"violations"`
 	Events     []string    `json:"events"` // faults and their ends
 }
 
-// Figures of a run.
+// Parameters of a run.
 const (
 	startTimeout  = 10 * time.Second
 	judgeInterval = 2 * time.Second
@@ -49,7 +49,7 @@
 	leastAtEnd    = 20
 )
 
-// runner is a run under way.
+// runner is a run in progress.
 type runner struct {
 	plan      *Plan
 	options   Options
@@ -61,11 +61,11 @@
 	report *Report
 }
 
-// Play plays a plan. The error says that it could not be played; promises that
-// were broken stand in the report.
+// Play runs a plan. It returns an error if the plan could not be run; guarantees that
+// were broken are in the report.
 func Play(ctx context.Context, p *Plan, o Options) (*Report, error) {
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
-		return nil, eris.Wrap(err, "make the run's directory; check the path and rights")
+		return nil, eris.Wrap(err, "create the run's directory; check the path and permissions")
 	}
 	r := &runner{plan: p, options: o, report: &Report{Plan: p}, begun: time.Now()}
 	work, end := context.WithCancel(ctx)
@@ -76,7 +76,7 @@
 	if r.site.fleet != nil {
 		defer r.site.fleet.end()
 	}
-	defer end() // before the fleet's end: nothing is started again
+	defer end() // runs before the fleet is stopped, so that nothing is restarted
 	if err != nil {
 		return nil, err
 	}
@@ -120,13 +120,13 @@
 	}
 	s.ledger.Ready(time.Now())
 	if p.Steady != nil {
-		// All daemons are in touch when traffic begins, so that all of it is judged.
+		// All daemons are up to date when traffic begins, so that all of it is checked.
 		pause(ctx, s.ledger.bounds.Contact)
 	}
 	return ctx.Err()
 }
 
-// addReplicas opens the places of all services, by turns over the domains.
+// addReplicas opens the places of all services, distributed round-robin over the domains.
 func (r *runner) addReplicas() error {
 	s, p := r.site, r.plan
 	for _, service := range []struct {
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// addDaemons gives each daemon its addresses, settings and endpoint of the store.
+// addDaemons assigns each daemon its addresses, settings and endpoint of the store.
 func (r *runner) addDaemons(ctx context.Context) error {
 	s := r.site
 	ports, err := freePorts(portsPerFleet)
@@ -164,11 +164,11 @@
 	return nil
 }
 
-// awaitReady waits until the balancer has taken all daemons in.
+// awaitReady waits until the balancer has added all daemons.
 func (r *runner) awaitReady(ctx context.Context) error {
 	for deadline := time.Now().Add(startTimeout); !r.site.fleet.allIn(); pause(ctx, readyPoll) {
 		if time.Now().After(deadline) || ctx.Err() != nil {
-			return eris.Errorf("daemons are not ready after %v; look at their logs in %s", startTimeout, r.options.Dir)
+			return eris.Errorf("daemons are not ready after %v; see their logs in %s", startTimeout, r.options.Dir)
 		}
 	}
 	return nil
@@ -224,8 +224,8 @@
 	r.report.Violations = append(r.report.Violations, found...)
 }
 
-// judgeEnd judges the recovery: at the end of the quiet time all is served again,
-// and each daemon serves its figures.
+// judgeEnd checks the recovery: at the end of the quiet time requests are served again,
+// and each daemon serves its metrics.
 func (r *runner) judgeEnd() {
 	now := time.Now()
 	served, all := r.site.ledger.Served(now.Add(-endWindow), now.Add(-time.Second/2))
@@ -237,11 +237,11 @@
 	r.report.Rests, r.report.Leavers = r.site.ledger.Rests(), r.site.ledger.Leavers()
 	r.report.Share, r.report.QuietShare = share(totalServed, total), share(served, all)
 	if all < leastAtEnd || r.report.QuietShare < r.site.ledger.bounds.Share {
-		r.report.Violations = append(r.report.Violations, Violation{Promise: "RECOVER", Subject: "fleet", At: now, Detail: fmt.Sprintf("%d of %d requests were served at the end of the quiet time", served, all)})
+		r.report.Violations = append(r.report.Violations, Violation{Promise: "RECOVER", Subject: "fleet", At: now, Detail: fmt.Sprintf("only %d of %d requests were served at the end of the quiet time", served, all)})
 	}
 	for _, d := range r.site.fleet.daemons {
 		if err := d.metrics(); err != nil {
-			r.report.Violations = append(r.report.Violations, Violation{Promise: "RUNS", Subject: "d" + itoa(d.number), At: now, Detail: "its figures can't be read: " + err.Error()})
+			r.report.Violations = append(r.report.Violations, Violation{Promise: "RUNS", Subject: "d" + itoa(d.number), At: now, Detail: "read metrics: " + err.Error()})
 		}
 	}
 }
@@ -253,7 +253,7 @@
 	return float64(n) / float64(of)
 }
 
-// metrics reads a daemon's figures.
+// metrics fetches a daemon's metrics and discards them.
 func (d *daemon) metrics() error {
 	client := &http.Client{Timeout: 2 * time.Second}
 	resp, err := client.Get("http://" + d.operators + "/metrics")
@@ -272,7 +272,7 @@
 	r.report.Events = append(r.report.Events, fmt.Sprintf("%s %6.2fs ", at.UTC().Format("15:04:05.000"), at.Sub(r.begun).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// write keeps the report beside the daemons' logs.
+// write stores the report in the directory of the daemons' logs.
 func (r *runner) write() error {
 	text, err := json.MarshalIndent(r.report, "", " ")
 	if err != nil {
