--- a/internal/soak/serving.go
+++ b/internal/soak/serving.go
@@ -1,6 +1,7 @@
-// This file plays a daemon that was cut off by links that refuse: it took replicas for ended, and
-// tells the others so when the cut has healed. The replicas live. And it judges that a daemon
-// does not go on refusing what a living replica could serve.
+// This file simulates a daemon that was cut off by links that refuse connections: it assumed that
+// replicas had crashed, and reports so to the others when it can reach them again, although the
+// replicas are live. It also checks that a daemon does not keep refusing what a live replica could
+// serve.
 
 package soak
 
@@ -17,15 +18,16 @@
 	"hingewinch.org/hingewinch/protocol/gossip"
 )
 
-// Figures of false ends.
+// Parameters of false crash reports.
 const (
-	// endsRepeat is how often they are told again, as daemons do.
+	// endsRepeat is the interval at which they are sent again, as daemons do.
 	endsRepeat = 200 * time.Millisecond
-	// oldestFalseEnd bounds how long before it was told an end is said to have been.
+	// oldestFalseEnd limits the age of a crash when it is first reported.
 	oldestFalseEnd = 5 * time.Second
 )
 
-// drawFalseEnds adds the faults of daemons that tell of ends, with draws of their own.
+// drawFalseEnds adds the faults of daemons that send false crash reports, from a random source of
+// their own.
 func (p *Plan) drawFalseEnds(seed uint64, s Shape) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	for range int(math.Ceil(s.FalseEndsPerSec * s.Trouble.Seconds())) {
@@ -35,8 +37,8 @@
 	}
 }
 
-// tellFalseEnds tells all daemons for a while that all replicas of a service ended a moment ago,
-// each under another request.
+// tellFalseEnds reports to all daemons for a while that all replicas of a service crashed a moment
+// ago, each during a different request.
 func (s *injector) tellFalseEnds(f *Fault) {
 	_, first := s.at(f.Target)
 	at := time.Now().Add(-time.Duration(f.Variant%1000) * oldestFalseEnd / 1000)
@@ -56,7 +58,7 @@
 	}
 }
 
-// falseEnds returns reports of ends of the replicas of a service.
+// falseEnds returns crash reports of the replicas of a service.
 func (s *injector) falseEnds(service string, variant int) []routing.CrashReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,27 +72,27 @@
 	return out
 }
 
-// datagram sends a daemon a datagram, as another daemon does.
+// datagram sends a datagram to a daemon, as its peers do.
 func (d *daemon) datagram(payload []byte) {
 	conn, err := net.Dial("udp4", net.JoinHostPort(d.ip, itoa(d.fleet.ports[3])))
 	if err != nil {
 		return // the next one is sent soon
 	}
 	defer conn.Close()
-	_, _ = conn.Write(payload) // a lost one is made good by the next
+	_, _ = conn.Write(payload) // the next one replaces a lost one
 }
 
-// findsNone are the reasons of refusals by a daemon that has found nothing to send to.
+// findsNone are the reasons of refusals by a daemon that found no replica to send to.
 var findsNone = []string{string(coordination.ReasonNoUpstream), string(coordination.ReasonCold), string(coordination.ReasonResting)}
 
-// judgeServing looks for a daemon in touch that refused all requests for a service, for too long,
-// because it found no replica, while one lived that was undisturbed, warm and ready all the time.
+// judgeServing reports daemons that were up to date and refused all requests for a service for too
+// long because they found no replica, while one was live, undisturbed, warm and ready all the time.
 func (j *judgement) judgeServing() {
 	type key struct {
 		by      processLife
 		service string
 	}
-	refused := make(map[key][]*record) // without another answer between
+	refused := make(map[key][]*record) // since the last response of another kind
 	for _, r := range j.answeredInOrder() {
 		service, ok := j.serviceOf(r)
 		if !ok || j.isPrevious(r.by()) {
@@ -106,13 +108,13 @@
 		if took := r.answer.At.Sub(first); took > j.bounds.Refusing && j.inTouch(r.Daemon, first, r.answer.At) && j.someServes(service, first, r.answer.At) {
 			j.out = append(j.out, Violation{
 				Promise: "SERVES", Subject: fmt.Sprintf("%s at daemon %d, %v", service, r.Daemon, first.UnixMilli()), At: r.answer.At,
-				Detail: fmt.Sprintf("daemon %d refused %d requests in %v for want of a replica (%s), though one lives", r.Daemon, len(refused[k]), took, r.answer.Reason),
+				Detail: fmt.Sprintf("daemon %d refused %d requests in %v because it found no replica (%s), although one is live", r.Daemon, len(refused[k]), took, r.answer.Reason),
 			})
 		}
 	}
 }
 
-// answeredInOrder returns the requests that were answered, in the order of their answers.
+// answeredInOrder returns the requests that got a response, in the order of their responses.
 func (j *judgement) answeredInOrder() []*record {
 	var out []*record
 	for _, r := range j.order {
@@ -124,7 +126,8 @@
 	return out
 }
 
-// serviceOf returns the service that a request was for; false if the route moved a moment ago.
+// serviceOf returns the service that a request was for, or false if the route moved at about that
+// time.
 func (j *judgement) serviceOf(r *record) (string, bool) {
 	service := ""
 	for _, c := range j.routes[r.Route.Name] {
@@ -138,7 +141,7 @@
 	return service, service != ""
 }
 
-// someServes reports whether a replica of a service could be used all through a time.
+// someServes reports whether a replica of a service was usable throughout a period.
 func (j *judgement) someServes(service string, from, to time.Time) bool {
 	for replica, joined := range j.joined[service] {
 		before := from.Add(-j.bounds.Contact)
