--- a/internal/soak/steady.go
+++ b/internal/soak/steady.go
@@ -1,6 +1,6 @@
-// This file plans steady runs: a fleet and replicas that are well, as many processes as are
-// asked for, and streams of a second's work about many prompts, of which a few are asked for
-// far more often from some moment on. What breaks there breaks by the fleet's own decisions.
+// This file plans steady runs: healthy daemons and replicas, in the requested number, and streams
+// of a second's work on many prompts, of which a few become far more popular from some moment on.
+// Violations in such a run are caused by the fleet's own decisions.
 
 package soak
 
@@ -14,39 +14,39 @@
 
 // Steady is the traffic of a steady run.
 type Steady struct {
-	Prompts   int           `json:"prompts"`    // that are asked for alike
-	HotAt     time.Duration `json:"hot_at"`     // from then on some are asked for more often
-	HotShares []float64     `json:"hot_shares"` // of the streams, one for each hot prompt
+	Prompts   int           `json:"prompts"`    // that are equally popular
+	HotAt     time.Duration `json:"hot_at"`     // when the hot prompts become popular
+	HotShares []float64     `json:"hot_shares"` // fraction of the streams, for each hot prompt
 	HotTokens int           `json:"hot_tokens"` // that requests with a hot prompt share
 }
 
-// Figures of steady runs.
+// Parameters of steady runs.
 const (
-	replicasPerDaemon = 1.29 // 112 replicas before 87 daemons, as the fleet that runs
+	replicasPerDaemon = 1.29 // 112 replicas for 87 daemons, as in the production fleet
 	callersPerDaemon  = 4    // some 2.5 requests at each replica
 	promptsPerReplica = 9
 	leastHotShare     = 0.1
 	mostHotShare      = 0.3
 	mostHotPrompts    = 12
-	hotDecay          = 0.7 // prompt i of a subject is asked for (i+1)^-hotDecay as often
+	hotDecay          = 0.7 // the weight of hot prompt i is (i+1)^-hotDecay
 	hotAfter          = 5 * time.Second
 	shortTokens       = 900
 	longTokens        = 9000
-	steadyFaults      = 0.4 // a second
+	steadyFaults      = 0.4 // per second
 
-	// steadyPrefix begins the ids of the requests of a steady run, whose streams have
-	// steadyEvents events, each of steadyWork on average.
+	// steadyPrefix is the prefix of the ids of the requests of a steady run, whose streams
+	// have steadyEvents events, each taking steadyWork on average.
 	steadyPrefix = "s"
 	steadyEvents = 10
 	steadyWork   = 100 * time.Millisecond
-	// streamShare is the part of the requests that are streams.
+	// streamShare is the fraction of the requests that are streams.
 	streamShare = 0.85
 )
 
-// steadyKinds are the faults that leave replicas, daemons and the store alone.
+// steadyKinds are the faults that do not affect replicas, daemons and the store.
 var steadyKinds = []faultKind{callersLeave, addKey, moveRoute}
 
-// NewSteadyPlan draws the plan of a steady run of some daemons.
+// NewSteadyPlan generates the plan of a steady run with a number of daemons.
 func NewSteadyPlan(seed uint64, daemons int, s Shape) *Plan {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	p := &Plan{
@@ -66,7 +66,7 @@
 	return p
 }
 
-// drawSubject draws how the hot prompts share the streams.
+// drawSubject draws the fractions of the streams that the hot prompts get.
 func drawSubject(rng *rand.Rand) []float64 {
 	total := leastHotShare + rng.Float64()*(mostHotShare-leastHotShare)
 	shares, sum := make([]float64, 3+rng.IntN(mostHotPrompts-2)), 0.0
@@ -80,7 +80,8 @@
 	return shares
 }
 
-// subject draws what a stream is about at a time of the run, and how many tokens it shares.
+// subject draws the prompt of a stream at a time of the run, and returns how many tokens its
+// requests share.
 func (s *Steady) subject(at time.Duration) (subject, tokens int) {
 	draw := rand.Float64()
 	if at >= s.HotAt {
