--- a/internal/soak/upgrade.go
+++ b/internal/soak/upgrade.go
@@ -1,6 +1,6 @@
-// This file plays upgrades while callers go on: daemons of the last build are replaced in series by
-// this one, all or half of them, and back. A daemon of the last build is held to all promises but
-// those that it does not know.
+// This file upgrades daemons under traffic: all or half of the daemons of the previous build are
+// replaced one after the other by the current one, and downgraded again. A daemon of the previous
+// build is checked against all guarantees except those that it does not implement.
 
 package soak
 
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Build names the program that a daemon runs.
+// Build names the binary that a daemon runs.
 type Build string
 
 // The builds of a run.
@@ -18,23 +18,24 @@
 	BuildPrevious Build = "previous"
 )
 
-// Upgrade replaces daemons in series by a build.
+// Upgrade replaces daemons by a build, one after the other.
 type Upgrade struct {
 	At    time.Duration `json:"at"`
 	To    Build         `json:"to"`
 	First int           `json:"first"` // number of the first daemon
 	Count int           `json:"count"`
-	Gap   time.Duration `json:"gap"` // between the end of one and the next
+	Gap   time.Duration `json:"gap"` // between replacing one daemon and the next
 }
 
-// Figures of upgrades.
+// Parameters of upgrades.
 const (
 	shortestGap = 100 * time.Millisecond
 	longestGap  = 900 * time.Millisecond
 )
 
-// drawUpgrades adds the upgrades of a seed, with draws of their own: the fleet begins with the last
-// build, is replaced, all of it or half, and in two of three runs goes back and forth again.
+// drawUpgrades adds the upgrades of a seed, from a random source of their own: the fleet begins with
+// the previous build and all or half of it is upgraded; in two of three runs that part is downgraded
+// and the whole fleet is upgraded again.
 func (p *Plan) drawUpgrades(seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 8))
 	step := func(part float64, to Build, count int) {
@@ -54,7 +55,7 @@
 	}
 }
 
-// upgrade replaces daemons one after the other. Those that run the build already are left alone.
+// upgrade replaces daemons one after the other. It skips those that run the build already.
 func (s *injector) upgrade(u *Upgrade) {
 	pause(s.ctx, time.Until(s.begun.Add(u.At)))
 	s.note("upgrade to build %q begins: %d daemons from %d", u.To, u.Count, u.First)
@@ -71,7 +72,7 @@
 	s.note("upgrade to build %q is over", u.To)
 }
 
-// setBuild sets what the daemon runs when it starts next. It returns false if it runs that.
+// setBuild sets the build that the daemon runs from its next start. It reports whether it changed.
 func (d *daemon) setBuild(b Build) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -80,23 +81,23 @@
 	return changed
 }
 
-// processLife names a process of a daemon.
+// processLife identifies a process of a daemon.
 type processLife struct{ daemon, incarnation int }
 
-// Runs notes which build a process of a daemon is.
+// Runs records which build a process of a daemon runs.
 func (l *Ledger) Runs(daemon, incarnation int, b Build) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.builds[processLife{daemon, incarnation}] = b
 }
 
-// Begins notes when a process of a daemon began.
+// Begins records when a process of a daemon started.
 func (l *Ledger) Begins(daemon, incarnation int, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.begins[processLife{daemon, incarnation}] = at
 }
 
-// isPrevious reports whether a process of a daemon is of the last build, which knows nothing of
-// what replicas say of themselves and of ends that are disproved.
+// isPrevious reports whether a process of a daemon is of the previous build, which does not support
+// replicas' reports about themselves and crash reports that are disproved.
 func (j *judgement) isPrevious(d processLife) bool { return j.builds[d] == BuildPrevious }
