--- a/internal/soak/crashing_test.go
+++ b/internal/soak/crashing_test.go
@@ -11,16 +11,14 @@
 	"time"
 )
 
-// Seen: one request ended 38 to 43 of a service's replicas, and was sent on 19 to 22 times
-// later than 3 s after the third had ended.
-// How it came about: the request crashes each replica that begins to run it. Its caller comes
-// again, with the same path and body and under another id, at any daemon; each daemon took it
-// for a new one, and sent it on to a second replica by itself when the first had ended.
-// Cause: all that is remembered of requests is kept by their id, and a broken answer is held
-// against the replica alone.
-// Proved by: what the daemons' lines say of the requests that broken replicas had. One prompt
-// stands at 22 of 25 ends, by way of all 8 daemons; the next one at 5. Over real processes, as
-// here, replicas end in step with the tries, 1.7 for each where two attempts are allowed.
+// TestCrashingRequestsReachFewReplicas guards against a request that crashes each replica that
+// runs it and spreads through the fleet. Its caller sends it again, with the same path and body
+// and under another id, to any daemon. Daemons identified requests only by id and blamed a broken
+// response on the replica alone, so each daemon took it for a new request and also retried it on a
+// second replica. One request crashed 38 to 43 replicas of a service, and was forwarded 19 to 22
+// times later than 3 s after the third crash. In the daemons' logs one prompt was in flight at 22
+// of 25 crashes, through all 8 daemons, the next one at 5. Over real processes, as here, each try
+// crashed 1.7 replicas where two attempts are allowed.
 func TestCrashingRequestsReachFewReplicas(t *testing.T) {
 	const daemons, replicas = 8, 12
 	root, err := filepath.Abs("../..")
@@ -41,17 +39,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d replicas ended; %.3f of %d other requests were served, %.3f at the end", report.Ended, report.Share, report.Requests, report.QuietShare)
+	t.Logf("%d replicas crashed; %.3f of %d other requests were served, %.3f at the end", report.Ended, report.Share, report.Requests, report.QuietShare)
 	for _, v := range report.Violations {
 		t.Errorf("%s %s: %s", v.Promise, v.Subject, v.Detail)
 	}
 	if least := 3 * len(plan.Crashing); report.Ended < least {
-		t.Errorf("only %d replicas ended; the requests did not do what is played here", report.Ended)
+		t.Errorf("only %d replicas crashed; too few for what this test checks", report.Ended)
 	}
 }
 
-// buildDaemon builds the daemon of a checkout, with further arguments of the go command, and
-// returns its path.
+// buildDaemon builds the daemon of a checkout, with extra arguments for go build, and returns
+// the path of the binary.
 func buildDaemon(t *testing.T, root string, args ...string) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "hingewinchd")
@@ -63,8 +61,8 @@
 	return binary
 }
 
-// TestJudgeOfCrashingRequests plays ends and later arrivals of one crashing request, by way of
-// daemon 0 where no other is named.
+// TestJudgeOfCrashingRequests records crashes and later arrivals of one crashing request, through
+// daemon 0 unless another one is named.
 func TestJudgeOfCrashingRequests(t *testing.T) {
 	type arrival struct {
 		at     float64
@@ -79,21 +77,21 @@
 	for _, c := range []struct {
 		name   string
 		broken bool
-		ends   []string // replicas, one each tenth of a second from 100 s on
+		ends   []string // replicas that crash, one each tenth of a second from 100 s on
 		later  []arrival
 		play   func(l *Ledger)
 	}{
 		{"three later arrivals", false, []string{"a", "b", "c"}, arrivals(104, 105, 106), nil},
 		{"four", true, []string{"a", "b", "c"}, arrivals(104, 105, 106, 107), nil},
-		{"four, of which one came within the time to know", false, []string{"a", "b", "c"}, arrivals(103.1, 105, 106, 107), nil},
-		{"many, but only two replicas ended", false, []string{"a", "b"}, arrivals(104, 105, 106, 107, 108), nil},
-		{"four after a replica that was back under its id ended twice", true, []string{"a", "b", "", "", "", "a"}, arrivals(104, 105, 106, 107), nil},
-		{"many, one end noted twice", false, []string{"a", "a", "b"}, arrivals(104, 105, 106, 107), nil},
+		{"four, one of them before daemons must know of the crashes", false, []string{"a", "b", "c"}, arrivals(103.1, 105, 106, 107), nil},
+		{"many, but only two replicas crashed", false, []string{"a", "b"}, arrivals(104, 105, 106, 107, 108), nil},
+		{"four after a replica that restarted under its id crashed twice", true, []string{"a", "b", "", "", "", "a"}, arrivals(104, 105, 106, 107), nil},
+		{"many, one crash recorded twice", false, []string{"a", "a", "b"}, arrivals(104, 105, 106, 107), nil},
 		{"four, long after", true, []string{"a", "b", "c"}, arrivals(104, 200, 300, 4000), nil},
 		{"four by different daemons", true, []string{"a", "b", "c"}, []arrival{{104, 0}, {105, 1}, {106, 2}, {107, 0}}, nil},
-		{"four, one by a daemon out of touch", false, []string{"a", "b", "c"}, []arrival{{104, 0}, {105, 1}, {106, 0}, {107, 0}},
+		{"four, one by a daemon that is not up to date", false, []string{"a", "b", "c"}, []arrival{{104, 0}, {105, 1}, {106, 0}, {107, 0}},
 			func(l *Ledger) { l.DisturbDaemon(1, at(103), at(104)) }},
-		{"four, with the store in trouble before one", false, []string{"a", "b", "c"}, arrivals(104, 105, 106, 110),
+		{"four, with the store disturbed before one", false, []string{"a", "b", "c"}, arrivals(104, 105, 106, 110),
 			func(l *Ledger) { l.DisturbStore(at(108), at(109)) }},
 	} {
 		l := newLedger(defaultBounds())
@@ -117,7 +115,7 @@
 	}
 }
 
-// TestJudgeOfInnocentRequests plays refusals that say that replicas end under a request.
+// TestJudgeOfInnocentRequests records refusals because a request is quarantined.
 func TestJudgeOfInnocentRequests(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -129,9 +127,9 @@
 	}{
 		{"a crashing request", "/reply/crashing-1", 1, 100, true, false},
 		{"an ordinary one", "/reply/7", 0, 100, true, true},
-		{"an ordinary one that was refused for something else", "/reply/7", 0, 100, false, false},
-		{"one that is asked for over and over, beside the ends", pollTarget, 0, 100, true, false},
-		{"the same at the end", pollTarget, 0, 120, true, true},
+		{"an ordinary one that was refused for another reason", "/reply/7", 0, 100, false, false},
+		{"a poll, in flight beside the crashes", pollTarget, 0, 100, true, false},
+		{"the same at the end of the quiet time", pollTarget, 0, 120, true, true},
 	} {
 		l := newLedger(defaultBounds())
 		l.KeyAdded("k", "w", time.Time{})
@@ -146,7 +144,7 @@
 	}
 }
 
-// TestCrashingRequestsAreNamedByTheirPath holds that replicas find their number.
+// TestCrashingRequestsAreNamedByTheirPath checks the number that replicas parse from a path.
 func TestCrashingRequestsAreNamedByTheirPath(t *testing.T) {
 	for path, want := range map[string]int{"/reply/crashing-2": 2, "/once/crashing-31-late": 31, "/reply/7": 0, "/reply/crashing-": 0} {
 		if got := crashingNumber(path); got != want {
