--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -11,8 +11,8 @@
 
 func at(s float64) time.Time { return epoch.Add(time.Duration(s * float64(time.Second))) }
 
-// scene is a ledger with one request of a route, sent at 100 s by way of daemon 0
-// with a key that always held.
+// scene is a ledger with one request for a route, sent at 100 s through daemon 0
+// with a key that is always valid.
 type scene struct {
 	*Ledger
 	q Request
@@ -46,23 +46,23 @@
 
 func good() Answer { return Answer{Status: 200, Seal: "r1", Body: plainBody("q", "r1"), Whole: true} }
 
-// TestJudge plays one case for each promise, and its lawful twin.
+// TestJudge covers each guarantee with a case that breaks it and a similar one that does not.
 func TestJudge(t *testing.T) {
 	once, safe, chat := routes[0], routes[1], routes[2]
 	for _, c := range []struct {
-		name, want string // want is empty where nothing is broken
+		name, want string // want is empty if no guarantee is broken
 		route      *Route
 		play       func(s *scene)
 	}{
-		{"a whole answer", "", once, func(s *scene) { s.send().run("r1", 100.1); s.answer(good()) }},
-		{"an answer with another's body", "MIXED", once, func(s *scene) {
+		{"a complete response", "", once, func(s *scene) { s.send().run("r1", 100.1); s.answer(good()) }},
+		{"a response with the body of another request", "MIXED", once, func(s *scene) {
 			s.send().run("r1", 100.1)
 			a := good()
 			a.Body = plainBody("other", "r1")
 			s.answer(a)
 		}},
-		{"an answer with the seal of one that did not run it", "MIXED", once, func(s *scene) { s.send().run("r2", 100.1); s.answer(good()) }},
-		{"a failure that its replica did not give", "MIXED", once, func(s *scene) {
+		{"a response with the seal of a replica that did not run it", "MIXED", once, func(s *scene) { s.send().run("r2", 100.1); s.answer(good()) }},
+		{"a failure that its replica did not send", "MIXED", once, func(s *scene) {
 			s.Ended(s.send().run("r1", 100.1), 200, at(100.2))
 			s.answer(Answer{Status: 500, Seal: "r1"})
 		}},
@@ -71,77 +71,77 @@
 			s.run("r2", 100.2)
 			s.Answered("q", Answer{At: at(100.3), Status: 502})
 		}},
-		{"two runs of what may be repeated", "", safe, func(s *scene) { s.send().run("r2", 100.1); s.run("r1", 100.2); s.answer(good()) }},
-		{"a refusal of what has run", "REFUSED", once, func(s *scene) { s.send().run("r1", 100.1); s.answer(Answer{Status: 503}) }},
-		{"a refusal of what runs later", "REFUSED", once, func(s *scene) { s.send(); s.answer(Answer{Status: 503}); s.run("r1", 101) }},
-		{"a failure that promises nothing", "", once, func(s *scene) { s.send().run("r1", 100.1); s.answer(Answer{Status: 502}) }},
-		{"a run that nobody asked for", "UNASKED", once, func(s *scene) { s.run("r1", 100.1) }},
+		{"two runs of a repeatable request", "", safe, func(s *scene) { s.send().run("r2", 100.1); s.run("r1", 100.2); s.answer(good()) }},
+		{"a refusal of a request that has run", "REFUSED", once, func(s *scene) { s.send().run("r1", 100.1); s.answer(Answer{Status: 503}) }},
+		{"a refusal of a request that runs later", "REFUSED", once, func(s *scene) { s.send(); s.answer(Answer{Status: 503}); s.run("r1", 101) }},
+		{"a failure that does not rule out a run", "", once, func(s *scene) { s.send().run("r1", 100.1); s.answer(Answer{Status: 502}) }},
+		{"a run of a request that no caller sent", "UNASKED", once, func(s *scene) { s.run("r1", 100.1) }},
 		{"a run for another workspace", "UNASKED", once, func(s *scene) {
 			s.send()
 			a := Arrival{Replica: "r1", Service: "gate", At: at(100.1), Deadline: s.q.Deadline}
 			s.Began("q", Run{Arrival: a, Method: "POST", Target: "/x", Workspace: "forged"})
 		}},
-		{"a run with nobody's key", "ROUTE", once, func(s *scene) { s.q.Key = "none"; s.send().run("r1", 100.1) }},
-		{"a run with a key taken away long ago", "CONFIG", once, func(s *scene) { s.KeyRemoved("k", at(90)); s.send().run("r1", 100.1) }},
-		{"a run with a key taken away just now", "", once, func(s *scene) { s.KeyRemoved("k", at(99)); s.send().run("r1", 100.1) }},
-		{"the same by a daemon out of touch", "", once, func(s *scene) {
+		{"a run with an unknown key", "ROUTE", once, func(s *scene) { s.q.Key = "none"; s.send().run("r1", 100.1) }},
+		{"a run with a key revoked long before", "CONFIG", once, func(s *scene) { s.KeyRemoved("k", at(90)); s.send().run("r1", 100.1) }},
+		{"a run with a key revoked just before", "", once, func(s *scene) { s.KeyRemoved("k", at(99)); s.send().run("r1", 100.1) }},
+		{"the same by a daemon that is not up to date", "", once, func(s *scene) {
 			s.KeyRemoved("k", at(90))
 			s.DisturbDaemon(0, at(89), at(99))
 			s.send().run("r1", 100.1)
 		}},
-		{"the same while the store is in trouble that has not ended", "", once, func(s *scene) {
+		{"the same while the store is disturbed and has not recovered", "", once, func(s *scene) {
 			s.KeyRemoved("k", at(90))
 			s.DisturbStore(at(89), at(4000))
 			s.send().run("r1", 100.1)
 		}},
-		{"the same when the store is well again", "CONFIG", once, func(s *scene) {
+		{"the same when the store has recovered", "CONFIG", once, func(s *scene) {
 			s.KeyRemoved("k", at(90))
 			s.DisturbStore(at(80), at(4000))
 			s.CalmStore(at(80), at(81))
 			s.send().run("r1", 100.1)
 		}},
-		{"a run at a service that the route left", "CONFIG", once, func(s *scene) { s.RouteTo("once", "gate-2", at(90)); s.send().run("r1", 100.1) }},
+		{"a run at the former service of the route", "CONFIG", once, func(s *scene) { s.RouteTo("once", "gate-2", at(90)); s.send().run("r1", 100.1) }},
 		{"a run at a service that the route never had", "ROUTE", once, func(s *scene) {
 			s.send()
 			a := Arrival{Replica: "r1", Service: "foreign", At: at(100.1), Deadline: s.q.Deadline}
 			s.Began("q", Run{Arrival: a, Method: "POST", Target: "/x", Workspace: "w"})
 		}},
-		{"a key that always held is not known", "DENIED", once, func(s *scene) { s.send(); s.answer(Answer{Status: 401}) }},
-		{"a new key is not known for long", "CONFIG", once, func(s *scene) { s.KeyAdded("k", "w", at(90)); s.send(); s.answer(Answer{Status: 401}) }},
-		{"work for a replica that left", "DRAIN", once, func(s *scene) { s.Leaves("r1", at(95)); s.send().run("r1", 100.1) }},
-		{"work for one that leaves just now", "", once, func(s *scene) { s.Leaves("r1", at(99)); s.send().run("r1", 100.1) }},
-		{"work for an evacuated domain", "EVAC", once, func(s *scene) { s.StandsIn("r1", "z"); s.Evacuates("z", at(95)); s.send().run("r1", 100.1) }},
-		{"work for one evacuated just now", "", once, func(s *scene) { s.StandsIn("r1", "z"); s.Evacuates("z", at(99)); s.send().run("r1", 100.1) }},
-		{"work for one taken back", "", once, func(s *scene) {
+		{"a key that was always valid is rejected", "DENIED", once, func(s *scene) { s.send(); s.answer(Answer{Status: 401}) }},
+		{"a new key is rejected for long", "CONFIG", once, func(s *scene) { s.KeyAdded("k", "w", at(90)); s.send(); s.answer(Answer{Status: 401}) }},
+		{"a run at a replica that left", "DRAIN", once, func(s *scene) { s.Leaves("r1", at(95)); s.send().run("r1", 100.1) }},
+		{"a run at one that left just before", "", once, func(s *scene) { s.Leaves("r1", at(99)); s.send().run("r1", 100.1) }},
+		{"a run in an evacuated domain", "EVAC", once, func(s *scene) { s.StandsIn("r1", "z"); s.Evacuates("z", at(95)); s.send().run("r1", 100.1) }},
+		{"a run in one evacuated just before", "", once, func(s *scene) { s.StandsIn("r1", "z"); s.Evacuates("z", at(99)); s.send().run("r1", 100.1) }},
+		{"a run in one returned to service", "", once, func(s *scene) {
 			s.StandsIn("r1", "z")
 			s.Evacuates("z", at(90))
 			s.TakesBack("z", at(90), at(100))
 			s.send().run("r1", 100.1)
 		}},
-		{"work for an evacuated domain by a daemon out of touch", "", once, func(s *scene) {
+		{"a run in an evacuated domain by a daemon that is not up to date", "", once, func(s *scene) {
 			s.StandsIn("r1", "z")
 			s.Evacuates("z", at(95))
 			s.DisturbDaemon(0, at(96), at(99))
 			s.send().run("r1", 100.1)
 		}},
-		{"a connection that ends without an answer", "LOST", once, func(s *scene) { s.send().run("r1", 100.1); s.answer(Answer{Err: errors.New("EOF")}) }},
-		{"the same at the end of a planned stop, while the replica works", "", once, func(s *scene) {
+		{"a connection closed without a response", "LOST", once, func(s *scene) { s.send().run("r1", 100.1); s.answer(Answer{Err: errors.New("EOF")}) }},
+		{"the same at the end of a graceful shutdown, while the replica runs it", "", once, func(s *scene) {
 			s.Stopped(0, at(97.4), at(101))
 			s.send().run("r1", 100.1)
 			s.answer(Answer{Err: errors.New("EOF")})
 		}},
-		{"the same earlier in a planned stop", "LOST", once, func(s *scene) {
+		{"the same earlier in a graceful shutdown", "LOST", once, func(s *scene) {
 			s.Stopped(0, at(99), at(102))
 			s.send().run("r1", 100.1)
 			s.answer(Answer{Err: errors.New("EOF")})
 		}},
-		{"the same at the end of a planned stop, when the replica had just answered", "LOST", once, func(s *scene) {
+		{"the same at the end of a graceful shutdown, just after the replica responded", "LOST", once, func(s *scene) {
 			s.Stopped(0, at(97.4), at(101))
 			run := s.send().run("r1", 99)
 			s.Ended(run, 200, at(100.1))
 			s.answer(Answer{Err: errors.New("EOF")})
 		}},
-		{"the same at the end of a planned stop, when the replica had long answered", "LOST", once, func(s *scene) {
+		{"the same at the end of a graceful shutdown, long after the replica responded", "LOST", once, func(s *scene) {
 			s.Stopped(0, at(97.4), at(101))
 			run := s.send().run("r1", 99)
 			s.Ended(run, 200, at(99.2))
@@ -152,7 +152,7 @@
 			s.DisturbDaemon(0, at(100.15), at(100.6))
 			s.answer(Answer{Err: errors.New("EOF")})
 		}},
-		{"a stream that ends too early as whole", "ORDER", chat, func(s *scene) {
+		{"a truncated stream that ends as complete", "ORDER", chat, func(s *scene) {
 			s.RouteTo("chat", "gate", time.Time{})
 			s.send().run("r1", 100.1)
 			s.answer(Answer{Status: 200, Seal: "r1", Body: streamEvents("q")[0], Whole: true})
@@ -168,19 +168,19 @@
 			found := s.Judge(at(101))
 			switch {
 			case c.want == "" && len(found) > 0:
-				t.Errorf("found %+v in what is lawful", found)
+				t.Errorf("found %+v, want no violation", found)
 			case c.want != "" && (len(found) == 0 || found[0].Promise != c.want):
 				t.Errorf("found %+v, want %s", found, c.want)
 			}
 			if again := s.Judge(at(101)); len(again) > 0 {
-				t.Errorf("told again: %+v", again)
+				t.Errorf("reported again: %+v", again)
 			}
 		})
 	}
 }
 
-// TestJudgeCountsWhatIsAllowedAFewTimes looks at the rules that a few cases do
-// not break.
+// TestJudgeCountsWhatIsAllowedAFewTimes covers the rules that tolerate a few
+// violations.
 func TestJudgeCountsWhatIsAllowedAFewTimes(t *testing.T) {
 	for _, c := range []struct {
 		promise string
@@ -221,8 +221,8 @@
 	}
 }
 
-// TestJudgeKnowsLinksThatHoldRequestsUp plays requests whose link to the replica
-// held them up: their deadlines look late there, and no daemon set them so.
+// TestJudgeKnowsLinksThatHoldRequestsUp covers requests that the link to the replica
+// delayed: their deadlines look late there although the daemon set them correctly.
 func TestJudgeKnowsLinksThatHoldRequestsUp(t *testing.T) {
 	s := newScene(routes[0])
 	s.DisturbReplica("r", at(99), at(101.5))
@@ -259,7 +259,7 @@
 	}
 }
 
-// TestJudgeCountsWhatReachesAColdReplica sends a replica requests within a second.
+// TestJudgeCountsWhatReachesAColdReplica sends requests to a replica within a second.
 func TestJudgeCountsWhatReachesAColdReplica(t *testing.T) {
 	most := defaultBounds().Cold
 	for _, c := range []struct {
@@ -268,14 +268,14 @@
 		turn   func(*Ledger)
 		broken bool
 	}{
-		{"as many as it may get", most, func(l *Ledger) { l.TurnsCold("r1", coldSpan{span: span{at(99), at(103)}}) }, false},
+		{"as many as are allowed", most, func(l *Ledger) { l.TurnsCold("r1", coldSpan{span: span{at(99), at(103)}}) }, false},
 		{"one more", most + 1, func(l *Ledger) { l.TurnsCold("r1", coldSpan{span: span{at(99), at(103)}}) }, true},
 		{"one more at a warm replica", most + 1, func(l *Ledger) { l.TurnsCold("r1", coldSpan{span: span{at(90), at(99)}}) }, false},
-		{"one more by a daemon that could not know", most + 1, func(l *Ledger) {
+		{"one more by a daemon that could not have been informed", most + 1, func(l *Ledger) {
 			l.TurnsCold("r1", coldSpan{span: span{at(99), at(103)}, known: at(98)})
 			l.DisturbDaemon(0, at(97), at(100))
 		}, false},
-		{"one more by one that could", most + 1, func(l *Ledger) { l.TurnsCold("r1", coldSpan{span: span{at(99), at(103)}, known: at(98)}) }, true},
+		{"one more by a daemon that could", most + 1, func(l *Ledger) { l.TurnsCold("r1", coldSpan{span: span{at(99), at(103)}, known: at(98)}) }, true},
 	} {
 		l := newLedger(defaultBounds())
 		c.turn(l)
@@ -291,8 +291,8 @@
 	}
 }
 
-// TestEvacuationsLeaveTheOtherFaultsOfASeedAlone holds that seeds that were kept before there
-// were evacuations can be played as they were.
+// TestEvacuationsLeaveTheOtherFaultsOfASeedAlone checks that seeds that were recorded before
+// evacuations existed can still be reproduced.
 func TestEvacuationsLeaveTheOtherFaultsOfASeedAlone(t *testing.T) {
 	shape := DefaultShape()
 	with := NewPlan(5, shape)
@@ -304,7 +304,7 @@
 	}
 }
 
-// TestPlanFollowsFromItsSeed holds that a seed gives one plan, and that all kinds
+// TestPlanFollowsFromItsSeed checks that a seed determines the plan, and that all kinds
 // of faults are drawn.
 func TestPlanFollowsFromItsSeed(t *testing.T) {
 	seen := make(map[faultKind]bool)
@@ -324,8 +324,8 @@
 	}
 }
 
-// TestJudgeKnowsCrowdedReplicas plays a service of three replicas, the first of which holds
-// as many requests as a case says, and then requests that reach it.
+// TestJudgeKnowsCrowdedReplicas covers a service of three replicas. The first has a number of
+// requests in flight when more requests reach it.
 func TestJudgeKnowsCrowdedReplicas(t *testing.T) {
 	const sent, over = 100, 4
 	for _, c := range []struct {
@@ -339,28 +339,28 @@
 		{"just the share", 20, over - 1, nil, false},
 		{"above the bound", 10, over, nil, true},
 		{"at the bound", 9, over, nil, false},
-		{"a replica in trouble", 20, over, func(l *Ledger) { l.DisturbReplica("r2", at(99), at(101)) }, false},
-		{"a replica in trouble before", 20, over, func(l *Ledger) { l.DisturbReplica("r2", at(90), at(94)) }, true},
-		{"a daemon out of touch", 20, over, func(l *Ledger) { l.DisturbDaemon(0, at(90), at(98)) }, false},
-		{"a fleet that has just begun", 20, over, func(l *Ledger) { l.Ready(at(98)) }, false},
+		{"a disturbed replica", 20, over, func(l *Ledger) { l.DisturbReplica("r2", at(99), at(101)) }, false},
+		{"a replica that was disturbed earlier", 20, over, func(l *Ledger) { l.DisturbReplica("r2", at(90), at(94)) }, true},
+		{"a daemon that is not up to date", 20, over, func(l *Ledger) { l.DisturbDaemon(0, at(90), at(98)) }, false},
+		{"a fleet that has just started", 20, over, func(l *Ledger) { l.Ready(at(98)) }, false},
 		{"a fourth replica without requests", 9, over, func(l *Ledger) { l.Joins("r4", "gate", at(1)) }, true},
 		{"a fourth replica that has left", 9, over, func(l *Ledger) {
 			l.Joins("r4", "gate", at(1))
 			l.Leaves("r4", at(50))
 		}, false},
-		{"a fourth replica that was cold a second ago, as daemons may believe that it still is", 9, over, func(l *Ledger) {
+		{"a fourth replica that was cold a second ago, as daemons may assume that it still is", 9, over, func(l *Ledger) {
 			l.Joins("r4", "gate", at(1))
 			l.TurnsCold("r4", coldSpan{span: span{at(90), at(99)}})
 		}, false},
-		{"a fourth replica that rests for the daemon that sent them", 9, over, func(l *Ledger) {
+		{"a fourth replica that backs off for the daemon that sent them", 9, over, func(l *Ledger) {
 			l.Joins("r4", "gate", at(1))
 			l.AsksForRest("q1", "r4", 5*time.Second, at(98))
 		}, false},
-		{"a fourth replica whose rest is over", 9, over, func(l *Ledger) {
+		{"a fourth replica whose backoff is over", 9, over, func(l *Ledger) {
 			l.Joins("r4", "gate", at(1))
 			l.AsksForRest("q1", "r4", 5*time.Second, at(90))
 		}, true},
-		{"a fourth replica that rests for another daemon", 9, over, func(l *Ledger) {
+		{"a fourth replica that backs off for another daemon", 9, over, func(l *Ledger) {
 			l.Joins("r4", "gate", at(1))
 			l.Sent(Request{ID: "other", Route: routes[1], Daemon: 1, Sent: at(97)})
 			l.AsksForRest("other", "r4", 5*time.Second, at(98))
@@ -407,8 +407,8 @@
 	}
 }
 
-// TestSteadyPlanFollowsFromItsSeed holds that a seed gives one plan, that no fault strikes a
-// replica, a daemon or the store, and that prompts get hot as the plan says.
+// TestSteadyPlanFollowsFromItsSeed checks that a seed determines the plan, that no fault affects
+// a replica, a daemon or the store, and that prompts become hot as planned.
 func TestSteadyPlanFollowsFromItsSeed(t *testing.T) {
 	for seed := range uint64(50) {
 		a, b := NewSteadyPlan(seed, 30, DefaultShape()), NewSteadyPlan(seed, 30, DefaultShape())
@@ -416,7 +416,7 @@
 			t.Fatalf("seed %d gives two plans", seed)
 		}
 		if a.Daemons != 30 || a.Chat < 30 {
-			t.Errorf("seed %d: %d daemons before %d replicas", seed, a.Daemons, a.Chat)
+			t.Errorf("seed %d: %d daemons for %d replicas", seed, a.Daemons, a.Chat)
 		}
 		for _, f := range a.Faults {
 			if !slices.Contains(steadyKinds, f.Kind) {
@@ -426,14 +426,14 @@
 		hot, n := 0, 4000
 		for range n {
 			if before, _ := a.Steady.subject(a.Steady.HotAt - 1); before < len(a.Steady.HotShares) {
-				t.Fatalf("seed %d: prompt %d is hot too early", seed, before)
+				t.Fatalf("seed %d: hot prompt %d is drawn too early", seed, before)
 			}
 			if subject, tokens := a.Steady.subject(a.Steady.HotAt); subject < len(a.Steady.HotShares) && tokens == a.Steady.HotTokens {
 				hot++
 			}
 		}
 		if share := float64(hot) / float64(n); share < leastHotShare-0.03 || share > mostHotShare+0.03 {
-			t.Errorf("seed %d: %.2f of the requests are about hot prompts", seed, share)
+			t.Errorf("seed %d: %.2f of the requests have hot prompts", seed, share)
 		}
 	}
 }
