--- a/internal/soak/restore_test.go
+++ b/internal/soak/restore_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestJudgeKnowsProcessesThatGoBack plays what a process must have known, and what it does after the
-// store was in trouble: none of it may be undone.
+// TestJudgeKnowsProcessesThatGoBack covers changes that a process must have received: it may not
+// revert them after a disturbance of the store.
 func TestJudgeKnowsProcessesThatGoBack(t *testing.T) {
 	removed := func(s *scene) {
 		s.KeyAdded("k", "w", at(10))
@@ -17,24 +17,24 @@
 		name, want string
 		play       func(s *scene)
 	}{
-		{"a key that was taken away long before", "CONFIG", func(s *scene) {
+		{"a key that was revoked long before", "CONFIG", func(s *scene) {
 			removed(s)
 			trouble(s)
 			s.send().run("r1", 100.1)
 		}},
-		{"the same by a process that began later", "", func(s *scene) {
+		{"the same by a process that started later", "", func(s *scene) {
 			removed(s)
 			trouble(s)
 			s.Begins(0, 1, at(90))
 			s.send().run("r1", 100.1)
 		}},
-		{"the same by the last build", "", func(s *scene) {
+		{"the same by the previous build", "", func(s *scene) {
 			removed(s)
 			trouble(s)
 			s.Runs(0, 1, BuildPrevious)
 			s.send().run("r1", 100.1)
 		}},
-		{"a key that was taken away while the store was in trouble", "", func(s *scene) {
+		{"a key that was revoked while the store was disturbed", "", func(s *scene) {
 			removed(s)
 			trouble(s)
 			s.DisturbStore(at(81), at(81.5))
@@ -45,7 +45,7 @@
 			trouble(s)
 			s.send().run("r1", 100.1)
 		}},
-		{"one that came back", "", func(s *scene) {
+		{"one that returned", "", func(s *scene) {
 			s.Leaves("r1", at(80))
 			s.Returns("r1", at(99))
 			trouble(s)
@@ -57,18 +57,18 @@
 			s.DisturbDaemon(0, at(78), at(79))
 			s.send().run("r1", 100.1)
 		}},
-		{"a key that was taken away after the store came back, by the last build", "", func(s *scene) {
+		{"a key that was revoked after the store was restored, by the previous build", "", func(s *scene) {
 			removed(s)
 			s.Restored(at(70))
 			s.Runs(0, 1, BuildPrevious)
 			s.send().run("r1", 100.1)
 		}},
-		{"the same by this build", "CONFIG", func(s *scene) {
+		{"the same by the current build", "CONFIG", func(s *scene) {
 			removed(s)
 			s.Restored(at(70))
 			s.send().run("r1", 100.1)
 		}},
-		{"the same by the last build, and the store has not come back", "CONFIG", func(s *scene) {
+		{"the same by the previous build, and the store was not restored", "CONFIG", func(s *scene) {
 			removed(s)
 			s.Runs(0, 1, BuildPrevious)
 			s.send().run("r1", 100.1)
@@ -78,7 +78,7 @@
 			trouble(s)
 			s.send().answer(Answer{Status: 401})
 		}},
-		{"one that was added a moment before", "", func(s *scene) {
+		{"one that was added just before", "", func(s *scene) {
 			s.KeyAdded("k", "w", at(98))
 			trouble(s)
 			s.send().answer(Answer{Status: 401})
@@ -98,7 +98,7 @@
 	}
 }
 
-// TestRestoresLeaveTheOtherFaultsOfASeedAlone holds that kept seeds stay what they were.
+// TestRestoresLeaveTheOtherFaultsOfASeedAlone checks that recorded seeds can still be reproduced.
 func TestRestoresLeaveTheOtherFaultsOfASeedAlone(t *testing.T) {
 	shape := DefaultShape()
 	with := NewPlan(5, shape)
@@ -111,7 +111,7 @@
 		}
 	}
 	if len(others) != len(without.Faults) || len(others) == len(with.Faults) {
-		t.Fatalf("%d faults beside restores, %d without them, %d in all", len(others), len(without.Faults), len(with.Faults))
+		t.Fatalf("%d faults besides restores, %d in the plan without them, %d in total", len(others), len(without.Faults), len(with.Faults))
 	}
 	for i := range others {
 		if others[i] != without.Faults[i] {
@@ -120,7 +120,7 @@
 	}
 }
 
-// TestCopiesAreKeptForAWhile draws copies by their age.
+// TestCopiesAreKeptForAWhile checks the selection of backups by age, and that old ones are dropped.
 func TestCopiesAreKeptForAWhile(t *testing.T) {
 	s := newSite(newLedger(defaultBounds()))
 	var c copies
@@ -129,13 +129,13 @@
 		c.add(datedCopy{at(float64(i) / 4), s.store.Copy()})
 	}
 	if first := c.list[0].at; at(99.0/4).Sub(first) > oldestCopy {
-		t.Errorf("the oldest copy is of %v", first)
+		t.Errorf("the oldest backup is from %v", first)
 	}
 	now := at(99.0 / 4)
 	for _, age := range []time.Duration{0, time.Second, 5 * time.Second} {
 		s.store.Restore(c.of(age, now))
 		if got, want := s.store.Put("k", nil), uint64(101-age/copyInterval); got != want {
-			t.Errorf("a copy %v old: the next revision is %d, want %d", age, got, want)
+			t.Errorf("backup with age %v: the next revision is %d, want %d", age, got, want)
 		}
 	}
 }
