--- a/internal/soak/serving_test.go
+++ b/internal/soak/serving_test.go
@@ -9,8 +9,8 @@
 	"hingewinch.org/hingewinch/coordination"
 )
 
-// TestJudgeOfServing plays refusals of daemon 0 for want of a replica, one each tenth of a second
-// from 100 s on, while replica "r" of the service lives.
+// TestJudgeOfServing records refusals because no replica was found, one each tenth of a second from
+// 100 s on, by daemon 0 unless another one is named, while replica "r" of the service is live.
 func TestJudgeOfServing(t *testing.T) {
 	none := string(coordination.ReasonNoUpstream)
 	refuse := func(l *Ledger, from, to float64, daemon int, reason string) {
@@ -27,7 +27,7 @@
 	}{
 		{"for 1.5 s", true, func(l *Ledger) { refuse(l, 100, 101.5, 0, none) }},
 		{"for less than 1 s", false, func(l *Ledger) { refuse(l, 100, 100.9, 0, none) }},
-		{"with an answer between", false, func(l *Ledger) {
+		{"with a success between", false, func(l *Ledger) {
 			refuse(l, 100, 100.8, 0, none)
 			l.Sent(Request{ID: "served", Route: routes[1], Sent: at(100.85)})
 			l.Answered("served", Answer{At: at(100.86), Status: 200, Whole: true})
@@ -38,15 +38,15 @@
 			refuse(l, 101, 101.9, 1, none)
 		}},
 		{"because the replica refused", false, func(l *Ledger) { refuse(l, 100, 101.5, 0, string(coordination.ReasonUpstreamBusy)) }},
-		{"by a daemon out of touch", false, func(l *Ledger) {
+		{"by a daemon that is not up to date", false, func(l *Ledger) {
 			l.DisturbDaemon(0, at(98), at(99))
 			refuse(l, 100, 101.5, 0, none)
 		}},
-		{"while the replica is in trouble", false, func(l *Ledger) {
+		{"while the replica is disturbed", false, func(l *Ledger) {
 			l.DisturbReplica("r", at(98), at(100.5))
 			refuse(l, 100, 101.5, 0, none)
 		}},
-		{"while it rests", false, func(l *Ledger) {
+		{"while it is backing off", false, func(l *Ledger) {
 			l.StandsAside("r", at(98), at(100.5))
 			refuse(l, 100, 101.5, 0, string(coordination.ReasonResting))
 		}},
@@ -76,9 +76,9 @@
 	}
 }
 
-// TestRepliesThoughReplicasAreSaidToHaveEnded is the incident of transport/relay's
-// TestResponseDisprovesReportedCrash over real processes: all daemons are told, after
-// a cut that is not played, that all replicas of each service have ended.
+// TestRepliesThoughReplicasAreSaidToHaveEnded reproduces the incident of transport/relay's
+// TestResponseDisprovesReportedCrash over real processes: all daemons receive reports, as after
+// a cut (which is not simulated), that all replicas of each service have crashed.
 func TestRepliesThoughReplicasAreSaidToHaveEnded(t *testing.T) {
 	const daemons = 8
 	told := func(at time.Duration, target, variant int) Fault {
@@ -90,6 +90,6 @@
 	}
 	report := playPlan(t, plan)
 	if report.Share < 0.9 {
-		t.Errorf("%.3f of the requests were served, though all replicas lived", report.Share)
+		t.Errorf("%.3f of the requests were served although all replicas were live", report.Share)
 	}
 }
