--- a/internal/soak/upgrade_test.go
+++ b/internal/soak/upgrade_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestUpgradesBeginAtTheLastBuildAndEndAtThisOne draws the plans of many seeds.
+// TestUpgradesBeginAtTheLastBuildAndEndAtThisOne checks the plans of many seeds.
 func TestUpgradesBeginAtTheLastBuildAndEndAtThisOne(t *testing.T) {
 	shape := DefaultShape()
 	shape.Upgrades = true
@@ -31,11 +31,12 @@
 		}
 	}
 	if whole < 15 || half < 15 || back < 20 {
-		t.Errorf("%d whole, %d half-way and %d there and back of 60", whole, half, back)
+		t.Errorf("%d whole, %d half and %d with a downgrade, of 60", whole, half, back)
 	}
 }
 
-// TestUpgradesLeaveTheFaultsOfASeedAlone holds that a seed's faults are the same with and without.
+// TestUpgradesLeaveTheFaultsOfASeedAlone checks that a seed's faults are the same with and without
+// upgrades.
 func TestUpgradesLeaveTheFaultsOfASeedAlone(t *testing.T) {
 	shape := DefaultShape()
 	before := NewPlan(7, shape)
