--- a/internal/soak/crashing.go
+++ b/internal/soak/crashing.go
@@ -20,25 +20,25 @@
 // Crashing is a request that crashes each replica that begins to run it. It is sent repeatedly,
 // with the same path, caller and body, to any daemon.
 type Crashing struct {
-	Route int           `json:"route"` // number of its route
-	At    time.Duration `json:"at"`    // when it is first sent
-	Every time.Duration `json:"every"` // mean pause between two attempts
-	// Late says that the replica has sent part of its response when it crashes.
-	Late bool `json:"late"`
+	Route    int           `json:"route"` // number of its route
+	At       time.Duration `json:"at"`    // when it is first sent
+	Interval time.Duration `json:"every"` // mean pause between two attempts
+	// MidResponse says that the replica has sent part of its response when it crashes.
+	MidResponse bool `json:"late"`
 }
 
 // Parameters of crashing requests.
 const (
-	leastEvery      = 150 * time.Millisecond
-	mostEvery       = 500 * time.Millisecond
-	latestCrashing  = 6 * time.Second
-	crashWork       = 60 * time.Millisecond // at most, before the replica crashes
-	shortestRestart = 400 * time.Millisecond
-	longestRestart  = 2 * time.Second
-	sameIDRestart   = time.Second // at most, for one that restarts under the same id
+	minInterval           = 150 * time.Millisecond
+	maxInterval           = 500 * time.Millisecond
+	maxCrashingStart      = 6 * time.Second
+	maxCrashDelay         = 60 * time.Millisecond // at most, before the replica crashes
+	minRestartDelay       = 400 * time.Millisecond
+	maxRestartDelay       = 2 * time.Second
+	maxSameIDRestartDelay = time.Second // at most, for one that restarts under the same id
 
-	crashingPath = "crashing-"
-	latePath     = "-late"
+	crashingPathPrefix = "crashing-"
+	midResponseSuffix  = "-late"
 
 	// One request in pollOneIn is a poll; all polls are identical.
 	pollOneIn  = 40
@@ -48,8 +48,8 @@
 
 // crashingBounds limits how far a crashing request may spread.
 type crashingBounds struct {
-	Ends int // replicas that it may crash before it must be quarantined
-	More int // arrivals at replicas later than Contact after the last of these crashes
+	Crashes       int // replicas that it may crash before it must be quarantined
+	LaterArrivals int // arrivals at replicas later than Contact after the last of these crashes
 }
 
 // drawCrashing adds the crashing requests of a seed, from a random source of their own.
@@ -57,8 +57,8 @@
 	rng := rand.New(rand.NewPCG(seed, 4))
 	for range s.Crashing {
 		p.Crashing = append(p.Crashing, Crashing{
-			Route: rng.IntN(len(routes)), At: time.Duration(rng.Int64N(int64(latestCrashing))),
-			Every: leastEvery + time.Duration(rng.Int64N(int64(mostEvery-leastEvery))), Late: rng.IntN(3) == 0,
+			Route: rng.IntN(len(routes)), At: time.Duration(rng.Int64N(int64(maxCrashingStart))),
+			Interval: minInterval + time.Duration(rng.Int64N(int64(maxInterval-minInterval))), MidResponse: rng.IntN(3) == 0,
 		})
 	}
 }
@@ -66,9 +66,9 @@
 // crasher is the caller of a crashing request.
 type crasher struct {
 	Crashing
-	site   *site
-	number int
-	tries  int
+	site     *site
+	number   int
+	attempts int
 }
 
 // run sends the request until ctx is done, each time on a new connection to a random
@@ -83,19 +83,19 @@
 			out.exchange(&q)
 			out.hangUp()
 		}
-		pause(ctx, c.Every/2+rand.N(c.Every))
+		pause(ctx, c.Interval/2+rand.N(c.Interval))
 	}
 }
 
 func (c *crasher) request(out *caller) Request {
-	c.tries++
+	c.attempts++
 	route := routes[c.Route]
 	q := Request{
-		ID: fmt.Sprintf("x%d-%d", c.number, c.tries), Route: route, Key: pollKey, Crashing: c.number,
-		Target: route.Prefix + crashingPath + itoa(c.number), Daemon: out.daemon, Incarnation: out.incarnation, Tokens: shortTokens,
+		ID: fmt.Sprintf("x%d-%d", c.number, c.attempts), Route: route, Key: pollKey, Crashing: c.number,
+		Target: route.Prefix + crashingPathPrefix + itoa(c.number), Daemon: out.daemon, Incarnation: out.incarnation, Tokens: shortTokens,
 	}
-	if c.Late {
-		q.Target += latePath
+	if c.MidResponse {
+		q.Target += midResponseSuffix
 	}
 	if route.Method == "POST" {
 		q.Body = "crash"
@@ -105,11 +105,11 @@
 
 // crashingNumber returns the number of the crashing request that a path names, or 0 for none.
 func crashingNumber(path string) int {
-	_, rest, ok := strings.Cut(path, crashingPath)
+	_, rest, ok := strings.Cut(path, crashingPathPrefix)
 	if !ok {
 		return 0
 	}
-	n, _ := strconv.Atoi(strings.TrimSuffix(rest, latePath)) // a path of another form yields 0
+	n, _ := strconv.Atoi(strings.TrimSuffix(rest, midResponseSuffix)) // a path of another form yields 0
 	return n
 }
 
@@ -121,13 +121,13 @@
 
 // crash crashes the replica while it runs a request.
 func (x *exchange) crash(number int) bool {
-	if !x.work(rand.N(crashWork)) {
+	if !x.work(rand.N(maxCrashDelay)) {
 		x.end(0)
 		return false
 	}
-	if strings.HasSuffix(x.run.Target, latePath) {
+	if strings.HasSuffix(x.run.Target, midResponseSuffix) {
 		x.write(standin.StreamHead(x.id, x.ID, x.saysLoad()))
-		x.work(rand.N(crashWork))
+		x.work(rand.N(maxCrashDelay))
 	}
 	x.end(0)
 	x.ledger.Crashed(number, x.ID, time.Now())
@@ -148,7 +148,7 @@
 	go func() {
 		ctx := s.fleet.ctx
 		if rand.IntN(2) == 0 {
-			pause(ctx, shortestRestart+rand.N(sameIDRestart-shortestRestart))
+			pause(ctx, minRestartDelay+rand.N(maxSameIDRestartDelay-minRestartDelay))
 			s.ledger.CalmReplica(r.ID, from, time.Now())
 			if ctx.Err() == nil && p.link.Reopen() == nil {
 				_ = s.beginAs(r.ID, p, r.Service)
@@ -156,7 +156,7 @@
 			return
 		}
 		expiry := time.AfterFunc(expiryTime, func() { s.remove(r) })
-		pause(ctx, shortestRestart+rand.N(longestRestart-shortestRestart))
+		pause(ctx, minRestartDelay+rand.N(maxRestartDelay-minRestartDelay))
 		if expiry.Stop() {
 			s.remove(r)
 		}
@@ -196,7 +196,7 @@
 func (l *Ledger) Crashed(number int, replica string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	same := func(c crash) bool { return c.replica == replica && at.Sub(c.at) < shortestRestart }
+	same := func(c crash) bool { return c.replica == replica && at.Sub(c.at) < minRestartDelay }
 	if !slices.ContainsFunc(l.crashes[number], same) {
 		l.crashes[number] = append(l.crashes[number], crash{replica, at})
 	}
@@ -205,21 +205,21 @@
 // judgeCrashing reports crashing requests that kept reaching replicas.
 func (j *judgement) judgeCrashing() {
 	for number, ends := range j.crashes {
-		if len(ends) < j.bounds.Crashing.Ends {
+		if len(ends) < j.bounds.Crashing.Crashes {
 			continue
 		}
-		third := ends[j.bounds.Crashing.Ends-1].at
+		third := ends[j.bounds.Crashing.Crashes-1].at
 		var late []time.Time
 		for _, r := range j.order {
 			if r.known && r.Crashing == number {
 				late = append(late, j.lateArrivals(r, third.Add(j.bounds.Contact))...)
 			}
 		}
-		if len(late) > j.bounds.Crashing.More {
+		if len(late) > j.bounds.Crashing.LaterArrivals {
 			slices.SortFunc(late, time.Time.Compare)
 			j.out = append(j.out, Violation{
-				Promise: "BUDGET", Subject: crashingPath + itoa(number), At: late[j.bounds.Crashing.More],
-				Detail: fmt.Sprintf("reached replicas %d more times after it had crashed the third, %d are allowed; it crashed %d", len(late), j.bounds.Crashing.More, len(ends)),
+				Promise: "BUDGET", Subject: crashingPathPrefix + itoa(number), At: late[j.bounds.Crashing.LaterArrivals],
+				Detail: fmt.Sprintf("reached replicas %d more times after it had crashed the third, %d are allowed; it crashed %d", len(late), j.bounds.Crashing.LaterArrivals, len(ends)),
 			})
 		}
 	}
@@ -254,14 +254,14 @@
 // by the end of the quiet time a complete response has cleared it.
 func (j *judgement) judgeInnocent(r *record) {
 	isPoll := r.Target == pollTarget
-	if r.Crashing == 0 && r.answer.Held && (!isPoll || r.Sent.After(j.quietFrom) && !j.quietFrom.IsZero()) {
+	if r.Crashing == 0 && r.answer.Held && (!isPoll || r.Sent.After(j.recoveryCheckFrom) && !j.recoveryCheckFrom.IsZero()) {
 		j.add("HELD", r, r.answer.At, "daemon %d quarantined a request for %s, which crashes no replica", r.Daemon, r.Target)
 	}
 }
 
-// EndsSoon records the time from which requests that are sent must be served.
-func (l *Ledger) EndsSoon(at time.Time) {
+// BeginRecoveryCheck records the time from which requests that are sent must be served.
+func (l *Ledger) BeginRecoveryCheck(at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.quietFrom = at
+	l.recoveryCheckFrom = at
 }
--- a/internal/soak/crashing_test.go
+++ b/internal/soak/crashing_test.go
@@ -30,9 +30,9 @@
 	plan := &Plan{
 		Daemons: daemons, Domains: 3, Gate: 4, Chat: replicas, Callers: 3 * daemons, Trouble: time.Second, Quiet: 11 * time.Second,
 		Crashing: []Crashing{
-			{Route: reply, At: time.Second, Every: 200 * time.Millisecond},
-			{Route: reply, At: 2 * time.Second, Every: 300 * time.Millisecond, Late: true},
-			{Route: once, At: 3 * time.Second, Every: 400 * time.Millisecond},
+			{Route: reply, At: time.Second, Interval: 200 * time.Millisecond},
+			{Route: reply, At: 2 * time.Second, Interval: 300 * time.Millisecond, MidResponse: true},
+			{Route: once, At: 3 * time.Second, Interval: 400 * time.Millisecond},
 		},
 	}
 	report, err := Play(context.Background(), plan, Options{Daemon: binary, Dir: t.TempDir()})
@@ -108,7 +108,9 @@
 		if c.play != nil {
 			c.play(l)
 		}
-		broken := slices.ContainsFunc(l.Judge(at(5000)), func(v Violation) bool { return v.Promise == "BUDGET" && strings.HasPrefix(v.Subject, crashingPath) })
+		broken := slices.ContainsFunc(l.Judge(at(5000)), func(v Violation) bool {
+			return v.Promise == "BUDGET" && strings.HasPrefix(v.Subject, crashingPathPrefix)
+		})
 		if broken != c.broken {
 			t.Errorf("%s: broken %t, want %t", c.name, broken, c.broken)
 		}
@@ -134,7 +136,7 @@
 		l := newLedger(defaultBounds())
 		l.KeyAdded("k", "w", time.Time{})
 		l.RouteTo("safe", "gate", time.Time{})
-		l.EndsSoon(at(110))
+		l.BeginRecoveryCheck(at(110))
 		l.Sent(Request{ID: "q", Route: routes[1], Target: c.target, Key: "k", Sent: at(c.sent), Deadline: at(c.sent + 2), Crashing: c.crashing})
 		l.Answered("q", Answer{At: at(c.sent), Status: 503, Held: c.held})
 		broken := slices.ContainsFunc(l.Judge(at(200)), func(v Violation) bool { return v.Promise == "HELD" })
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -49,7 +49,7 @@
 		Late: time.Second, Resend: 500 * time.Millisecond, Ratio: 0.2, Extra: 56, Window: 10 * time.Second, Few: 3, Share: 0.9,
 		Limit:    limitBounds{Window: 5 * time.Second, Factor: 2, Slack: 3, Least: 20, Share: 0.03},
 		Evacuate: 2500 * time.Millisecond, Cold: coldOverage*coldPerSecond + coldSlack,
-		Crashing: crashingBounds{Ends: 3, More: 3},
+		Crashing: crashingBounds{Crashes: 3, LaterArrivals: 3},
 		Resting:  restingBounds{Grace: 500 * time.Millisecond, Most: 2},
 		Refusing: time.Second,
 	}
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -117,8 +117,8 @@
 	restored time.Time                 // when the store was first restored from a backup
 	freezes  map[int][]span            // of daemons
 	aside    map[string][]span         // when replicas backed off, or announced their departure in responses alone
-	// quietFrom is when the last part of the quiet time begins, in which requests must be served.
-	quietFrom time.Time
+	// recoveryCheckFrom is when the last part of the quiet time begins, in which requests must be served.
+	recoveryCheckFrom time.Time
 }
 
 type keyLife struct {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -206,7 +206,7 @@
 	s.run(r.plan)
 	upgrades.Wait()
 	pause(ctx, r.plan.Quiet-endWindow)
-	r.site.ledger.EndsSoon(time.Now())
+	r.site.ledger.BeginRecoveryCheck(time.Now())
 	pause(ctx, min(r.plan.Quiet, endWindow))
 	hangUp()
 	callers.Wait()
