--- a/cmd/hingesoak/main.go
+++ b/cmd/hingesoak/main.go
@@ -173,7 +173,7 @@
 // play plays one seed and prints a line on it, and one for each broken promise.
 func (o *options) play(ctx context.Context, seed uint64) (*soak.Report, error) {
 	shape := soak.DefaultShape()
-	shape.Trouble, shape.Quiet, shape.MostDaemons, shape.FaultsPerSec = o.Trouble, o.Quiet, o.Daemons, o.Rate
+	shape.Trouble, shape.Quiet, shape.MaxDaemons, shape.FaultsPerSec = o.Trouble, o.Quiet, o.Daemons, o.Rate
 	shape.EvacuationsPerSec, shape.Crashing, shape.ForeignPerSec = o.Evacuate, o.Crashing, o.Foreign
 	shape.RestsPerSec, shape.LeavingsPerSec = o.Rests, o.Leavings
 	shape.FalseEndsPerSec, shape.RestoresPerSec, shape.Upgrades = o.Ends, o.Restores, o.Previous != ""
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -110,7 +110,7 @@
 		q = c.poll(q)
 	}
 	if s := c.site.steady; s != nil {
-		q.Subject, q.Tokens = s.subject(time.Since(c.site.begun))
+		q.Subject, q.Tokens = s.drawPrompt(time.Since(c.site.begun))
 	}
 	if route.Method == http.MethodPost {
 		q.Body = strings.Repeat("b", 1+rand.IntN(500))
--- a/internal/soak/crashing.go
+++ b/internal/soak/crashing.go
@@ -49,7 +49,7 @@
 // crashingBounds limits how far a crashing request may spread.
 type crashingBounds struct {
 	Crashes       int // replicas that it may crash before it must be quarantined
-	LaterArrivals int // arrivals at replicas later than Contact after the last of these crashes
+	LaterArrivals int // arrivals at replicas later than SyncTime after the last of these crashes
 }
 
 // drawCrashing adds the crashing requests of a seed, from a random source of their own.
@@ -212,7 +212,7 @@
 		var late []time.Time
 		for _, r := range j.order {
 			if r.known && r.Crashing == number {
-				late = append(late, j.lateArrivals(r, third.Add(j.bounds.Contact))...)
+				late = append(late, j.lateArrivals(r, third.Add(j.bounds.SyncTime))...)
 			}
 		}
 		if len(late) > j.bounds.Crashing.LaterArrivals {
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -36,7 +36,7 @@
 	endpoints []*standin.StoreEndpoint
 	note      func(format string, args ...any)
 
-	copies copies // of the store
+	copies backups // of the store
 
 	// storeMu keeps troubles of the store apart: the last one would end all.
 	storeMu sync.Mutex
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -1,6 +1,6 @@
 // This file checks the guarantees against the ledger. Time bounds apply to daemons
 // that are up to date: neither they nor the store were disturbed during the
-// preceding Contact.
+// preceding SyncTime.
 
 package soak
 
@@ -14,21 +14,21 @@
 
 // bounds are the limits that the guarantees set.
 type bounds struct {
-	Contact time.Duration // undisturbed time after which a daemon is up to date
-	Apply   time.Duration // until a configuration is in force
-	Drain   time.Duration // until a draining replica gets no more requests
-	Leave   time.Duration // until the work for a caller that disconnected stops
-	Late    time.Duration // how long after its deadline a response may come
-	Resend  time.Duration // slack of the deadlines that are sent to replicas
-	Ratio   float64       // retries allowed per request
-	Extra   float64
-	Window  time.Duration
-	// Few is the number of violations that rules with a tolerance allow.
-	Few int
-	// Share is the fraction of the requests that must be served at the end of the
+	SyncTime      time.Duration // undisturbed time after which a daemon is up to date
+	Apply         time.Duration // until a configuration is in force
+	Drain         time.Duration // until a draining replica gets no more requests
+	Cancel        time.Duration // until the work for a caller that disconnected stops
+	ResponseSlack time.Duration // how long after its deadline a response may come
+	DeadlineSlack time.Duration // slack of the deadlines that are sent to replicas
+	RetryRatio    float64       // retries allowed per request
+	ExtraRetries  float64
+	RetryWindow   time.Duration
+	// Tolerance is the number of violations that rules with a tolerance allow.
+	Tolerance int
+	// MinServed is the fraction of the requests that must be served at the end of the
 	// quiet time.
-	Share float64
-	Limit limitBounds
+	MinServed float64
+	Limit     limitBounds
 	// Evacuate is the time until an evacuated domain gets no more requests. Cold is how
 	// many requests all daemons together may send a cold replica in a second.
 	Evacuate time.Duration
@@ -37,21 +37,21 @@
 	Crashing crashingBounds
 	// Resting limits what reaches replicas that requested a backoff.
 	Resting restingBounds
-	// Refusing is how long a daemon may refuse requests that a live replica could serve.
-	Refusing time.Duration
+	// MaxRefusal is how long a daemon may refuse requests that a live replica could serve.
+	MaxRefusal time.Duration
 }
 
 // defaultBounds returns the bounds of a run. The time bounds are those guaranteed to
 // users plus half a second for the machine's own delays.
 func defaultBounds() bounds {
 	return bounds{
-		Contact: 3 * time.Second, Apply: 2500 * time.Millisecond, Drain: 2500 * time.Millisecond, Leave: time.Second,
-		Late: time.Second, Resend: 500 * time.Millisecond, Ratio: 0.2, Extra: 56, Window: 10 * time.Second, Few: 3, Share: 0.9,
-		Limit:    limitBounds{Window: 5 * time.Second, Factor: 2, Slack: 3, Least: 20, Share: 0.03},
+		SyncTime: 3 * time.Second, Apply: 2500 * time.Millisecond, Drain: 2500 * time.Millisecond, Cancel: time.Second,
+		ResponseSlack: time.Second, DeadlineSlack: 500 * time.Millisecond, RetryRatio: 0.2, ExtraRetries: 56, RetryWindow: 10 * time.Second, Tolerance: 3, MinServed: 0.9,
+		Limit:    limitBounds{Window: 5 * time.Second, Factor: 2, Slack: 3, MinRequests: 20, MaxShare: 0.03},
 		Evacuate: 2500 * time.Millisecond, Cold: coldOverage*coldPerSecond + coldSlack,
-		Crashing: crashingBounds{Crashes: 3, LaterArrivals: 3},
-		Resting:  restingBounds{Grace: 500 * time.Millisecond, Most: 2},
-		Refusing: time.Second,
+		Crashing:   crashingBounds{Crashes: 3, LaterArrivals: 3},
+		Resting:    restingBounds{Grace: 500 * time.Millisecond, Most: 2},
+		MaxRefusal: time.Second,
 	}
 }
 
@@ -91,20 +91,20 @@
 	return fresh
 }
 
-// judgement collects violations. few holds those of rules with a tolerance.
+// judgement collects violations. tolerated holds those of rules with a tolerance.
 type judgement struct {
 	*Ledger
-	now time.Time
-	out []Violation
-	few []Violation
+	now       time.Time
+	out       []Violation
+	tolerated []Violation
 }
 
 func (j *judgement) add(promise string, r *record, at time.Time, format string, args ...any) {
 	j.out = append(j.out, Violation{Promise: promise, Subject: r.ID, At: at, Detail: fmt.Sprintf(format, args...)})
 }
 
-func (j *judgement) addFew(promise string, r *record, at time.Time, format string, args ...any) {
-	j.few = append(j.few, Violation{Promise: promise, Subject: r.ID, At: at, Detail: fmt.Sprintf(format, args...)})
+func (j *judgement) addTolerated(promise string, r *record, at time.Time, format string, args ...any) {
+	j.tolerated = append(j.tolerated, Violation{Promise: promise, Subject: r.ID, At: at, Detail: fmt.Sprintf(format, args...)})
 }
 
 func (j *judgement) judge(r *record) {
@@ -129,15 +129,15 @@
 }
 
 // inTouch reports whether a daemon was up to date from one time to another: it and
-// the store were undisturbed, and so for Contact before.
+// the store were undisturbed, from SyncTime before the first on.
 func (j *judgement) inTouch(daemon int, from, to time.Time) bool {
-	from = from.Add(-j.bounds.Contact)
+	from = from.Add(-j.bounds.SyncTime)
 	return calm(j.daemons[daemon], from, to) && calm(j.store, from, to) && calm(j.stops[daemon], from, to)
 }
 
 // undisturbed is inTouch without regard to the store and to graceful shutdowns.
 func (j *judgement) undisturbed(daemon int, from, to time.Time) bool {
-	return calm(j.daemons[daemon], from.Add(-j.bounds.Contact), to)
+	return calm(j.daemons[daemon], from.Add(-j.bounds.SyncTime), to)
 }
 
 func (j *judgement) judgeRuns(r *record) {
@@ -174,7 +174,7 @@
 	ever, allowed := false, false
 	var since time.Time
 	for i, c := range list {
-		if c.value != run.Service {
+		if c.service != run.Service {
 			continue
 		}
 		ever = true
@@ -210,14 +210,14 @@
 		// A link that delayed the request makes its deadline look later than the
 		// daemon set it.
 		held := !calm(j.replicas[a.Replica], r.Sent, a.At)
-		if late := a.Deadline.Sub(r.Deadline); late > j.bounds.Resend && !held && j.undisturbed(r.Daemon, a.At, a.At) {
-			j.addFew("BUDGET", r, a.At, "replica %s got a deadline %v later than the caller's", a.Replica, late)
+		if late := a.Deadline.Sub(r.Deadline); late > j.bounds.DeadlineSlack && !held && j.undisturbed(r.Daemon, a.At, a.At) {
+			j.addTolerated("BUDGET", r, a.At, "replica %s got a deadline %v later than the caller's", a.Replica, late)
 		}
 	}
 }
 
 func (j *judgement) judgeLeaving(r *record) {
-	if r.left.IsZero() || !j.undisturbed(r.Daemon, r.left, r.left.Add(j.bounds.Leave)) {
+	if r.left.IsZero() || !j.undisturbed(r.Daemon, r.left, r.left.Add(j.bounds.Cancel)) {
 		return
 	}
 	for _, run := range r.runs {
@@ -226,18 +226,18 @@
 			ended = j.now
 		}
 		reached := calm(j.replicas[run.Replica], run.At, ended)
-		if reached && ended.Sub(r.left) > j.bounds.Leave {
-			j.addFew("GONE", r, ended, "%s worked for %v after its caller disconnected", run.Replica, ended.Sub(r.left))
+		if reached && ended.Sub(r.left) > j.bounds.Cancel {
+			j.addTolerated("GONE", r, ended, "%s worked for %v after its caller disconnected", run.Replica, ended.Sub(r.left))
 		}
 	}
 }
 
-// promises are the statuses that guarantee that a request has not run and never will.
-var promises = []int{http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest}
+// neverRunStatuses are the statuses that guarantee that a request has not run and never will.
+var neverRunStatuses = []int{http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest}
 
 func (j *judgement) judgeAnswer(r *record) {
 	a := r.answer
-	if slices.Contains(promises, a.Status) && !r.Route.Repeatable && len(r.runs) > 0 {
+	if slices.Contains(neverRunStatuses, a.Status) && !r.Route.Repeatable && len(r.runs) > 0 {
 		j.add("REFUSED", r, a.At, "status %d guarantees that it never runs, but it ran at %s", a.Status, r.runs[0].Replica)
 	}
 	switch {
@@ -297,29 +297,29 @@
 		return
 	}
 	run := r.runs[len(r.runs)-1]
-	if j.cutByStop(r, run) {
+	if j.cutByShutdown(r, run) {
 		return
 	}
-	if j.undisturbed(r.Daemon, r.Sent, a.At) && calm(j.replicas[run.Replica], run.At.Add(-j.bounds.Contact), a.At) {
+	if j.undisturbed(r.Daemon, r.Sent, a.At) && calm(j.replicas[run.Replica], run.At.Add(-j.bounds.SyncTime), a.At) {
 		j.add("LOST", r, a.At, "daemon %d closed the connection without a response: %v", r.Daemon, a.Err)
 	}
 }
 
-// The end of a graceful shutdown may cut a request that was sent within stopTakes of its start if
-// the replica is still running it in the last of the stopParts parts of the grace period.
+// The end of a graceful shutdown may cut a request that was sent within shutdownAcceptTime of its start if
+// the replica is still running it in the last of the gracePeriodParts parts of the grace period.
 const (
-	stopTakes = 3 * time.Second
-	stopParts = 6
+	shutdownAcceptTime = 3 * time.Second
+	gracePeriodParts   = 6
 )
 
-// cutByStop reports whether the end of a graceful shutdown cut a request, which is allowed.
-func (j *judgement) cutByStop(r *record, run *Run) bool {
+// cutByShutdown reports whether the end of a graceful shutdown cut a request, which is allowed.
+func (j *judgement) cutByShutdown(r *record, run *Run) bool {
 	at := r.answer.At
 	// The cut itself stops the work, without a response, at about the moment that the caller observes.
 	atWork := run.Ended.IsZero() || run.Status == 0 && run.Ended.After(at.Add(-settling))
 	return atWork && slices.ContainsFunc(j.stops[r.Daemon], func(s span) bool {
 		sinceStop := at.Sub(s.from)
-		return r.Sent.Sub(s.from) <= stopTakes && sinceStop >= grace*(stopParts-1)/stopParts && sinceStop <= grace+settling
+		return r.Sent.Sub(s.from) <= shutdownAcceptTime && sinceStop >= grace*(gracePeriodParts-1)/gracePeriodParts && sinceStop <= grace+settling
 	})
 }
 
@@ -328,7 +328,7 @@
 	if r.answer != nil {
 		at = r.answer.At
 	}
-	if late := at.Sub(r.Deadline); late > j.bounds.Late && r.left.IsZero() && j.undisturbed(r.Daemon, r.Sent, at) {
-		j.addFew("CONFIG", r, at, "final response of daemon %d came %v after the deadline", r.Daemon, late)
+	if late := at.Sub(r.Deadline); late > j.bounds.ResponseSlack && r.left.IsZero() && j.undisturbed(r.Daemon, r.Sent, at) {
+		j.addTolerated("CONFIG", r, at, "final response of daemon %d came %v after the deadline", r.Daemon, late)
 	}
 }
--- a/internal/soak/judge_counts.go
+++ b/internal/soak/judge_counts.go
@@ -12,11 +12,11 @@
 // judgeFew reports the violations of rules with a tolerance where there are more than it allows.
 func (j *judgement) judgeFew() {
 	byPromise := make(map[string][]Violation)
-	for _, v := range j.few {
+	for _, v := range j.tolerated {
 		byPromise[v.Promise] = append(byPromise[v.Promise], v)
 	}
 	for _, list := range byPromise {
-		if len(list) > j.bounds.Few {
+		if len(list) > j.bounds.Tolerance {
 			j.out = append(j.out, list...)
 		}
 	}
@@ -38,10 +38,10 @@
 	for service, list := range repeats {
 		slices.SortFunc(list, time.Time.Compare)
 		for i, end := range list {
-			n := countWithin(list[:i+1], end, j.bounds.Window)
+			n := countWithin(list[:i+1], end, j.bounds.RetryWindow)
 			// Users count the larger of this window and the preceding one.
-			requests := max(countWithin(firsts[service], end, j.bounds.Window), countWithin(firsts[service], end.Add(-j.bounds.Window), j.bounds.Window))
-			if most := j.bounds.Ratio*float64(requests) + j.bounds.Extra; float64(n) > most {
+			requests := max(countWithin(firsts[service], end, j.bounds.RetryWindow), countWithin(firsts[service], end.Add(-j.bounds.RetryWindow), j.bounds.RetryWindow))
+			if most := j.bounds.RetryRatio*float64(requests) + j.bounds.ExtraRetries; float64(n) > most {
 				j.out = append(j.out, Violation{Promise: "BUDGET", Subject: service, At: end, Detail: fmt.Sprintf("%d retries in a window, %.0f are allowed", n, most)})
 				break
 			}
--- a/internal/soak/judge_regress.go
+++ b/internal/soak/judge_regress.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// knew reports whether the process that accepted a request must have received a change that the store
+// mustKnow reports whether the process that accepted a request must have received a change that the store
 // accepted at a time: it ran already, and it and the store were undisturbed until the bound had passed.
-func (j *judgement) knew(r *record, since time.Time, bound time.Duration) bool {
+func (j *judgement) mustKnow(r *record, since time.Time, bound time.Duration) bool {
 	begun, ok := j.begins[r.by()]
-	from, to := since.Add(-j.bounds.Contact), since.Add(bound)
+	from, to := since.Add(-j.bounds.SyncTime), since.Add(bound)
 	return ok && begun.Before(from) && r.Sent.After(to) && !j.isPrevious(r.by()) &&
 		calm(j.daemons[r.Daemon], from, to) && calm(j.stops[r.Daemon], from, to) && calm(j.store, from, to)
 }
@@ -37,16 +37,16 @@
 func (j *judgement) judgeRegress(r *record) {
 	key := j.keys[r.Key]
 	for _, run := range r.runs {
-		if key != nil && !key.removed.IsZero() && j.knew(r, key.removed, j.bounds.Apply) {
+		if key != nil && !key.removed.IsZero() && j.mustKnow(r, key.removed, j.bounds.Apply) {
 			j.add("CONFIG", r, run.At, "ran with a key whose revocation this process of daemon %d had applied; it was revoked %v earlier", r.Daemon, run.At.Sub(key.removed))
 		}
 		for _, left := range j.leaving[run.Replica] {
-			if run.At.Before(left.to) && j.knew(r, left.from, j.bounds.Drain) {
+			if run.At.Before(left.to) && j.mustKnow(r, left.from, j.bounds.Drain) {
 				j.add("DRAIN", r, run.At, "reached %s, whose departure this process of daemon %d had received; it was announced %v earlier", run.Replica, r.Daemon, run.At.Sub(left.from))
 			}
 		}
 	}
-	if a := r.answer; a != nil && a.Seal == "" && a.Status == http.StatusUnauthorized && key != nil && key.removed.IsZero() && !key.added.IsZero() && j.knew(r, key.added, j.bounds.Apply) {
+	if a := r.answer; a != nil && a.Seal == "" && a.Status == http.StatusUnauthorized && key != nil && key.removed.IsZero() && !key.added.IsZero() && j.mustKnow(r, key.added, j.bounds.Apply) {
 		j.add("CONFIG", r, a.At, "this process of daemon %d rejected a key that it had received", r.Daemon)
 	}
 }
--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -199,7 +199,7 @@
 		}},
 	} {
 		t.Run(c.promise, func(t *testing.T) {
-			for _, n := range []int{defaultBounds().Few, defaultBounds().Few + 1} {
+			for _, n := range []int{defaultBounds().Tolerance, defaultBounds().Tolerance + 1} {
 				s := newScene(routes[0])
 				for i := range n {
 					q := s.q
@@ -208,7 +208,7 @@
 					c.play(s.Ledger, q.ID, q)
 				}
 				found := s.Judge(at(110))
-				if broken := n > defaultBounds().Few; broken != (len(found) > 0) {
+				if broken := n > defaultBounds().Tolerance; broken != (len(found) > 0) {
 					t.Errorf("%d cases: found %+v", n, found)
 				}
 				for _, v := range found {
@@ -226,7 +226,7 @@
 func TestJudgeKnowsLinksThatHoldRequestsUp(t *testing.T) {
 	s := newScene(routes[0])
 	s.DisturbReplica("r", at(99), at(101.5))
-	for i := range 2 * defaultBounds().Few {
+	for i := range 2 * defaultBounds().Tolerance {
 		q := s.q
 		q.ID = "q" + itoa(i)
 		s.Sent(q)
@@ -425,14 +425,14 @@
 		}
 		hot, n := 0, 4000
 		for range n {
-			if before, _ := a.Steady.subject(a.Steady.HotAt - 1); before < len(a.Steady.HotShares) {
+			if before, _ := a.Steady.drawPrompt(a.Steady.HotAt - 1); before < len(a.Steady.HotShares) {
 				t.Fatalf("seed %d: hot prompt %d is drawn too early", seed, before)
 			}
-			if subject, tokens := a.Steady.subject(a.Steady.HotAt); subject < len(a.Steady.HotShares) && tokens == a.Steady.HotTokens {
+			if subject, tokens := a.Steady.drawPrompt(a.Steady.HotAt); subject < len(a.Steady.HotShares) && tokens == a.Steady.HotTokens {
 				hot++
 			}
 		}
-		if share := float64(hot) / float64(n); share < leastHotShare-0.03 || share > mostHotShare+0.03 {
+		if share := float64(hot) / float64(n); share < minHotShare-0.03 || share > maxHotShare+0.03 {
 			t.Errorf("seed %d: %.2f of the requests have hot prompts", seed, share)
 		}
 	}
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -82,10 +82,10 @@
 // span is a period, usually one in which something was disturbed.
 type span struct{ from, to time.Time }
 
-// change is a value that applies from a time on.
-type change struct {
-	at    time.Time
-	value string
+// routeChange is a value that applies from a time on.
+type routeChange struct {
+	at      time.Time
+	service string
 }
 
 // Ledger records the events of a run. It is safe for concurrent use.
@@ -95,33 +95,33 @@
 	requests map[string]*record
 	order    []*record
 
-	daemons  map[int][]span    // unplanned disturbances of a daemon or its links
-	replicas map[string][]span // disturbances of a replica or its link
-	store    []span
-	stops    map[int][]span                  // graceful shutdowns
-	leaving  map[string][]span               // from when the store accepted a replica's departure, until it returned
-	joined   map[string]map[string]time.Time // when each replica of a service began to serve
-	ready    time.Time                       // when all daemons were first ready
-	routes   map[string][]change             // a route's service
-	keys     map[string]*keyLife
-	found    map[string]Violation
-	domains  map[string]string           // of replicas
-	emptied  map[string][]span           // evacuations of domains, as the store accepted them
-	cold     map[string][]coldSpan       // of replicas
-	crowded  float64                     // the largest fraction that LIMIT bounds
-	ended    []Violation                 // daemons that terminated by themselves, or did not shut down in time
-	crashes  map[int][]crash             // by number of the crashing request
-	restsBy  map[processLife][]restAsked // by the daemon process that got the request
-	builds   map[processLife]Build
-	begins   map[processLife]time.Time // of processes
-	restored time.Time                 // when the store was first restored from a backup
-	freezes  map[int][]span            // of daemons
-	aside    map[string][]span         // when replicas backed off, or announced their departure in responses alone
+	daemons          map[int][]span    // unplanned disturbances of a daemon or its links
+	replicas         map[string][]span // disturbances of a replica or its link
+	store            []span
+	stops            map[int][]span                  // graceful shutdowns
+	leaving          map[string][]span               // from when the store accepted a replica's departure, until it returned
+	joined           map[string]map[string]time.Time // when each replica of a service began to serve
+	ready            time.Time                       // when all daemons were first ready
+	routes           map[string][]routeChange        // a route's service
+	keys             map[string]*keyHistory
+	found            map[string]Violation
+	domains          map[string]string           // of replicas
+	emptied          map[string][]span           // evacuations of domains, as the store accepted them
+	cold             map[string][]coldSpan       // of replicas
+	maxOverloadShare float64                     // the largest fraction that LIMIT bounds
+	ended            []Violation                 // daemons that terminated by themselves, or did not shut down in time
+	crashes          map[int][]crash             // by number of the crashing request
+	restsBy          map[processLife][]restAsked // by the daemon process that got the request
+	builds           map[processLife]Build
+	begins           map[processLife]time.Time // of processes
+	restored         time.Time                 // when the store was first restored from a backup
+	freezes          map[int][]span            // of daemons
+	aside            map[string][]span         // when replicas backed off, or announced their departure in responses alone
 	// recoveryCheckFrom is when the last part of the quiet time begins, in which requests must be served.
 	recoveryCheckFrom time.Time
 }
 
-type keyLife struct {
+type keyHistory struct {
 	workspace string
 	added     time.Time
 	removed   time.Time // zero: never
@@ -130,8 +130,8 @@
 func newLedger(b bounds) *Ledger {
 	return &Ledger{
 		bounds: b, requests: make(map[string]*record), daemons: make(map[int][]span), replicas: make(map[string][]span),
-		stops: make(map[int][]span), leaving: make(map[string][]span), joined: make(map[string]map[string]time.Time), routes: make(map[string][]change),
-		keys: make(map[string]*keyLife), found: make(map[string]Violation),
+		stops: make(map[int][]span), leaving: make(map[string][]span), joined: make(map[string]map[string]time.Time), routes: make(map[string][]routeChange),
+		keys: make(map[string]*keyHistory), found: make(map[string]Violation),
 		domains: make(map[string]string), emptied: make(map[string][]span), cold: make(map[string][]coldSpan),
 		crashes: make(map[int][]crash), freezes: make(map[int][]span), aside: make(map[string][]span), builds: make(map[processLife]Build), begins: make(map[processLife]time.Time), restsBy: make(map[processLife][]restAsked),
 	}
@@ -211,31 +211,31 @@
 func (l *Ledger) Calm(i int, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	endSpan(l.daemons[i], from, to)
+	closeSpan(l.daemons[i], from, to)
 }
 
 // CalmReplica records the end of a replica's disturbance.
 func (l *Ledger) CalmReplica(id string, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	endSpan(l.replicas[id], from, to)
+	closeSpan(l.replicas[id], from, to)
 }
 
 // CalmStore records the end of the store's disturbance.
 func (l *Ledger) CalmStore(from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	endSpan(l.store, from, to)
+	closeSpan(l.store, from, to)
 }
 
 // StoppedUntil records the end of a graceful shutdown.
 func (l *Ledger) StoppedUntil(i int, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	endSpan(l.stops[i], from, to)
+	closeSpan(l.stops[i], from, to)
 }
 
-func endSpan(list []span, from, to time.Time) {
+func closeSpan(list []span, from, to time.Time) {
 	for k := range list {
 		if list[k].from.Equal(from) {
 			list[k].to = to
@@ -248,7 +248,7 @@
 func (l *Ledger) StopTooLong(i int, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if calm(l.daemons[i], from.Add(-l.bounds.Contact), to) {
+	if calm(l.daemons[i], from.Add(-l.bounds.SyncTime), to) {
 		l.ended = append(l.ended, Violation{Promise: "LOST", Subject: "d" + itoa(i), At: to, Detail: "did not terminate within its grace period"})
 	}
 }
@@ -293,14 +293,14 @@
 func (l *Ledger) RouteTo(route, service string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.routes[route] = append(l.routes[route], change{at, service})
+	l.routes[route] = append(l.routes[route], routeChange{at, service})
 }
 
 // KeyAdded records that the store accepted a configuration with a new key.
 func (l *Ledger) KeyAdded(key, workspace string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.keys[key] = &keyLife{workspace: workspace, added: at}
+	l.keys[key] = &keyHistory{workspace: workspace, added: at}
 }
 
 // KeyRemoved records that the store accepted a configuration without a key.
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -94,7 +94,7 @@
 type Shape struct {
 	Trouble      time.Duration
 	Quiet        time.Duration
-	MostDaemons  int
+	MaxDaemons   int
 	FaultsPerSec float64
 	// EvacuationsPerSec is how often domains are evacuated. Above 0 replicas are cold
 	// after a start. Seeds that were recorded before evacuations existed are run with 0.
@@ -117,24 +117,24 @@
 
 // DefaultShape returns the shape of a run that is started by hand.
 func DefaultShape() Shape {
-	return Shape{Trouble: 18 * time.Second, Quiet: 9 * time.Second, MostDaemons: 10, FaultsPerSec: 1.2, EvacuationsPerSec: 0.15, Crashing: 1, ForeignPerSec: 0.15, RestsPerSec: 0.3, LeavingsPerSec: 0.15, FalseEndsPerSec: 0.1, RestoresPerSec: 0.1}
+	return Shape{Trouble: 18 * time.Second, Quiet: 9 * time.Second, MaxDaemons: 10, FaultsPerSec: 1.2, EvacuationsPerSec: 0.15, Crashing: 1, ForeignPerSec: 0.15, RestsPerSec: 0.3, LeavingsPerSec: 0.15, FalseEndsPerSec: 0.1, RestoresPerSec: 0.1}
 }
 
 // Limits of the random choices.
 const (
-	leastDaemons  = 3
-	longestFault  = 4 * time.Second
-	shortestFault = 300 * time.Millisecond
-	// leastEvacuation is added to the length of a fault: all but one evacuation in eighteen last
+	minDaemons       = 3
+	maxFaultDuration = 4 * time.Second
+	minFaultDuration = 300 * time.Millisecond
+	// minEvacuation is added to the length of a fault: all but one evacuation in eighteen last
 	// longer than the 2.5 s after which they are checked.
-	leastEvacuation = 2 * time.Second
+	minEvacuation = 2 * time.Second
 )
 
 // NewPlan generates the plan of a seed.
 func NewPlan(seed uint64, s Shape) *Plan {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	p := &Plan{
-		Seed: seed, Daemons: leastDaemons + rng.IntN(max(1, s.MostDaemons-leastDaemons+1)), Domains: 2 + rng.IntN(3),
+		Seed: seed, Daemons: minDaemons + rng.IntN(max(1, s.MaxDaemons-minDaemons+1)), Domains: 2 + rng.IntN(3),
 		Gate: 3 + rng.IntN(3), Chat: 4 + rng.IntN(4), Trouble: s.Trouble, Quiet: s.Quiet,
 	}
 	p.Domains = min(p.Domains, p.Daemons)
@@ -146,7 +146,7 @@
 	p.drawCrashing(seed, s)
 	p.drawForeign(seed, s)
 	p.drawStatements(seed, s)
-	p.drawFalseEnds(seed, s)
+	p.drawFalseCrashes(seed, s)
 	p.drawRestores(seed, s)
 	if s.Upgrades {
 		p.drawUpgrades(seed)
@@ -163,7 +163,7 @@
 	for range int(math.Ceil(s.EvacuationsPerSec * s.Trouble.Seconds())) {
 		f := drawFault(rng, s.Trouble)
 		f.Kind = evacuateDomain
-		f.For += leastEvacuation
+		f.For += minEvacuation
 		p.Faults = append(p.Faults, f)
 	}
 }
@@ -175,7 +175,7 @@
 	}
 	draw := rng.IntN(total)
 	f := Fault{Target: rng.IntN(1 << 16), Variant: rng.IntN(1 << 16), At: time.Duration(rng.Int64N(int64(within)))}
-	f.For = shortestFault + time.Duration(rng.Int64N(int64(longestFault-shortestFault)))
+	f.For = minFaultDuration + time.Duration(rng.Int64N(int64(maxFaultDuration-minFaultDuration)))
 	for _, w := range weights {
 		if draw -= w.weight; draw < 0 {
 			f.Kind = w.kind
--- a/internal/soak/restore.go
+++ b/internal/soak/restore.go
@@ -14,20 +14,20 @@
 
 // Parameters of restores.
 const (
-	copyInterval = 250 * time.Millisecond
-	oldestCopy   = 8 * time.Second
-	// shortestAway and moreAway limit how long the store is unreachable.
-	shortestAway = 100 * time.Millisecond
-	moreAway     = 2 * time.Second
-	// rewriteTime is how long after the store is restored the lost documents are rewritten.
-	rewriteTime = 200 * time.Millisecond
-	// changesLost changes are written to one document shortly before the store becomes unreachable. Only
+	backupInterval = 250 * time.Millisecond
+	maxBackupAge   = 8 * time.Second
+	// minOutage and outageRange limit how long the store is unreachable.
+	minOutage   = 100 * time.Millisecond
+	outageRange = 2 * time.Second
+	// rewriteDelay is how long after the store is restored the lost documents are rewritten.
+	rewriteDelay = 200 * time.Millisecond
+	// lostChanges changes are written to one document shortly before the store becomes unreachable. Only
 	// one of them is rewritten, so that daemons are ahead of the store's revision when it is restored.
-	changesLost = 8
-	lostBefore  = 300 * time.Millisecond
-	// changesAtOnce changes are written immediately after that in half of the restores, so that the lost
+	lostChanges     = 8
+	lostChangesLead = 300 * time.Millisecond
+	// immediateChanges changes are written immediately after that in half of the restores, so that the lost
 	// revisions are soon assigned again. In the other half they stay unassigned for long.
-	changesAtOnce = 6
+	immediateChanges = 6
 )
 
 // drawRestores adds the restores of a seed, from a random source of their own.
@@ -36,15 +36,15 @@
 	for range int(math.Ceil(s.RestoresPerSec * s.Trouble.Seconds())) {
 		f := drawFault(rng, s.Trouble)
 		f.Kind = restoreStore
-		f.For = shortestAway + time.Duration(rng.Int64N(int64(moreAway)))
+		f.For = minOutage + time.Duration(rng.Int64N(int64(outageRange)))
 		p.Faults = append(p.Faults, f)
 	}
 }
 
-// copies holds the most recent backups of the store, oldest first.
-type copies struct{ list []datedCopy }
+// backups holds the most recent backups of the store, oldest first.
+type backups struct{ list []backup }
 
-type datedCopy struct {
+type backup struct {
 	at    time.Time
 	store *standin.StoreCopy
 }
@@ -54,21 +54,21 @@
 	for s.ctx.Err() == nil {
 		now := time.Now()
 		s.mu.Lock()
-		s.copies.add(datedCopy{now, s.store.Copy()})
+		s.copies.add(backup{now, s.store.Copy()})
 		s.mu.Unlock()
-		pause(s.ctx, copyInterval)
+		pause(s.ctx, backupInterval)
 	}
 }
 
-func (c *copies) add(d datedCopy) {
+func (c *backups) add(d backup) {
 	c.list = append(c.list, d)
-	for d.at.Sub(c.list[0].at) > oldestCopy {
+	for d.at.Sub(c.list[0].at) > maxBackupAge {
 		c.list = c.list[1:]
 	}
 }
 
-// of returns the newest backup that has at least the given age, or the oldest one.
-func (c *copies) of(age time.Duration, now time.Time) *standin.StoreCopy {
+// atLeastAsOldAs returns the newest backup that has at least the given age, or the oldest one.
+func (c *backups) atLeastAsOldAs(age time.Duration, now time.Time) *standin.StoreCopy {
 	found := c.list[0]
 	for _, d := range c.list {
 		if now.Sub(d.at) >= age {
@@ -80,31 +80,31 @@
 
 // restore makes the store unreachable and restores it from a backup. The changes that follow are checked.
 func (s *injector) restore(f *Fault) {
-	age := time.Second + time.Duration(f.Variant%int(oldestCopy/time.Millisecond))*time.Millisecond
+	age := time.Second + time.Duration(f.Variant%int(maxBackupAge/time.Millisecond))*time.Millisecond
 	s.storeMu.Lock()
-	for range changesLost {
+	for range lostChanges {
 		s.addKey()
 	}
-	pause(s.ctx, lostBefore)
+	pause(s.ctx, lostChangesLead)
 	s.disturbStore(func() {
 		mode := storeModes[f.Variant%len(storeModes)]
 		s.setModes(s.endpoints, mode, f.For, func() {
 			s.mu.Lock()
-			copied := s.copies.of(age, time.Now())
+			copied := s.copies.atLeastAsOldAs(age, time.Now())
 			s.mu.Unlock()
 			s.store.Restore(copied)
 			s.ledger.Restored(time.Now())
 		})
-		pause(s.ctx, rewriteTime)
+		pause(s.ctx, rewriteDelay)
 		s.rewrite()
 		if f.Target%2 == 0 {
-			for range changesAtOnce {
+			for range immediateChanges {
 				s.addKey()
 			}
 		}
 	})
 	s.storeMu.Unlock()
-	pause(s.ctx, s.ledger.bounds.Contact+2*settling)
+	pause(s.ctx, s.ledger.bounds.SyncTime+2*settling)
 	s.revokeKey(f.Target)
 	p, r := s.at(f.Target)
 	s.drain(p, r, f.Variant%2 == 0)
@@ -137,7 +137,7 @@
 	if len(gone) == 0 {
 		return
 	}
-	time.AfterFunc(expiryTime-rewriteTime, func() {
+	time.AfterFunc(expiryTime-rewriteDelay, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for _, id := range gone {
--- a/internal/soak/restore_test.go
+++ b/internal/soak/restore_test.go
@@ -123,18 +123,18 @@
 // TestCopiesAreKeptForAWhile checks the selection of backups by age, and that old ones are dropped.
 func TestCopiesAreKeptForAWhile(t *testing.T) {
 	s := newSite(newLedger(defaultBounds()))
-	var c copies
+	var c backups
 	for i := range 100 {
 		s.store.Put("k", []byte{byte(i)})
-		c.add(datedCopy{at(float64(i) / 4), s.store.Copy()})
+		c.add(backup{at(float64(i) / 4), s.store.Copy()})
 	}
-	if first := c.list[0].at; at(99.0/4).Sub(first) > oldestCopy {
+	if first := c.list[0].at; at(99.0/4).Sub(first) > maxBackupAge {
 		t.Errorf("the oldest backup is from %v", first)
 	}
 	now := at(99.0 / 4)
 	for _, age := range []time.Duration{0, time.Second, 5 * time.Second} {
-		s.store.Restore(c.of(age, now))
-		if got, want := s.store.Put("k", nil), uint64(101-age/copyInterval); got != want {
+		s.store.Restore(c.atLeastAsOldAs(age, now))
+		if got, want := s.store.Put("k", nil), uint64(101-age/backupInterval); got != want {
 			t.Errorf("backup with age %v: the next revision is %d, want %d", age, got, want)
 		}
 	}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -43,10 +43,10 @@
 
 // Parameters of a run.
 const (
-	startTimeout  = 10 * time.Second
-	judgeInterval = 2 * time.Second
-	endWindow     = 4 * time.Second
-	leastAtEnd    = 20
+	startTimeout        = 10 * time.Second
+	judgeInterval       = 2 * time.Second
+	recoveryWindow      = 4 * time.Second
+	minRecoveryRequests = 20
 )
 
 // runner is a run in progress.
@@ -121,7 +121,7 @@
 	s.ledger.Ready(time.Now())
 	if p.Steady != nil {
 		// All daemons are up to date when traffic begins, so that all of it is checked.
-		pause(ctx, s.ledger.bounds.Contact)
+		pause(ctx, s.ledger.bounds.SyncTime)
 	}
 	return ctx.Err()
 }
@@ -205,9 +205,9 @@
 	})
 	s.run(r.plan)
 	upgrades.Wait()
-	pause(ctx, r.plan.Quiet-endWindow)
+	pause(ctx, r.plan.Quiet-recoveryWindow)
 	r.site.ledger.BeginRecoveryCheck(time.Now())
-	pause(ctx, min(r.plan.Quiet, endWindow))
+	pause(ctx, min(r.plan.Quiet, recoveryWindow))
 	hangUp()
 	callers.Wait()
 	endJudging()
@@ -228,15 +228,15 @@
 // and each daemon serves its metrics.
 func (r *runner) judgeEnd() {
 	now := time.Now()
-	served, all := r.site.ledger.Served(now.Add(-endWindow), now.Add(-time.Second/2))
+	served, all := r.site.ledger.Served(now.Add(-recoveryWindow), now.Add(-time.Second/2))
 	totalServed, total := r.site.ledger.Served(r.begun, now)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report.Requests, r.report.Served = total, totalServed
-	r.report.Crowded, r.report.Ended = r.site.ledger.Crowded(), r.site.ledger.Ends()
+	r.report.Crowded, r.report.Ended = r.site.ledger.MaxOverloadShare(), r.site.ledger.Ends()
 	r.report.Rests, r.report.Leavers = r.site.ledger.Rests(), r.site.ledger.Leavers()
 	r.report.Share, r.report.QuietShare = share(totalServed, total), share(served, all)
-	if all < leastAtEnd || r.report.QuietShare < r.site.ledger.bounds.Share {
+	if all < minRecoveryRequests || r.report.QuietShare < r.site.ledger.bounds.MinServed {
 		r.report.Violations = append(r.report.Violations, Violation{Promise: "RECOVER", Subject: "fleet", At: now, Detail: fmt.Sprintf("only %d of %d requests were served at the end of the quiet time", served, all)})
 	}
 	for _, d := range r.site.fleet.daemons {
--- a/internal/soak/serving.go
+++ b/internal/soak/serving.go
@@ -20,15 +20,15 @@
 
 // Parameters of false crash reports.
 const (
-	// endsRepeat is the interval at which they are sent again, as daemons do.
-	endsRepeat = 200 * time.Millisecond
-	// oldestFalseEnd limits the age of a crash when it is first reported.
-	oldestFalseEnd = 5 * time.Second
+	// crashReportInterval is the interval at which they are sent again, as daemons do.
+	crashReportInterval = 200 * time.Millisecond
+	// maxFalseCrashAge limits the age of a crash when it is first reported.
+	maxFalseCrashAge = 5 * time.Second
 )
 
-// drawFalseEnds adds the faults of daemons that send false crash reports, from a random source of
+// drawFalseCrashes adds the faults of daemons that send false crash reports, from a random source of
 // their own.
-func (p *Plan) drawFalseEnds(seed uint64, s Shape) {
+func (p *Plan) drawFalseCrashes(seed uint64, s Shape) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	for range int(math.Ceil(s.FalseEndsPerSec * s.Trouble.Seconds())) {
 		f := drawFault(rng, s.Trouble)
@@ -41,9 +41,9 @@
 // ago, each during a different request.
 func (s *injector) tellFalseEnds(f *Fault) {
 	_, first := s.at(f.Target)
-	at := time.Now().Add(-time.Duration(f.Variant%1000) * oldestFalseEnd / 1000)
-	reports := s.falseEnds(first.Service, f.Variant)
-	for end := time.Now().Add(f.For); time.Now().Before(end) && s.ctx.Err() == nil; pause(s.ctx, endsRepeat) {
+	at := time.Now().Add(-time.Duration(f.Variant%1000) * maxFalseCrashAge / 1000)
+	reports := s.falseCrashReports(first.Service, f.Variant)
+	for end := time.Now().Add(f.For); time.Now().Before(end) && s.ctx.Err() == nil; pause(s.ctx, crashReportInterval) {
 		for i := range reports {
 			reports[i].Age = time.Since(at)
 		}
@@ -58,8 +58,8 @@
 	}
 }
 
-// falseEnds returns crash reports of the replicas of a service.
-func (s *injector) falseEnds(service string, variant int) []routing.CrashReport {
+// falseCrashReports returns crash reports of the replicas of a service.
+func (s *injector) falseCrashReports(service string, variant int) []routing.CrashReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []routing.CrashReport
@@ -82,8 +82,8 @@
 	_, _ = conn.Write(payload) // the next one replaces a lost one
 }
 
-// findsNone are the reasons of refusals by a daemon that found no replica to send to.
-var findsNone = []string{string(coordination.ReasonNoUpstream), string(coordination.ReasonCold), string(coordination.ReasonResting)}
+// noReplicaReasons are the reasons of refusals by a daemon that found no replica to send to.
+var noReplicaReasons = []string{string(coordination.ReasonNoUpstream), string(coordination.ReasonCold), string(coordination.ReasonResting)}
 
 // judgeServing reports daemons that were up to date and refused all requests for a service for too
 // long because they found no replica, while one was live, undisturbed, warm and ready all the time.
@@ -99,13 +99,13 @@
 			continue
 		}
 		k := key{r.by(), service}
-		if !slices.Contains(findsNone, r.answer.Reason) || len(r.arrivals) > 0 {
+		if !slices.Contains(noReplicaReasons, r.answer.Reason) || len(r.arrivals) > 0 {
 			delete(refused, k)
 			continue
 		}
 		refused[k] = append(refused[k], r)
 		first := refused[k][0].Sent
-		if took := r.answer.At.Sub(first); took > j.bounds.Refusing && j.inTouch(r.Daemon, first, r.answer.At) && j.someServes(service, first, r.answer.At) {
+		if took := r.answer.At.Sub(first); took > j.bounds.MaxRefusal && j.inTouch(r.Daemon, first, r.answer.At) && j.hasUsableReplica(service, first, r.answer.At) {
 			j.out = append(j.out, Violation{
 				Promise: "SERVES", Subject: fmt.Sprintf("%s at daemon %d, %v", service, r.Daemon, first.UnixMilli()), At: r.answer.At,
 				Detail: fmt.Sprintf("daemon %d refused %d requests in %v because it found no replica (%s), although one is live", r.Daemon, len(refused[k]), took, r.answer.Reason),
@@ -132,7 +132,7 @@
 	service := ""
 	for _, c := range j.routes[r.Route.Name] {
 		if !c.at.After(r.Sent) {
-			service = c.value
+			service = c.service
 		}
 		if since := r.Sent.Sub(c.at); since > -j.bounds.Apply && since < j.bounds.Apply {
 			return "", false
@@ -141,10 +141,10 @@
 	return service, service != ""
 }
 
-// someServes reports whether a replica of a service was usable throughout a period.
-func (j *judgement) someServes(service string, from, to time.Time) bool {
+// hasUsableReplica reports whether a replica of a service was usable throughout a period.
+func (j *judgement) hasUsableReplica(service string, from, to time.Time) bool {
 	for replica, joined := range j.joined[service] {
-		before := from.Add(-j.bounds.Contact)
+		before := from.Add(-j.bounds.SyncTime)
 		well := calm(j.replicas[replica], before, to) && calm(j.aside[replica], before, to) && calm(j.leaving[replica], before, to)
 		if well && joined.Before(before) && !j.heldBack(replica, from) && !j.heldBack(replica, to) {
 			return true
--- a/internal/soak/steady.go
+++ b/internal/soak/steady.go
@@ -25,9 +25,9 @@
 	replicasPerDaemon = 1.29 // 112 replicas for 87 daemons, as in the production fleet
 	callersPerDaemon  = 4    // some 2.5 requests at each replica
 	promptsPerReplica = 9
-	leastHotShare     = 0.1
-	mostHotShare      = 0.3
-	mostHotPrompts    = 12
+	minHotShare       = 0.1
+	maxHotShare       = 0.3
+	maxHotPrompts     = 12
 	hotDecay          = 0.7 // the weight of hot prompt i is (i+1)^-hotDecay
 	hotAfter          = 5 * time.Second
 	shortTokens       = 900
@@ -55,7 +55,7 @@
 	}
 	p.Steady = &Steady{
 		Prompts: promptsPerReplica * p.Chat, HotAt: hotAfter, HotTokens: []int{shortTokens, longTokens}[rng.IntN(2)],
-		HotShares: drawSubject(rng),
+		HotShares: drawHotShares(rng),
 	}
 	for range int(steadyFaults * s.Trouble.Seconds()) {
 		f := drawFault(rng, s.Trouble)
@@ -66,10 +66,10 @@
 	return p
 }
 
-// drawSubject draws the fractions of the streams that the hot prompts get.
-func drawSubject(rng *rand.Rand) []float64 {
-	total := leastHotShare + rng.Float64()*(mostHotShare-leastHotShare)
-	shares, sum := make([]float64, 3+rng.IntN(mostHotPrompts-2)), 0.0
+// drawHotShares draws the fractions of the streams that the hot prompts get.
+func drawHotShares(rng *rand.Rand) []float64 {
+	total := minHotShare + rng.Float64()*(maxHotShare-minHotShare)
+	shares, sum := make([]float64, 3+rng.IntN(maxHotPrompts-2)), 0.0
 	for i := range shares {
 		shares[i] = math.Pow(float64(i+1), -hotDecay)
 		sum += shares[i]
@@ -80,9 +80,9 @@
 	return shares
 }
 
-// subject draws the prompt of a stream at a time of the run, and returns how many tokens its
+// drawPrompt draws the prompt of a stream at a time of the run, and returns how many tokens its
 // requests share.
-func (s *Steady) subject(at time.Duration) (subject, tokens int) {
+func (s *Steady) drawPrompt(at time.Duration) (subject, tokens int) {
 	draw := rand.Float64()
 	if at >= s.HotAt {
 		for i, share := range s.HotShares {
--- a/internal/soak/upgrade.go
+++ b/internal/soak/upgrade.go
@@ -29,8 +29,8 @@
 
 // Parameters of upgrades.
 const (
-	shortestGap = 100 * time.Millisecond
-	longestGap  = 900 * time.Millisecond
+	minGap = 100 * time.Millisecond
+	maxGap = 900 * time.Millisecond
 )
 
 // drawUpgrades adds the upgrades of a seed, from a random source of their own: the fleet begins with
@@ -41,7 +41,7 @@
 	step := func(part float64, to Build, count int) {
 		p.Upgrades = append(p.Upgrades, Upgrade{
 			At: time.Duration(part * float64(p.Trouble)), To: to, First: rng.IntN(p.Daemons), Count: count,
-			Gap: shortestGap + time.Duration(rng.Int64N(int64(longestGap-shortestGap))),
+			Gap: minGap + time.Duration(rng.Int64N(int64(maxGap-minGap))),
 		})
 	}
 	part := p.Daemons
