--- a/cmd/hingesoak/main.go
+++ b/cmd/hingesoak/main.go
@@ -175,8 +175,8 @@
 	shape := soak.DefaultShape()
 	shape.Trouble, shape.Quiet, shape.MaxDaemons, shape.FaultsPerSec = o.Trouble, o.Quiet, o.Daemons, o.Rate
 	shape.EvacuationsPerSec, shape.Crashing, shape.ForeignPerSec = o.Evacuate, o.Crashing, o.Foreign
-	shape.RestsPerSec, shape.LeavingsPerSec = o.Rests, o.Leavings
-	shape.FalseEndsPerSec, shape.RestoresPerSec, shape.Upgrades = o.Ends, o.Restores, o.Previous != ""
+	shape.BackoffsPerSec, shape.DeparturesPerSec = o.Rests, o.Leavings
+	shape.FalseCrashesPerSec, shape.RestoresPerSec, shape.Upgrades = o.Ends, o.Restores, o.Previous != ""
 	plan := soak.NewPlan(seed, shape)
 	if o.Steady {
 		plan = soak.NewSteadyPlan(seed, o.Daemons, shape)
@@ -187,7 +187,7 @@
 		return nil, err
 	}
 	fmt.Printf("seed %d: %d daemons, %d faults, %d requests, %.3f served, %.3f at the end, %.3f at crowded replicas, %d replicas ended by requests, %d rests, %d left by answers, %d violations\n",
-		seed, plan.Daemons, len(plan.Faults), report.Requests, report.Share, report.QuietShare, report.Crowded, report.Ended, report.Rests, report.Leavers, len(report.Violations))
+		seed, plan.Daemons, len(plan.Faults), report.Requests, report.Share, report.QuietShare, report.OverloadShare, report.Crashed, report.Backoffs, report.Departures, len(report.Violations))
 	for i, v := range report.Violations {
 		const shown = 12
 		if i == shown {
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -161,9 +161,9 @@
 	}
 	begun := time.Now()
 	body, err := io.ReadAll(resp.Body)
-	a := Answer{At: time.Now(), Begun: begun, Status: resp.StatusCode, Seal: standin.Sealed(resp.Header), Body: string(body), Whole: err == nil, Err: err}
+	a := Answer{At: time.Now(), Begun: begun, Status: resp.StatusCode, Seal: standin.Sealed(resp.Header), Body: string(body), Complete: err == nil, Err: err}
 	a.Reason = resp.Header.Get(protocol.HeaderReason)
-	a.Held = a.Reason == string(coordination.ReasonHeldBack)
+	a.Quarantined = a.Reason == string(coordination.ReasonHeldBack)
 	c.site.ledger.Answered(q.ID, a)
 	if c.uses--; err != nil || resp.Close || c.uses <= 0 {
 		c.hangUp()
@@ -182,7 +182,7 @@
 func (c *caller) abandon(q *Request) Answer {
 	_, _ = c.conn.Write([]byte(q.text()))
 	time.Sleep(rand.N(mostWork))
-	c.site.ledger.Left(q.ID, time.Now())
+	c.site.ledger.Disconnected(q.ID, time.Now())
 	c.hangUp()
 	return Answer{}
 }
--- a/internal/soak/crashing.go
+++ b/internal/soak/crashing.go
@@ -135,21 +135,21 @@
 	return false
 }
 
-// crashedByRequest terminates a replica, and after a delay starts another one in its place, or
+// restartAfterCrash terminates a replica, and after a delay starts another one in its place, or
 // the same one again under its id.
-func (s *site) crashedByRequest(p *place, r *Replica) {
+func (s *site) restartAfterCrash(p *place, r *Replica) {
 	if !s.takeDown(p, r) {
 		r.End()
 		return
 	}
 	from := time.Now()
 	s.ledger.DisturbReplica(r.ID, from, from.Add(time.Hour))
-	s.endReplica(p, r)
+	s.terminateReplica(p, r)
 	go func() {
 		ctx := s.fleet.ctx
 		if rand.IntN(2) == 0 {
 			pause(ctx, minRestartDelay+rand.N(maxSameIDRestartDelay-minRestartDelay))
-			s.ledger.CalmReplica(r.ID, from, time.Now())
+			s.ledger.EndReplicaDisturbance(r.ID, from, time.Now())
 			if ctx.Err() == nil && p.link.Reopen() == nil {
 				_ = s.beginAs(r.ID, p, r.Service)
 			}
@@ -160,24 +160,24 @@
 		if expiry.Stop() {
 			s.remove(r)
 		}
-		s.ledger.CalmReplica(r.ID, from, time.Now())
+		s.ledger.EndReplicaDisturbance(r.ID, from, time.Now())
 		if ctx.Err() == nil {
-			_ = s.beginAgain(p, r.Service)
+			_ = s.startReplacement(p, r.Service)
 		}
 	}()
 }
 
-// endReplica terminates a replica. Where the site's replicas refuse, new connections are refused
+// terminateReplica terminates a replica. Where the site's replicas refuse, new connections are refused
 // until another one starts in its place.
-func (s *site) endReplica(p *place, r *Replica) {
+func (s *site) terminateReplica(p *place, r *Replica) {
 	if s.refuses {
 		p.link.Close()
 	}
 	r.End()
 }
 
-// beginAgain starts a replica in a place whose previous one has terminated.
-func (s *site) beginAgain(p *place, service string) error {
+// startReplacement starts a replica in a place whose previous one has terminated.
+func (s *site) startReplacement(p *place, service string) error {
 	if s.refuses {
 		if err := p.link.Reopen(); err != nil {
 			return err
@@ -238,8 +238,8 @@
 	return out
 }
 
-// Ends returns how many replicas crashing requests crashed.
-func (l *Ledger) Ends() int {
+// Crashes returns how many replicas crashing requests crashed.
+func (l *Ledger) Crashes() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
@@ -254,7 +254,7 @@
 // by the end of the quiet time a complete response has cleared it.
 func (j *judgement) judgeInnocent(r *record) {
 	isPoll := r.Target == pollTarget
-	if r.Crashing == 0 && r.answer.Held && (!isPoll || r.Sent.After(j.recoveryCheckFrom) && !j.recoveryCheckFrom.IsZero()) {
+	if r.Crashing == 0 && r.answer.Quarantined && (!isPoll || r.Sent.After(j.recoveryCheckFrom) && !j.recoveryCheckFrom.IsZero()) {
 		j.add("HELD", r, r.answer.At, "daemon %d quarantined a request for %s, which crashes no replica", r.Daemon, r.Target)
 	}
 }
--- a/internal/soak/crashing_test.go
+++ b/internal/soak/crashing_test.go
@@ -39,12 +39,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d replicas crashed; %.3f of %d other requests were served, %.3f at the end", report.Ended, report.Share, report.Requests, report.QuietShare)
+	t.Logf("%d replicas crashed; %.3f of %d other requests were served, %.3f at the end", report.Crashed, report.Share, report.Requests, report.QuietShare)
 	for _, v := range report.Violations {
 		t.Errorf("%s %s: %s", v.Promise, v.Subject, v.Detail)
 	}
-	if least := 3 * len(plan.Crashing); report.Ended < least {
-		t.Errorf("only %d replicas crashed; too few for what this test checks", report.Ended)
+	if least := 3 * len(plan.Crashing); report.Crashed < least {
+		t.Errorf("only %d replicas crashed; too few for what this test checks", report.Crashed)
 	}
 }
 
@@ -138,7 +138,7 @@
 		l.RouteTo("safe", "gate", time.Time{})
 		l.BeginRecoveryCheck(at(110))
 		l.Sent(Request{ID: "q", Route: routes[1], Target: c.target, Key: "k", Sent: at(c.sent), Deadline: at(c.sent + 2), Crashing: c.crashing})
-		l.Answered("q", Answer{At: at(c.sent), Status: 503, Held: c.held})
+		l.Answered("q", Answer{At: at(c.sent), Status: 503, Quarantined: c.held})
 		broken := slices.ContainsFunc(l.Judge(at(200)), func(v Violation) bool { return v.Promise == "HELD" })
 		if broken != c.broken {
 			t.Errorf("%s: broken %t, want %t", c.name, broken, c.broken)
--- a/internal/soak/departing.go
+++ b/internal/soak/departing.go
@@ -46,7 +46,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.record(request)
-	r.leavers = append(r.leavers, replica)
+	r.departing = append(r.departing, replica)
 }
 
 // Leavers returns how many replicas have said in their answers that they leave.
@@ -55,7 +55,7 @@
 	defer l.mu.Unlock()
 	seen := make(map[string]bool)
 	for _, r := range l.order {
-		for _, replica := range r.leavers {
+		for _, replica := range r.departing {
 			seen[replica] = true
 		}
 	}
@@ -98,7 +98,7 @@
 func (j *judgement) leavings() (told map[path]time.Time, first map[string]passedOn) {
 	told, first = make(map[path]time.Time), make(map[string]passedOn)
 	for _, r := range j.order {
-		if r.answer == nil || !slices.Contains(r.leavers, r.answer.Seal) || j.isPrevious(r.by()) {
+		if r.answer == nil || !slices.Contains(r.departing, r.answer.Seal) || j.isPrevious(r.by()) {
 			continue
 		}
 		replica, at := r.answer.Seal, r.answer.Begun
--- a/internal/soak/evacuate.go
+++ b/internal/soak/evacuate.go
@@ -96,7 +96,7 @@
 func (l *Ledger) Evacuates(domain string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.emptied[domain] = append(l.emptied[domain], span{at, at.Add(time.Hour)})
+	l.evacuations[domain] = append(l.evacuations[domain], span{at, at.Add(time.Hour)})
 }
 
 // TakesBack notes that an evacuation, which began at a time, ends. Of two that overlap the
@@ -104,8 +104,8 @@
 func (l *Ledger) TakesBack(domain string, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for i := range l.emptied[domain] {
-		if e := &l.emptied[domain][i]; e.to.After(to) {
+	for i := range l.evacuations[domain] {
+		if e := &l.evacuations[domain][i]; e.to.After(to) {
 			e.to = to
 		}
 	}
@@ -121,7 +121,7 @@
 // judgeEvacuated looks for requests that reached an evacuated domain.
 func (j *judgement) judgeEvacuated(r *record) {
 	for _, a := range r.arrivals {
-		for _, e := range j.emptied[j.domains[a.Replica]] {
+		for _, e := range j.evacuations[j.domains[a.Replica]] {
 			late := a.At.Sub(e.from)
 			if late <= j.bounds.Evacuate || !a.At.Before(e.to) {
 				continue
@@ -180,5 +180,5 @@
 	isCold := slices.ContainsFunc(j.cold[replica], func(c coldSpan) bool {
 		return !at.Before(c.from) && at.Before(c.to.Add(j.bounds.Apply))
 	})
-	return isCold || !calm(j.emptied[j.domains[replica]], at.Add(-coldStart-settling), at.Add(1))
+	return isCold || !calm(j.evacuations[j.domains[replica]], at.Add(-coldStart-settling), at.Add(1))
 }
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -172,7 +172,7 @@
 		return
 	}
 	if !expected {
-		d.fleet.ledger.EndedByItself(fmt.Sprintf("d%d", d.number), time.Now(), fmt.Sprint(err))
+		d.fleet.ledger.TerminatedUnexpectedly(fmt.Sprintf("d%d", d.number), time.Now(), fmt.Sprint(err))
 	}
 	pause(d.fleet.ctx, restartPause)
 	if d.fleet.ctx.Err() == nil {
--- a/internal/soak/foreign.go
+++ b/internal/soak/foreign.go
@@ -66,7 +66,7 @@
 	delete(s.entries, r.ID)
 	s.store.PutEntry(r.ID, foreignEntry(f.Variant/8, r.Service, p.link.Address()))
 	s.mu.Unlock()
-	s.ledger.Leaves(r.ID, time.Now())
+	s.ledger.Departed(r.ID, time.Now())
 	pause(s.ctx, f.For)
 	s.mu.Lock()
 	serves := p.current == r && !p.idle
@@ -111,5 +111,5 @@
 func (l *Ledger) Trapped(at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ended = append(l.ended, Violation{Promise: "ENTRY", Subject: "trap", At: at, Detail: "a daemon connected to an address that only unusable entries name"})
+	l.terminations = append(l.terminations, Violation{Promise: "ENTRY", Subject: "trap", At: at, Detail: "a daemon connected to an address that only unusable entries name"})
 }
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -47,7 +47,7 @@
 	var wg sync.WaitGroup
 	begun := time.Now()
 	if slices.ContainsFunc(p.Faults, func(f Fault) bool { return f.Kind == restoreStore }) {
-		go s.keepCopies()
+		go s.backUpPeriodically()
 	}
 	for _, f := range p.Faults {
 		wg.Go(func() {
@@ -72,16 +72,16 @@
 	}
 	inject()
 	for _, d := range daemons {
-		s.ledger.Calm(d.number, from, time.Now().Add(settling))
+		s.ledger.EndDaemonDisturbance(d.number, from, time.Now().Add(settling))
 	}
 }
 
 func (s *injector) inject(f *Fault) {
 	s.note("%s target %d variant %d for %v", f.Kind, f.Target, f.Variant, f.For.Round(time.Millisecond))
 	switch f.Kind {
-	case killDaemon, killAll, freezeDaemon, stopDaemon, hangupDaemon:
+	case killDaemon, killAll, freezeDaemon, stopDaemon, reloadDaemon:
 		s.injectProcess(f)
-	case storeAway, storeTurns, storeExpires, storeForgets:
+	case storeUnreachable, storeRejects, storeExpires, storeLosesHistory:
 		s.injectStore(f)
 	case restoreStore:
 		s.restore(f)
@@ -97,17 +97,17 @@
 		s.evacuate(f)
 	case foreignEntries:
 		s.writeForeign(f)
-	case restReplicas:
+	case backoffReplicas:
 		s.rest(f)
-	case falseEnds:
-		s.tellFalseEnds(f)
-	case leaveByAnswers:
+	case falseCrashes:
+		s.sendFalseCrashReports(f)
+	case departInResponses:
 		s.leaveByAnswers(f)
-	case callersRepeat:
+	case callersRetry:
 		s.callerFaults.repeat.Store(2)
 		pause(s.ctx, f.For)
 		s.callerFaults.repeat.Store(0)
-	case callersLeave:
+	case callersDisconnect:
 		s.callerFaults.leave.Store(30)
 		pause(s.ctx, f.For)
 		s.callerFaults.leave.Store(0)
@@ -135,7 +135,7 @@
 		})
 	case stopDaemon:
 		s.stop(d)
-	case hangupDaemon:
+	case reloadDaemon:
 		s.hangUp(d, f.Variant)
 	}
 }
@@ -144,12 +144,12 @@
 // kill ends, is judged by nobody: the other fault disturbs the daemon.
 func (s *injector) stop(d *daemon) {
 	from := time.Now()
-	s.ledger.Stopped(d.number, from, from.Add(time.Hour))
+	s.ledger.ShutdownBegan(d.number, from, from.Add(time.Hour))
 	inTime := d.stop(s.ctx)
 	now := time.Now()
-	s.ledger.StoppedUntil(d.number, from, now.Add(restartPause+settling))
+	s.ledger.ShutdownEnded(d.number, from, now.Add(restartPause+settling))
 	if !inTime {
-		s.ledger.StopTooLong(d.number, from, now)
+		s.ledger.ShutdownTimedOut(d.number, from, now)
 	}
 }
 
--- a/internal/soak/inject_replica.go
+++ b/internal/soak/inject_replica.go
@@ -11,7 +11,7 @@
 	from := time.Now()
 	s.ledger.DisturbReplica(r.ID, from, from.Add(time.Hour))
 	inject()
-	s.ledger.CalmReplica(r.ID, from, time.Now().Add(settling))
+	s.ledger.EndReplicaDisturbance(r.ID, from, time.Now().Add(settling))
 }
 
 func (s *injector) injectReplica(f *Fault) {
@@ -68,11 +68,11 @@
 		return
 	}
 	s.disturbReplica(r, func() {
-		s.endReplica(p, r)
+		s.terminateReplica(p, r)
 		pause(s.ctx, max(down, expiryTime))
 		s.remove(r)
 	})
-	_ = s.beginAgain(p, next)
+	_ = s.startReplacement(p, next)
 }
 
 // drain replaces a replica: the new one starts, the old one says that it leaves,
@@ -84,7 +84,7 @@
 	}
 	if announced {
 		s.announce(p, r, true)
-		s.ledger.Leaves(r.ID, time.Now())
+		s.ledger.Departed(r.ID, time.Now())
 	} else {
 		s.remove(r)
 	}
--- a/internal/soak/inject_store.go
+++ b/internal/soak/inject_store.go
@@ -17,16 +17,16 @@
 	defer s.storeMu.Unlock()
 	mode := storeModes[f.Variant%len(storeModes)]
 	switch f.Kind {
-	case storeAway:
+	case storeUnreachable:
 		s.disturbStore(func() { s.setModes(s.endpoints, mode, f.For, nil) })
 	case storeExpires:
 		s.disturbStore(func() { s.setModes(s.endpoints, mode, f.For, s.expireEntries(f)) })
-	case storeTurns:
+	case storeRejects:
 		// Daemons that are turned away learn from their peers, so that their
 		// bounds hold.
 		turned := 1 + f.Target%max(1, len(s.endpoints)/2)
 		s.setModes(s.endpoints[:turned], mode, f.For, nil)
-	case storeForgets:
+	case storeLosesHistory:
 		s.store.SilenceWatches()
 		s.changeConfig(&Fault{Kind: revokeKey, Target: f.Target})
 		pause(s.ctx, time.Second)
@@ -39,7 +39,7 @@
 	from := time.Now()
 	s.ledger.DisturbStore(from, from.Add(time.Hour))
 	inject()
-	s.ledger.CalmStore(from, time.Now().Add(settling))
+	s.ledger.EndStoreDisturbance(from, time.Now().Add(settling))
 }
 
 // setModes sets the mode of some endpoints for a time; meanwhile runs then.
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -35,8 +35,8 @@
 	Cold     int
 	// Crashing limits the spread of requests that crash the replicas that run them.
 	Crashing crashingBounds
-	// Resting limits what reaches replicas that requested a backoff.
-	Resting restingBounds
+	// Backoffs limits what reaches replicas that requested a backoff.
+	Backoffs restingBounds
 	// MaxRefusal is how long a daemon may refuse requests that a live replica could serve.
 	MaxRefusal time.Duration
 }
@@ -50,7 +50,7 @@
 		Limit:    limitBounds{Window: 5 * time.Second, Factor: 2, Slack: 3, MinRequests: 20, MaxShare: 0.03},
 		Evacuate: 2500 * time.Millisecond, Cold: coldOverage*coldPerSecond + coldSlack,
 		Crashing:   crashingBounds{Crashes: 3, LaterArrivals: 3},
-		Resting:    restingBounds{Grace: 500 * time.Millisecond, Most: 2},
+		Backoffs:   restingBounds{Grace: 500 * time.Millisecond, Most: 2},
 		MaxRefusal: time.Second,
 	}
 }
@@ -79,7 +79,7 @@
 	j.judgeServing()
 	j.judgeLimit()
 	j.judgeCold()
-	j.out = append(j.out, l.ended...)
+	j.out = append(j.out, l.terminations...)
 	var fresh []Violation
 	for _, v := range j.out {
 		key := v.Promise + " " + v.Subject
@@ -132,7 +132,7 @@
 // the store were undisturbed, from SyncTime before the first on.
 func (j *judgement) inTouch(daemon int, from, to time.Time) bool {
 	from = from.Add(-j.bounds.SyncTime)
-	return calm(j.daemons[daemon], from, to) && calm(j.store, from, to) && calm(j.stops[daemon], from, to)
+	return calm(j.daemons[daemon], from, to) && calm(j.store, from, to) && calm(j.shutdowns[daemon], from, to)
 }
 
 // undisturbed is inTouch without regard to the store and to graceful shutdowns.
@@ -197,7 +197,7 @@
 }
 
 func (j *judgement) judgeDrain(r *record, run *Run) {
-	for _, left := range j.leaving[run.Replica] {
+	for _, left := range j.departures[run.Replica] {
 		late := run.At.Sub(left.from)
 		if late > j.bounds.Drain && run.At.Before(left.to) && j.inTouch(r.Daemon, left.from, run.At) && calm(j.replicas[run.Replica], left.from, run.At) && !j.missesEras(r) {
 			j.add("DRAIN", r, run.At, "reached %s %v after the store accepted its departure, through daemon %d", run.Replica, late, r.Daemon)
@@ -217,7 +217,7 @@
 }
 
 func (j *judgement) judgeLeaving(r *record) {
-	if r.left.IsZero() || !j.undisturbed(r.Daemon, r.left, r.left.Add(j.bounds.Cancel)) {
+	if r.disconnected.IsZero() || !j.undisturbed(r.Daemon, r.disconnected, r.disconnected.Add(j.bounds.Cancel)) {
 		return
 	}
 	for _, run := range r.runs {
@@ -226,8 +226,8 @@
 			ended = j.now
 		}
 		reached := calm(j.replicas[run.Replica], run.At, ended)
-		if reached && ended.Sub(r.left) > j.bounds.Cancel {
-			j.addTolerated("GONE", r, ended, "%s worked for %v after its caller disconnected", run.Replica, ended.Sub(r.left))
+		if reached && ended.Sub(r.disconnected) > j.bounds.Cancel {
+			j.addTolerated("GONE", r, ended, "%s worked for %v after its caller disconnected", run.Replica, ended.Sub(r.disconnected))
 		}
 	}
 }
@@ -250,17 +250,17 @@
 		j.add("MIXED", r, a.At, "success carries seal %q, which is not of a replica that ran it", a.Seal)
 	case r.Route.Stream:
 		j.judgeStream(r)
-	case a.Whole && a.Body != plainBody(r.ID, a.Seal):
+	case a.Complete && a.Body != plainBody(r.ID, a.Seal):
 		j.add("MIXED", r, a.At, "body of %d bytes differs from the replica's: %.60q", len(a.Body), a.Body)
 	}
 }
 
 func (j *judgement) judgeStream(r *record) {
 	want, got := streamBody(r.ID, 0), r.answer.Body
-	if r.answer.Whole && got != want {
+	if r.answer.Complete && got != want {
 		j.add("ORDER", r, r.answer.At, "stream of %d bytes ended as complete, but the replica's has %d", len(got), len(want))
 	}
-	if !r.answer.Whole && !strings.HasPrefix(want, got) {
+	if !r.answer.Complete && !strings.HasPrefix(want, got) {
 		j.add("ORDER", r, r.answer.At, "partial stream of %d bytes is not a prefix of the replica's stream", len(got))
 	}
 }
@@ -293,7 +293,7 @@
 // was undisturbed, or shut down gracefully, and the replica was undisturbed.
 func (j *judgement) judgeLoss(r *record) {
 	a := r.answer
-	if a.Status != 0 || a.Err == nil || len(r.runs) == 0 || !r.left.IsZero() || a.At.After(r.Deadline) {
+	if a.Status != 0 || a.Err == nil || len(r.runs) == 0 || !r.disconnected.IsZero() || a.At.After(r.Deadline) {
 		return
 	}
 	run := r.runs[len(r.runs)-1]
@@ -317,7 +317,7 @@
 	at := r.answer.At
 	// The cut itself stops the work, without a response, at about the moment that the caller observes.
 	atWork := run.Ended.IsZero() || run.Status == 0 && run.Ended.After(at.Add(-settling))
-	return atWork && slices.ContainsFunc(j.stops[r.Daemon], func(s span) bool {
+	return atWork && slices.ContainsFunc(j.shutdowns[r.Daemon], func(s span) bool {
 		sinceStop := at.Sub(s.from)
 		return r.Sent.Sub(s.from) <= shutdownAcceptTime && sinceStop >= grace*(gracePeriodParts-1)/gracePeriodParts && sinceStop <= grace+settling
 	})
@@ -328,7 +328,7 @@
 	if r.answer != nil {
 		at = r.answer.At
 	}
-	if late := at.Sub(r.Deadline); late > j.bounds.ResponseSlack && r.left.IsZero() && j.undisturbed(r.Daemon, r.Sent, at) {
+	if late := at.Sub(r.Deadline); late > j.bounds.ResponseSlack && r.disconnected.IsZero() && j.undisturbed(r.Daemon, r.Sent, at) {
 		j.addTolerated("CONFIG", r, at, "final response of daemon %d came %v after the deadline", r.Daemon, late)
 	}
 }
--- a/internal/soak/judge_counts.go
+++ b/internal/soak/judge_counts.go
@@ -66,11 +66,11 @@
 	defer l.mu.Unlock()
 	for _, r := range l.order {
 		key := l.keys[r.Key]
-		if !r.known || r.Sent.Before(from) || r.Sent.After(to) || !r.left.IsZero() || key == nil || !key.removed.IsZero() || r.Crashing > 0 {
+		if !r.known || r.Sent.Before(from) || r.Sent.After(to) || !r.disconnected.IsZero() || key == nil || !key.removed.IsZero() || r.Crashing > 0 {
 			continue
 		}
 		all++
-		if r.answer != nil && r.answer.Whole && r.answer.Status/100 == 2 {
+		if r.answer != nil && r.answer.Complete && r.answer.Status/100 == 2 {
 			served++
 		}
 	}
--- a/internal/soak/judge_limit.go
+++ b/internal/soak/judge_limit.go
@@ -43,8 +43,8 @@
 	l.ready = at
 }
 
-// Joins records that a replica of a service began to serve.
-func (l *Ledger) Joins(replica, service string, at time.Time) {
+// Joined records that a replica of a service began to serve.
+func (l *Ledger) Joined(replica, service string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.joined[service] == nil {
@@ -114,7 +114,7 @@
 func (j *judgement) eligible(service string, by processLife, at time.Time) int {
 	n := 0
 	for replica, from := range j.joined[service] {
-		isThere := !from.After(at) && calm(j.leaving[replica], at, at.Add(1))
+		isThere := !from.After(at) && calm(j.departures[replica], at, at.Add(1))
 		if isThere && !j.heldBack(replica, at) && !j.rests(replica, by, at) {
 			n++
 		}
@@ -153,7 +153,7 @@
 // serviceUndisturbed reports whether no replica of a service was disturbed during a time.
 func (j *judgement) serviceUndisturbed(service string, from, to time.Time) bool {
 	for replica := range j.joined[service] {
-		if !calm(j.replicas[replica], from, to) || !calm(j.aside[replica], from, to) {
+		if !calm(j.replicas[replica], from, to) || !calm(j.setAside[replica], from, to) {
 			return false
 		}
 	}
--- a/internal/soak/judge_regress.go
+++ b/internal/soak/judge_regress.go
@@ -14,7 +14,7 @@
 	begun, ok := j.begins[r.by()]
 	from, to := since.Add(-j.bounds.SyncTime), since.Add(bound)
 	return ok && begun.Before(from) && r.Sent.After(to) && !j.isPrevious(r.by()) &&
-		calm(j.daemons[r.Daemon], from, to) && calm(j.stops[r.Daemon], from, to) && calm(j.store, from, to)
+		calm(j.daemons[r.Daemon], from, to) && calm(j.shutdowns[r.Daemon], from, to) && calm(j.store, from, to)
 }
 
 // missesEras reports whether the process that accepted a request is of the previous build, which does not
@@ -40,7 +40,7 @@
 		if key != nil && !key.removed.IsZero() && j.mustKnow(r, key.removed, j.bounds.Apply) {
 			j.add("CONFIG", r, run.At, "ran with a key whose revocation this process of daemon %d had applied; it was revoked %v earlier", r.Daemon, run.At.Sub(key.removed))
 		}
-		for _, left := range j.leaving[run.Replica] {
+		for _, left := range j.departures[run.Replica] {
 			if run.At.Before(left.to) && j.mustKnow(r, left.from, j.bounds.Drain) {
 				j.add("DRAIN", r, run.At, "reached %s, whose departure this process of daemon %d had received; it was announced %v earlier", run.Replica, r.Daemon, run.At.Sub(left.from))
 			}
--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -44,7 +44,9 @@
 	s.Answered("q", a)
 }
 
-func good() Answer { return Answer{Status: 200, Seal: "r1", Body: plainBody("q", "r1"), Whole: true} }
+func good() Answer {
+	return Answer{Status: 200, Seal: "r1", Body: plainBody("q", "r1"), Complete: true}
+}
 
 // TestJudge covers each guarantee with a case that breaks it and a similar one that does not.
 func TestJudge(t *testing.T) {
@@ -97,7 +99,7 @@
 		{"the same when the store has recovered", "CONFIG", once, func(s *scene) {
 			s.KeyRemoved("k", at(90))
 			s.DisturbStore(at(80), at(4000))
-			s.CalmStore(at(80), at(81))
+			s.EndStoreDisturbance(at(80), at(81))
 			s.send().run("r1", 100.1)
 		}},
 		{"a run at the former service of the route", "CONFIG", once, func(s *scene) { s.RouteTo("once", "gate-2", at(90)); s.send().run("r1", 100.1) }},
@@ -108,8 +110,8 @@
 		}},
 		{"a key that was always valid is rejected", "DENIED", once, func(s *scene) { s.send(); s.answer(Answer{Status: 401}) }},
 		{"a new key is rejected for long", "CONFIG", once, func(s *scene) { s.KeyAdded("k", "w", at(90)); s.send(); s.answer(Answer{Status: 401}) }},
-		{"a run at a replica that left", "DRAIN", once, func(s *scene) { s.Leaves("r1", at(95)); s.send().run("r1", 100.1) }},
-		{"a run at one that left just before", "", once, func(s *scene) { s.Leaves("r1", at(99)); s.send().run("r1", 100.1) }},
+		{"a run at a replica that left", "DRAIN", once, func(s *scene) { s.Departed("r1", at(95)); s.send().run("r1", 100.1) }},
+		{"a run at one that left just before", "", once, func(s *scene) { s.Departed("r1", at(99)); s.send().run("r1", 100.1) }},
 		{"a run in an evacuated domain", "EVAC", once, func(s *scene) { s.StandsIn("r1", "z"); s.Evacuates("z", at(95)); s.send().run("r1", 100.1) }},
 		{"a run in one evacuated just before", "", once, func(s *scene) { s.StandsIn("r1", "z"); s.Evacuates("z", at(99)); s.send().run("r1", 100.1) }},
 		{"a run in one returned to service", "", once, func(s *scene) {
@@ -126,23 +128,23 @@
 		}},
 		{"a connection closed without a response", "LOST", once, func(s *scene) { s.send().run("r1", 100.1); s.answer(Answer{Err: errors.New("EOF")}) }},
 		{"the same at the end of a graceful shutdown, while the replica runs it", "", once, func(s *scene) {
-			s.Stopped(0, at(97.4), at(101))
+			s.ShutdownBegan(0, at(97.4), at(101))
 			s.send().run("r1", 100.1)
 			s.answer(Answer{Err: errors.New("EOF")})
 		}},
 		{"the same earlier in a graceful shutdown", "LOST", once, func(s *scene) {
-			s.Stopped(0, at(99), at(102))
+			s.ShutdownBegan(0, at(99), at(102))
 			s.send().run("r1", 100.1)
 			s.answer(Answer{Err: errors.New("EOF")})
 		}},
 		{"the same at the end of a graceful shutdown, just after the replica responded", "LOST", once, func(s *scene) {
-			s.Stopped(0, at(97.4), at(101))
+			s.ShutdownBegan(0, at(97.4), at(101))
 			run := s.send().run("r1", 99)
 			s.Ended(run, 200, at(100.1))
 			s.answer(Answer{Err: errors.New("EOF")})
 		}},
 		{"the same at the end of a graceful shutdown, long after the replica responded", "LOST", once, func(s *scene) {
-			s.Stopped(0, at(97.4), at(101))
+			s.ShutdownBegan(0, at(97.4), at(101))
 			run := s.send().run("r1", 99)
 			s.Ended(run, 200, at(99.2))
 			s.answer(Answer{Err: errors.New("EOF")})
@@ -155,7 +157,7 @@
 		{"a truncated stream that ends as complete", "ORDER", chat, func(s *scene) {
 			s.RouteTo("chat", "gate", time.Time{})
 			s.send().run("r1", 100.1)
-			s.answer(Answer{Status: 200, Seal: "r1", Body: streamEvents("q")[0], Whole: true})
+			s.answer(Answer{Status: 200, Seal: "r1", Body: streamEvents("q")[0], Complete: true})
 		}},
 		{"a stream that breaks off", "", chat, func(s *scene) {
 			s.send().run("r1", 100.1)
@@ -188,7 +190,7 @@
 	}{
 		{"GONE", func(l *Ledger, id string, q Request) {
 			l.Began(id, Run{Arrival: Arrival{Replica: "r", Service: "gate", At: at(100.1), Deadline: q.Deadline}, Method: q.Route.Method, Target: "/x", Workspace: "w"})
-			l.Left(id, at(100.2))
+			l.Disconnected(id, at(100.2))
 		}},
 		{"BUDGET", func(l *Ledger, id string, q Request) {
 			l.Arrived(id, Arrival{Replica: "r", Service: "gate", At: at(100.1), Deadline: q.Deadline.Add(time.Second)})
@@ -343,37 +345,37 @@
 		{"a replica that was disturbed earlier", 20, over, func(l *Ledger) { l.DisturbReplica("r2", at(90), at(94)) }, true},
 		{"a daemon that is not up to date", 20, over, func(l *Ledger) { l.DisturbDaemon(0, at(90), at(98)) }, false},
 		{"a fleet that has just started", 20, over, func(l *Ledger) { l.Ready(at(98)) }, false},
-		{"a fourth replica without requests", 9, over, func(l *Ledger) { l.Joins("r4", "gate", at(1)) }, true},
+		{"a fourth replica without requests", 9, over, func(l *Ledger) { l.Joined("r4", "gate", at(1)) }, true},
 		{"a fourth replica that has left", 9, over, func(l *Ledger) {
-			l.Joins("r4", "gate", at(1))
-			l.Leaves("r4", at(50))
+			l.Joined("r4", "gate", at(1))
+			l.Departed("r4", at(50))
 		}, false},
 		{"a fourth replica that was cold a second ago, as daemons may assume that it still is", 9, over, func(l *Ledger) {
-			l.Joins("r4", "gate", at(1))
+			l.Joined("r4", "gate", at(1))
 			l.TurnsCold("r4", coldSpan{span: span{at(90), at(99)}})
 		}, false},
 		{"a fourth replica that backs off for the daemon that sent them", 9, over, func(l *Ledger) {
-			l.Joins("r4", "gate", at(1))
+			l.Joined("r4", "gate", at(1))
 			l.AsksForRest("q1", "r4", 5*time.Second, at(98))
 		}, false},
 		{"a fourth replica whose backoff is over", 9, over, func(l *Ledger) {
-			l.Joins("r4", "gate", at(1))
+			l.Joined("r4", "gate", at(1))
 			l.AsksForRest("q1", "r4", 5*time.Second, at(90))
 		}, true},
 		{"a fourth replica that backs off for another daemon", 9, over, func(l *Ledger) {
-			l.Joins("r4", "gate", at(1))
+			l.Joined("r4", "gate", at(1))
 			l.Sent(Request{ID: "other", Route: routes[1], Daemon: 1, Sent: at(97)})
 			l.AsksForRest("other", "r4", 5*time.Second, at(98))
 		}, true},
 		{"a fourth replica that was cold long ago", 9, over, func(l *Ledger) {
-			l.Joins("r4", "gate", at(1))
+			l.Joined("r4", "gate", at(1))
 			l.TurnsCold("r4", coldSpan{span: span{at(90), at(96)}})
 		}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newScene(routes[1])
 			for _, replica := range []string{"r1", "r2", "r3"} {
-				s.Joins(replica, "gate", at(1))
+				s.Joined(replica, "gate", at(1))
 			}
 			s.Ready(at(10))
 			n := 0
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -57,26 +57,26 @@
 
 // Answer is the response that a caller received.
 type Answer struct {
-	At     time.Time // when it ended
-	Status int       // 0: none
-	Seal   string    // the replica that sealed it; may be empty
-	Body   string
-	Begun  time.Time // when its header was read
-	Reason string    // of a refusal, as the daemon reports it
-	Held   bool      // a refusal because the request is quarantined
-	Whole  bool      // it ended as complete
-	Err    error     // why it is not complete
+	At          time.Time // when it ended
+	Status      int       // 0: none
+	Seal        string    // the replica that sealed it; may be empty
+	Body        string
+	Begun       time.Time // when its header was read
+	Reason      string    // of a refusal, as the daemon reports it
+	Quarantined bool      // a refusal because the request is quarantined
+	Complete    bool      // it ended as complete
+	Err         error     // why it is not complete
 }
 
 // record is everything recorded about a request.
 type record struct {
 	Request
-	known    bool // a caller sent it
-	arrivals []Arrival
-	runs     []*Run
-	leavers  []string  // replicas that announced their departure in their responses to it
-	left     time.Time // when the caller disconnected before its response
-	answer   *Answer
+	known        bool // a caller sent it
+	arrivals     []Arrival
+	runs         []*Run
+	departing    []string  // replicas that announced their departure in their responses to it
+	disconnected time.Time // when the caller disconnected before its response
+	answer       *Answer
 }
 
 // span is a period, usually one in which something was disturbed.
@@ -98,25 +98,25 @@
 	daemons          map[int][]span    // unplanned disturbances of a daemon or its links
 	replicas         map[string][]span // disturbances of a replica or its link
 	store            []span
-	stops            map[int][]span                  // graceful shutdowns
-	leaving          map[string][]span               // from when the store accepted a replica's departure, until it returned
+	shutdowns        map[int][]span                  // graceful shutdowns
+	departures       map[string][]span               // from when the store accepted a replica's departure, until it returned
 	joined           map[string]map[string]time.Time // when each replica of a service began to serve
 	ready            time.Time                       // when all daemons were first ready
 	routes           map[string][]routeChange        // a route's service
 	keys             map[string]*keyHistory
 	found            map[string]Violation
-	domains          map[string]string           // of replicas
-	emptied          map[string][]span           // evacuations of domains, as the store accepted them
-	cold             map[string][]coldSpan       // of replicas
-	maxOverloadShare float64                     // the largest fraction that LIMIT bounds
-	ended            []Violation                 // daemons that terminated by themselves, or did not shut down in time
-	crashes          map[int][]crash             // by number of the crashing request
-	restsBy          map[processLife][]restAsked // by the daemon process that got the request
+	domains          map[string]string                // of replicas
+	evacuations      map[string][]span                // evacuations of domains, as the store accepted them
+	cold             map[string][]coldSpan            // of replicas
+	maxOverloadShare float64                          // the largest fraction that LIMIT bounds
+	terminations     []Violation                      // daemons that terminated by themselves, or did not shut down in time
+	crashes          map[int][]crash                  // by number of the crashing request
+	backoffs         map[processLife][]backoffRequest // by the daemon process that got the request
 	builds           map[processLife]Build
 	begins           map[processLife]time.Time // of processes
 	restored         time.Time                 // when the store was first restored from a backup
 	freezes          map[int][]span            // of daemons
-	aside            map[string][]span         // when replicas backed off, or announced their departure in responses alone
+	setAside         map[string][]span         // when replicas backed off, or announced their departure in responses alone
 	// recoveryCheckFrom is when the last part of the quiet time begins, in which requests must be served.
 	recoveryCheckFrom time.Time
 }
@@ -130,10 +130,10 @@
 func newLedger(b bounds) *Ledger {
 	return &Ledger{
 		bounds: b, requests: make(map[string]*record), daemons: make(map[int][]span), replicas: make(map[string][]span),
-		stops: make(map[int][]span), leaving: make(map[string][]span), joined: make(map[string]map[string]time.Time), routes: make(map[string][]routeChange),
+		shutdowns: make(map[int][]span), departures: make(map[string][]span), joined: make(map[string]map[string]time.Time), routes: make(map[string][]routeChange),
 		keys: make(map[string]*keyHistory), found: make(map[string]Violation),
-		domains: make(map[string]string), emptied: make(map[string][]span), cold: make(map[string][]coldSpan),
-		crashes: make(map[int][]crash), freezes: make(map[int][]span), aside: make(map[string][]span), builds: make(map[processLife]Build), begins: make(map[processLife]time.Time), restsBy: make(map[processLife][]restAsked),
+		domains: make(map[string]string), evacuations: make(map[string][]span), cold: make(map[string][]coldSpan),
+		crashes: make(map[int][]crash), freezes: make(map[int][]span), setAside: make(map[string][]span), builds: make(map[processLife]Build), begins: make(map[processLife]time.Time), backoffs: make(map[processLife][]backoffRequest),
 	}
 }
 
@@ -155,11 +155,11 @@
 	r.Request, r.known = q, true
 }
 
-// Left records that the caller of a request closed its connection.
-func (l *Ledger) Left(id string, at time.Time) {
+// Disconnected records that the caller of a request closed its connection.
+func (l *Ledger) Disconnected(id string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.record(id).left = at
+	l.record(id).disconnected = at
 }
 
 // Answered records the response that a caller received.
@@ -207,32 +207,32 @@
 	l.replicas[id] = append(l.replicas[id], span{from, to})
 }
 
-// Calm records the end of a daemon's disturbance that was recorded when it began.
-func (l *Ledger) Calm(i int, from, to time.Time) {
+// EndDaemonDisturbance records the end of a daemon's disturbance that was recorded when it began.
+func (l *Ledger) EndDaemonDisturbance(i int, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	closeSpan(l.daemons[i], from, to)
 }
 
-// CalmReplica records the end of a replica's disturbance.
-func (l *Ledger) CalmReplica(id string, from, to time.Time) {
+// EndReplicaDisturbance records the end of a replica's disturbance.
+func (l *Ledger) EndReplicaDisturbance(id string, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	closeSpan(l.replicas[id], from, to)
 }
 
-// CalmStore records the end of the store's disturbance.
-func (l *Ledger) CalmStore(from, to time.Time) {
+// EndStoreDisturbance records the end of the store's disturbance.
+func (l *Ledger) EndStoreDisturbance(from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	closeSpan(l.store, from, to)
 }
 
-// StoppedUntil records the end of a graceful shutdown.
-func (l *Ledger) StoppedUntil(i int, from, to time.Time) {
+// ShutdownEnded records the end of a graceful shutdown.
+func (l *Ledger) ShutdownEnded(i int, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	closeSpan(l.stops[i], from, to)
+	closeSpan(l.shutdowns[i], from, to)
 }
 
 func closeSpan(list []span, from, to time.Time) {
@@ -243,13 +243,13 @@
 	}
 }
 
-// StopTooLong records a graceful shutdown that had to be ended by a kill. It breaks a
+// ShutdownTimedOut records a graceful shutdown that had to be ended by a kill. It breaks a
 // guarantee unless the daemon was disturbed meanwhile.
-func (l *Ledger) StopTooLong(i int, from, to time.Time) {
+func (l *Ledger) ShutdownTimedOut(i int, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if calm(l.daemons[i], from.Add(-l.bounds.SyncTime), to) {
-		l.ended = append(l.ended, Violation{Promise: "LOST", Subject: "d" + itoa(i), At: to, Detail: "did not terminate within its grace period"})
+		l.terminations = append(l.terminations, Violation{Promise: "LOST", Subject: "d" + itoa(i), At: to, Detail: "did not terminate within its grace period"})
 	}
 }
 
@@ -260,29 +260,29 @@
 	l.store = append(l.store, span{from, to})
 }
 
-// Stopped records a graceful shutdown.
-func (l *Ledger) Stopped(i int, from, to time.Time) {
+// ShutdownBegan records a graceful shutdown.
+func (l *Ledger) ShutdownBegan(i int, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.stops[i] = append(l.stops[i], span{from, to})
+	l.shutdowns[i] = append(l.shutdowns[i], span{from, to})
 }
 
-// Leaves records that the store accepted a replica's departure, announced or not.
-func (l *Ledger) Leaves(replica string, at time.Time) {
+// Departed records that the store accepted a replica's departure, announced or not.
+func (l *Ledger) Departed(replica string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	far := at.Add(time.Hour)
-	if calm(l.leaving[replica], at, far) {
-		l.leaving[replica] = append(l.leaving[replica], span{at, far})
+	if calm(l.departures[replica], at, far) {
+		l.departures[replica] = append(l.departures[replica], span{at, far})
 	}
 }
 
-// Returns records that the store accepted a new entry of a replica that had left, under the same id.
-func (l *Ledger) Returns(replica string, at time.Time) {
+// Returned records that the store accepted a new entry of a replica that had left, under the same id.
+func (l *Ledger) Returned(replica string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for i := range l.leaving[replica] {
-		if s := &l.leaving[replica][i]; s.to.After(at) {
+	for i := range l.departures[replica] {
+		if s := &l.departures[replica][i]; s.to.After(at) {
 			s.to = at
 		}
 	}
@@ -312,11 +312,11 @@
 	}
 }
 
-// EndedByItself records that a daemon's process terminated although the run did not stop it.
-func (l *Ledger) EndedByItself(daemon string, at time.Time, why string) {
+// TerminatedUnexpectedly records that a daemon's process terminated although the run did not stop it.
+func (l *Ledger) TerminatedUnexpectedly(daemon string, at time.Time, why string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ended = append(l.ended, Violation{Promise: "RUNS", Subject: daemon, At: at, Detail: "terminated by itself: " + why})
+	l.terminations = append(l.terminations, Violation{Promise: "RUNS", Subject: daemon, At: at, Detail: "terminated by itself: " + why})
 }
 
 // calm reports whether no span of a list overlaps a period.
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -13,38 +13,38 @@
 
 // The kinds of faults.
 const (
-	killDaemon    faultKind = "kill_daemon"    // SIGKILL, started again
-	killAll       faultKind = "kill_all"       // every daemon at once
-	freezeDaemon  faultKind = "freeze_daemon"  // SIGSTOP, SIGCONT later
-	stopDaemon    faultKind = "stop_daemon"    // SIGTERM, started again
-	hangupDaemon  faultKind = "hangup_daemon"  // the settings file changes, SIGHUP
-	storeAway     faultKind = "store_away"     // unreachable for all daemons
-	storeTurns    faultKind = "store_turns"    // rejects some daemons
-	storeExpires  faultKind = "store_lapses"   // unreachable, and entries expire meanwhile
-	storeForgets  faultKind = "store_forgets"  // watches fall silent, then the history is lost
-	restoreStore  faultKind = "restore_store"  // unreachable, then restored from a backup
-	cutDaemon     faultKind = "cut_daemon"     // from the other daemons
-	cutDomain     faultKind = "cut_domain"     // a failure domain's daemons from the others
-	linkReplica   faultKind = "link_replica"   // disturbs connections to a replica
-	linkCallers   faultKind = "link_callers"   // disturbs callers' connections to a daemon
-	linkStore     faultKind = "link_store"     // disturbs connections of a daemon to the store
-	greyReplica   faultKind = "grey_replica"   // fails a fraction of its requests
-	crashReplica  faultKind = "crash_replica"  // terminates without draining, then restarts
-	flapReplica   faultKind = "flap_replica"   // goes down and up repeatedly
-	drainReplica  faultKind = "drain_replica"  // replaced, after it announced that it is draining
-	reuseAddress  faultKind = "reuse_address"  // another service takes its address
-	addKey        faultKind = "add_key"        // adds a key to a workspace
-	revokeKey     faultKind = "revoke_key"     // removes a key from a workspace
-	moveRoute     faultKind = "move_route"     // a route leads to another service
-	configStorm   faultKind = "config_storm"   // configuration changes in quick succession
-	callersRepeat faultKind = "callers_repeat" // callers retry immediately and often
-	callersLeave  faultKind = "callers_leave"  // callers disconnect before their response
+	killDaemon        faultKind = "kill_daemon"    // SIGKILL, started again
+	killAll           faultKind = "kill_all"       // every daemon at once
+	freezeDaemon      faultKind = "freeze_daemon"  // SIGSTOP, SIGCONT later
+	stopDaemon        faultKind = "stop_daemon"    // SIGTERM, started again
+	reloadDaemon      faultKind = "hangup_daemon"  // the settings file changes, SIGHUP
+	storeUnreachable  faultKind = "store_away"     // unreachable for all daemons
+	storeRejects      faultKind = "store_turns"    // rejects some daemons
+	storeExpires      faultKind = "store_lapses"   // unreachable, and entries expire meanwhile
+	storeLosesHistory faultKind = "store_forgets"  // watches fall silent, then the history is lost
+	restoreStore      faultKind = "restore_store"  // unreachable, then restored from a backup
+	cutDaemon         faultKind = "cut_daemon"     // from the other daemons
+	cutDomain         faultKind = "cut_domain"     // a failure domain's daemons from the others
+	linkReplica       faultKind = "link_replica"   // disturbs connections to a replica
+	linkCallers       faultKind = "link_callers"   // disturbs callers' connections to a daemon
+	linkStore         faultKind = "link_store"     // disturbs connections of a daemon to the store
+	greyReplica       faultKind = "grey_replica"   // fails a fraction of its requests
+	crashReplica      faultKind = "crash_replica"  // terminates without draining, then restarts
+	flapReplica       faultKind = "flap_replica"   // goes down and up repeatedly
+	drainReplica      faultKind = "drain_replica"  // replaced, after it announced that it is draining
+	reuseAddress      faultKind = "reuse_address"  // another service takes its address
+	addKey            faultKind = "add_key"        // adds a key to a workspace
+	revokeKey         faultKind = "revoke_key"     // removes a key from a workspace
+	moveRoute         faultKind = "move_route"     // a route leads to another service
+	configStorm       faultKind = "config_storm"   // configuration changes in quick succession
+	callersRetry      faultKind = "callers_repeat" // callers retry immediately and often
+	callersDisconnect faultKind = "callers_leave"  // callers disconnect before their response
 
-	evacuateDomain faultKind = "evacuate_domain"  // a failure domain is evacuated and returned to service
-	foreignEntries faultKind = "foreign_entries"  // another client writes among the replicas' entries
-	restReplicas   faultKind = "rest_replicas"    // some refuse all requests and request a backoff
-	falseEnds      faultKind = "false_ends"       // daemons receive crash reports of live replicas
-	leaveByAnswers faultKind = "leave_by_answers" // a replica announces its departure in its responses only
+	evacuateDomain    faultKind = "evacuate_domain"  // a failure domain is evacuated and returned to service
+	foreignEntries    faultKind = "foreign_entries"  // another client writes among the replicas' entries
+	backoffReplicas   faultKind = "rest_replicas"    // some refuse all requests and request a backoff
+	falseCrashes      faultKind = "false_ends"       // daemons receive crash reports of live replicas
+	departInResponses faultKind = "leave_by_answers" // a replica announces its departure in its responses only
 )
 
 // weights are the relative frequencies of the kinds.
@@ -52,11 +52,11 @@
 	kind   faultKind
 	weight int
 }{
-	{killDaemon, 4}, {killAll, 1}, {freezeDaemon, 4}, {stopDaemon, 5}, {hangupDaemon, 2},
-	{storeAway, 2}, {storeTurns, 3}, {storeExpires, 2}, {storeForgets, 3},
+	{killDaemon, 4}, {killAll, 1}, {freezeDaemon, 4}, {stopDaemon, 5}, {reloadDaemon, 2},
+	{storeUnreachable, 2}, {storeRejects, 3}, {storeExpires, 2}, {storeLosesHistory, 3},
 	{cutDaemon, 3}, {cutDomain, 2}, {linkReplica, 4}, {linkCallers, 2}, {linkStore, 2},
 	{greyReplica, 5}, {crashReplica, 4}, {flapReplica, 2}, {drainReplica, 5}, {reuseAddress, 3},
-	{addKey, 2}, {revokeKey, 5}, {moveRoute, 4}, {configStorm, 2}, {callersRepeat, 1}, {callersLeave, 2},
+	{addKey, 2}, {revokeKey, 5}, {moveRoute, 4}, {configStorm, 2}, {callersRetry, 1}, {callersDisconnect, 2},
 }
 
 // Fault is one fault of a run.
@@ -103,12 +103,12 @@
 	Crashing int
 	// ForeignPerSec is how often another client writes among the replicas' entries.
 	ForeignPerSec float64
-	// RestsPerSec is how often some replicas request a backoff, and LeavingsPerSec how often one
+	// BackoffsPerSec is how often some replicas request a backoff, and LeavingsPerSec how often one
 	// announces its departure in its responses alone.
-	RestsPerSec    float64
-	LeavingsPerSec float64
-	// FalseEndsPerSec is how often daemons receive crash reports of live replicas.
-	FalseEndsPerSec float64
+	BackoffsPerSec   float64
+	DeparturesPerSec float64
+	// FalseCrashesPerSec is how often daemons receive crash reports of live replicas.
+	FalseCrashesPerSec float64
 	// RestoresPerSec is how often the store is restored from a backup.
 	RestoresPerSec float64
 	// Upgrades says whether the fleet is upgraded while it runs.
@@ -117,7 +117,7 @@
 
 // DefaultShape returns the shape of a run that is started by hand.
 func DefaultShape() Shape {
-	return Shape{Trouble: 18 * time.Second, Quiet: 9 * time.Second, MaxDaemons: 10, FaultsPerSec: 1.2, EvacuationsPerSec: 0.15, Crashing: 1, ForeignPerSec: 0.15, RestsPerSec: 0.3, LeavingsPerSec: 0.15, FalseEndsPerSec: 0.1, RestoresPerSec: 0.1}
+	return Shape{Trouble: 18 * time.Second, Quiet: 9 * time.Second, MaxDaemons: 10, FaultsPerSec: 1.2, EvacuationsPerSec: 0.15, Crashing: 1, ForeignPerSec: 0.15, BackoffsPerSec: 0.3, DeparturesPerSec: 0.15, FalseCrashesPerSec: 0.1, RestoresPerSec: 0.1}
 }
 
 // Limits of the random choices.
--- a/internal/soak/planted_test.go
+++ b/internal/soak/planted_test.go
@@ -63,7 +63,7 @@
 		shape.Quiet = p.quiet
 	}
 	if p.plain {
-		shape.RestsPerSec, shape.LeavingsPerSec, shape.FalseEndsPerSec = 0, 0, 0
+		shape.BackoffsPerSec, shape.DeparturesPerSec, shape.FalseCrashesPerSec = 0, 0, 0
 	}
 	if p.crashing > 0 {
 		shape.Crashing = p.crashing
--- a/internal/soak/plants_test.go
+++ b/internal/soak/plants_test.go
@@ -115,7 +115,7 @@
 // storeAwayFromTheStart keeps the store away while requests crash replicas: those that come back
 // under their id do so unseen, and the fleet still holds them for warm.
 func storeAwayFromTheStart(int) []Fault {
-	return []Fault{{At: time.Second, For: 12 * time.Second, Kind: storeAway}}
+	return []Fault{{At: time.Second, For: 12 * time.Second, Kind: storeUnreachable}}
 }
 
 // restoresInSeries has the store come back from copies over and over, some of them a moment after a
@@ -137,7 +137,7 @@
 func falseEndsInSeries(int) []Fault {
 	var out []Fault
 	for i := range 4 {
-		out = append(out, Fault{At: time.Duration(4+4*i) * time.Second, For: time.Second, Kind: falseEnds, Target: 3 * i, Variant: 20})
+		out = append(out, Fault{At: time.Duration(4+4*i) * time.Second, For: time.Second, Kind: falseCrashes, Target: 3 * i, Variant: 20})
 	}
 	return out
 }
--- a/internal/soak/resting.go
+++ b/internal/soak/resting.go
@@ -34,8 +34,8 @@
 	Most  int           // requests from then to the end of the rest
 }
 
-// restAsked is a refusal that asked a daemon for rest.
-type restAsked struct {
+// backoffRequest is a refusal that asked a daemon for rest.
+type backoffRequest struct {
 	replica string
 	at      time.Time
 	rest    time.Duration
@@ -45,15 +45,15 @@
 // their answers alone, with draws of their own.
 func (p *Plan) drawStatements(seed uint64, s Shape) {
 	rng := rand.New(rand.NewPCG(seed, 6))
-	for range int(math.Ceil(s.RestsPerSec * s.Trouble.Seconds())) {
+	for range int(math.Ceil(s.BackoffsPerSec * s.Trouble.Seconds())) {
 		f := drawFault(rng, s.Trouble)
-		f.Kind = restReplicas
+		f.Kind = backoffReplicas
 		f.For += longestRest
 		p.Faults = append(p.Faults, f)
 	}
-	for range int(math.Ceil(s.LeavingsPerSec * s.Trouble.Seconds())) {
+	for range int(math.Ceil(s.DeparturesPerSec * s.Trouble.Seconds())) {
 		f := drawFault(rng, s.Trouble)
-		f.Kind = leaveByAnswers
+		f.Kind = departInResponses
 		f.For += leastServeOn
 		p.Faults = append(p.Faults, f)
 	}
@@ -126,14 +126,14 @@
 	defer l.mu.Unlock()
 	r := l.record(request)
 	d := r.by()
-	l.restsBy[d] = append(l.restsBy[d], restAsked{replica: replica, at: at, rest: rest})
+	l.backoffs[d] = append(l.backoffs[d], backoffRequest{replica: replica, at: at, rest: rest})
 }
 
 // StandsAside notes when a replica rests, or leaves by its answers alone.
 func (l *Ledger) StandsAside(replica string, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.aside[replica] = append(l.aside[replica], span{from, to})
+	l.setAside[replica] = append(l.setAside[replica], span{from, to})
 }
 
 // Froze notes when a daemon's process was stopped.
@@ -148,7 +148,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
-	for _, list := range l.restsBy {
+	for _, list := range l.backoffs {
 		n += len(list)
 	}
 	return n
@@ -167,11 +167,11 @@
 // daemon that starts knows nothing of what was asked before, and requests of one that was
 // frozen are on their way for as long; nothing else is an excuse.
 func (j *judgement) judgeResting() {
-	if len(j.restsBy) == 0 {
+	if len(j.backoffs) == 0 {
 		return
 	}
 	arrivals := j.arrivalsByPath()
-	for by, list := range j.restsBy {
+	for by, list := range j.backoffs {
 		if j.isPrevious(by) {
 			continue
 		}
@@ -182,15 +182,15 @@
 }
 
 // judgeRest judges one rest by the arrivals at the replica from the daemon that was asked.
-func (j *judgement) judgeRest(a *restAsked, by processLife, arrivals []time.Time) {
-	from, to := a.at.Add(j.bounds.Resting.Grace), j.restEnds(a)
+func (j *judgement) judgeRest(a *backoffRequest, by processLife, arrivals []time.Time) {
+	from, to := a.at.Add(j.bounds.Backoffs.Grace), j.restEnds(a)
 	n, last := 0, from
 	for _, at := range arrivals {
 		if at.After(from) && at.Before(to) {
 			n, last = n+1, at
 		}
 	}
-	if n > j.bounds.Resting.Most && calm(j.freezes[by.daemon], a.at, last) {
+	if n > j.bounds.Backoffs.Most && calm(j.freezes[by.daemon], a.at, last) {
 		j.out = append(j.out, Violation{
 			Promise: "BUDGET", Subject: fmt.Sprintf("%s%s at daemon %d, %v", restSubject, a.replica, by.daemon, a.at.UnixMilli()), At: last,
 			Detail: fmt.Sprintf("%s had asked daemon %d for %v of rest and got %d requests from it in that time", a.replica, by.daemon, a.rest, n),
@@ -199,7 +199,7 @@
 }
 
 // restEnds returns when a rest is over: a replica that starts again under its id did not ask.
-func (j *judgement) restEnds(a *restAsked) time.Time {
+func (j *judgement) restEnds(a *backoffRequest) time.Time {
 	to := a.at.Add(a.rest)
 	for _, of := range j.joined {
 		if began := of[a.replica]; began.After(a.at) && began.Before(to) {
@@ -211,8 +211,8 @@
 
 // rests reports whether a replica wants nothing from a daemon at a time.
 func (j *judgement) rests(replica string, d processLife, at time.Time) bool {
-	for i := range j.restsBy[d] {
-		a := &j.restsBy[d][i]
+	for i := range j.backoffs[d] {
+		a := &j.backoffs[d][i]
 		if a.replica == replica && !at.Before(a.at) && at.Before(a.at.Add(a.rest)) {
 			return true
 		}
--- a/internal/soak/resting_test.go
+++ b/internal/soak/resting_test.go
@@ -55,12 +55,12 @@
 		{"the store's trouble is no excuse", true, 3, []float64{101, 102, 102.9}, func(l *Ledger) { l.DisturbStore(at(100), at(104)) }},
 		{"nor is trouble of the daemon's links", true, 3, []float64{101, 102, 102.9}, func(l *Ledger) { l.DisturbDaemon(0, at(100), at(104)) }},
 		{"nor that the entry goes and is back", true, 3, []float64{101, 102, 102.9}, func(l *Ledger) {
-			l.Leaves("r", at(100.5))
-			l.Returns("r", at(100.8))
+			l.Departed("r", at(100.5))
+			l.Returned("r", at(100.8))
 		}},
 		{"three that the replica's link may have held up", false, 3, []float64{101, 102, 102.9}, func(l *Ledger) { l.DisturbReplica("r", at(99), at(104)) }},
-		{"three after the replica started again", false, 3, []float64{101, 102, 102.9}, func(l *Ledger) { l.Joins("r", "s", at(100.7)) }},
-		{"three by a replica that had started before", true, 3, []float64{101, 102, 102.9}, func(l *Ledger) { l.Joins("r", "s", at(99)) }},
+		{"three after the replica started again", false, 3, []float64{101, 102, 102.9}, func(l *Ledger) { l.Joined("r", "s", at(100.7)) }},
+		{"three by a replica that had started before", true, 3, []float64{101, 102, 102.9}, func(l *Ledger) { l.Joined("r", "s", at(99)) }},
 	} {
 		l := newLedger(defaultBounds())
 		send(l, 0, 1, 100)
@@ -141,22 +141,22 @@
 func TestReplicasThatAskForRestAreLeftAlone(t *testing.T) {
 	const daemons = 8
 	some := func(at time.Duration, target int) Fault {
-		return Fault{At: at, For: 4 * time.Second, Kind: restReplicas, Target: target, Variant: 81}
+		return Fault{At: at, For: 4 * time.Second, Kind: backoffReplicas, Target: target, Variant: 81}
 	}
 	whole := func(at time.Duration, target int) Fault {
-		return Fault{At: at, For: 3500 * time.Millisecond, Kind: restReplicas, Target: target, Variant: 80}
+		return Fault{At: at, For: 3500 * time.Millisecond, Kind: backoffReplicas, Target: target, Variant: 80}
 	}
 	plan := &Plan{
 		Daemons: daemons, Domains: 3, Gate: 4, Chat: 16, Callers: 4 * daemons, Trouble: time.Second, Quiet: 6 * time.Second,
 		Faults: []Fault{
 			some(0, 9), some(time.Second, 12), some(2*time.Second, 15), some(3*time.Second, 18),
 			whole(5*time.Second, 9), whole(6*time.Second, 0),
-			{At: 6 * time.Second, Kind: hangupDaemon, Target: 3}, {At: 7 * time.Second, Kind: hangupDaemon, Target: 4},
+			{At: 6 * time.Second, Kind: reloadDaemon, Target: 3}, {At: 7 * time.Second, Kind: reloadDaemon, Target: 4},
 		},
 	}
 	report := playPlan(t, plan)
-	if report.Rests < 50 {
-		t.Errorf("only %d rests were asked for; the replicas did not do what is played here", report.Rests)
+	if report.Backoffs < 50 {
+		t.Errorf("only %d rests were asked for; the replicas did not do what is played here", report.Backoffs)
 	}
 }
 
@@ -166,15 +166,15 @@
 func TestReplicasThatLeaveByTheirAnswersAreLeftAlone(t *testing.T) {
 	const daemons = 8
 	leave := func(at time.Duration, target int) Fault {
-		return Fault{At: at, For: 6 * time.Second, Kind: leaveByAnswers, Target: target, Variant: target}
+		return Fault{At: at, For: 6 * time.Second, Kind: departInResponses, Target: target, Variant: target}
 	}
 	plan := &Plan{
 		Daemons: daemons, Domains: 3, Gate: 4, Chat: 16, Callers: 4 * daemons, Trouble: time.Second, Quiet: 6 * time.Second,
 		Faults: []Fault{leave(0, 9), leave(0, 12), leave(time.Second, 15), leave(time.Second, 0)},
 	}
 	report := playPlan(t, plan)
-	if report.Leavers < len(plan.Faults)/2 {
-		t.Errorf("only %d replicas left by their answers; they did not do what is played here", report.Leavers)
+	if report.Departures < len(plan.Faults)/2 {
+		t.Errorf("only %d replicas left by their answers; they did not do what is played here", report.Departures)
 	}
 }
 
@@ -190,7 +190,7 @@
 		t.Fatal(err)
 	}
 	t.Logf("%d requests, %.3f served, %.3f at the end; %d rests, %d replicas that left by their answers, %d violations",
-		report.Requests, report.Share, report.QuietShare, report.Rests, report.Leavers, len(report.Violations))
+		report.Requests, report.Share, report.QuietShare, report.Backoffs, report.Departures, len(report.Violations))
 	const shown = 10
 	for _, v := range report.Violations[:min(shown, len(report.Violations))] {
 		t.Errorf("%s %s: %s", v.Promise, v.Subject, v.Detail)
--- a/internal/soak/restore.go
+++ b/internal/soak/restore.go
@@ -49,8 +49,8 @@
 	store *standin.StoreCopy
 }
 
-// keepCopies backs up the store periodically.
-func (s *injector) keepCopies() {
+// backUpPeriodically backs up the store periodically.
+func (s *injector) backUpPeriodically() {
 	for s.ctx.Err() == nil {
 		now := time.Now()
 		s.mu.Lock()
--- a/internal/soak/restore_test.go
+++ b/internal/soak/restore_test.go
@@ -41,18 +41,18 @@
 			s.send().run("r1", 100.1)
 		}},
 		{"a replica that left long before", "DRAIN", func(s *scene) {
-			s.Leaves("r1", at(80))
+			s.Departed("r1", at(80))
 			trouble(s)
 			s.send().run("r1", 100.1)
 		}},
 		{"one that returned", "", func(s *scene) {
-			s.Leaves("r1", at(80))
-			s.Returns("r1", at(99))
+			s.Departed("r1", at(80))
+			s.Returned("r1", at(99))
 			trouble(s)
 			s.send().run("r1", 100.1)
 		}},
 		{"one that left while the daemon was disturbed", "", func(s *scene) {
-			s.Leaves("r1", at(80))
+			s.Departed("r1", at(80))
 			trouble(s)
 			s.DisturbDaemon(0, at(78), at(79))
 			s.send().run("r1", 100.1)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -28,17 +28,17 @@
 
 // Report is the result of a run.
 type Report struct {
-	Plan       *Plan       `json:"plan"`
-	Requests   int         `json:"requests"` // of callers that did not disconnect, with valid keys
-	Served     int         `json:"served"`
-	Share      float64     `json:"share_served"`
-	QuietShare float64     `json:"share_served_at_the_end"`
-	Crowded    float64     `json:"share_at_crowded_replicas"` // in the worst undisturbed window
-	Ended      int         `json:"replicas_ended"`            // by crashing requests
-	Rests      int         `json:"rests"`                     // backoffs that replicas requested
-	Leavers    int         `json:"left_by_answers"`           // replicas that announced their departure to a caller
-	Violations []Violation `json:"violations"`
-	Events     []string    `json:"events"` // faults and their ends
+	Plan          *Plan       `json:"plan"`
+	Requests      int         `json:"requests"` // of callers that did not disconnect, with valid keys
+	Served        int         `json:"served"`
+	Share         float64     `json:"share_served"`
+	QuietShare    float64     `json:"share_served_at_the_end"`
+	OverloadShare float64     `json:"share_at_crowded_replicas"` // in the worst undisturbed window
+	Crashed       int         `json:"replicas_ended"`            // by crashing requests
+	Backoffs      int         `json:"rests"`                     // backoffs that replicas requested
+	Departures    int         `json:"left_by_answers"`           // replicas that announced their departure to a caller
+	Violations    []Violation `json:"violations"`
+	Events        []string    `json:"events"` // faults and their ends
 }
 
 // Parameters of a run.
@@ -233,8 +233,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report.Requests, r.report.Served = total, totalServed
-	r.report.Crowded, r.report.Ended = r.site.ledger.MaxOverloadShare(), r.site.ledger.Ends()
-	r.report.Rests, r.report.Leavers = r.site.ledger.Rests(), r.site.ledger.Leavers()
+	r.report.OverloadShare, r.report.Crashed = r.site.ledger.MaxOverloadShare(), r.site.ledger.Crashes()
+	r.report.Backoffs, r.report.Departures = r.site.ledger.Rests(), r.site.ledger.Leavers()
 	r.report.Share, r.report.QuietShare = share(totalServed, total), share(served, all)
 	if all < minRecoveryRequests || r.report.QuietShare < r.site.ledger.bounds.MinServed {
 		r.report.Violations = append(r.report.Violations, Violation{Promise: "RECOVER", Subject: "fleet", At: now, Detail: fmt.Sprintf("only %d of %d requests were served at the end of the quiet time", served, all)})
--- a/internal/soak/serving.go
+++ b/internal/soak/serving.go
@@ -30,16 +30,16 @@
 // their own.
 func (p *Plan) drawFalseCrashes(seed uint64, s Shape) {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	for range int(math.Ceil(s.FalseEndsPerSec * s.Trouble.Seconds())) {
+	for range int(math.Ceil(s.FalseCrashesPerSec * s.Trouble.Seconds())) {
 		f := drawFault(rng, s.Trouble)
-		f.Kind = falseEnds
+		f.Kind = falseCrashes
 		p.Faults = append(p.Faults, f)
 	}
 }
 
-// tellFalseEnds reports to all daemons for a while that all replicas of a service crashed a moment
+// sendFalseCrashReports reports to all daemons for a while that all replicas of a service crashed a moment
 // ago, each during a different request.
-func (s *injector) tellFalseEnds(f *Fault) {
+func (s *injector) sendFalseCrashReports(f *Fault) {
 	_, first := s.at(f.Target)
 	at := time.Now().Add(-time.Duration(f.Variant%1000) * maxFalseCrashAge / 1000)
 	reports := s.falseCrashReports(first.Service, f.Variant)
@@ -145,7 +145,7 @@
 func (j *judgement) hasUsableReplica(service string, from, to time.Time) bool {
 	for replica, joined := range j.joined[service] {
 		before := from.Add(-j.bounds.SyncTime)
-		well := calm(j.replicas[replica], before, to) && calm(j.aside[replica], before, to) && calm(j.leaving[replica], before, to)
+		well := calm(j.replicas[replica], before, to) && calm(j.setAside[replica], before, to) && calm(j.departures[replica], before, to)
 		if well && joined.Before(before) && !j.heldBack(replica, from) && !j.heldBack(replica, to) {
 			return true
 		}
--- a/internal/soak/serving_test.go
+++ b/internal/soak/serving_test.go
@@ -30,7 +30,7 @@
 		{"with a success between", false, func(l *Ledger) {
 			refuse(l, 100, 100.8, 0, none)
 			l.Sent(Request{ID: "served", Route: routes[1], Sent: at(100.85)})
-			l.Answered("served", Answer{At: at(100.86), Status: 200, Whole: true})
+			l.Answered("served", Answer{At: at(100.86), Status: 200, Complete: true})
 			refuse(l, 100.9, 101.6, 0, none)
 		}},
 		{"by two daemons in turn", false, func(l *Ledger) {
@@ -67,7 +67,7 @@
 		l := newLedger(defaultBounds())
 		l.KeyAdded("k", "w", time.Time{})
 		l.RouteTo("safe", "gate", time.Time{})
-		l.Joins("r", "gate", at(50))
+		l.Joined("r", "gate", at(50))
 		c.play(l)
 		broken := slices.ContainsFunc(l.Judge(at(200)), func(v Violation) bool { return v.Promise == "SERVES" })
 		if broken != c.broken {
@@ -82,7 +82,7 @@
 func TestRepliesThoughReplicasAreSaidToHaveEnded(t *testing.T) {
 	const daemons = 8
 	told := func(at time.Duration, target, variant int) Fault {
-		return Fault{At: at, For: 2 * time.Second, Kind: falseEnds, Target: target, Variant: variant}
+		return Fault{At: at, For: 2 * time.Second, Kind: falseCrashes, Target: target, Variant: variant}
 	}
 	plan := &Plan{
 		Daemons: daemons, Domains: 3, Gate: 3, Chat: 6, Callers: 4 * daemons, Trouble: time.Second, Quiet: 8 * time.Second,
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -231,12 +231,12 @@
 	if err != nil {
 		return err
 	}
-	r.crashed = func() { s.crashedByRequest(p, r) }
+	r.crashed = func() { s.restartAfterCrash(p, r) }
 	s.mu.Lock()
 	p.current, p.idle = r, false
 	s.mu.Unlock()
 	p.link.SetTarget(r.Address())
-	s.ledger.Joins(id, service, time.Now())
+	s.ledger.Joined(id, service, time.Now())
 	s.ledger.StandsIn(id, p.domain)
 	if s.cold && !s.begun.IsZero() {
 		s.chill(p, r, time.Time{})
@@ -256,7 +256,7 @@
 	s.store.PutReplica(e)
 	s.mu.Unlock()
 	if !draining {
-		s.ledger.Returns(r.ID, time.Now())
+		s.ledger.Returned(r.ID, time.Now())
 	}
 }
 
@@ -297,7 +297,7 @@
 	delete(s.entries, r.ID)
 	s.store.DeleteReplica(r.ID)
 	s.mu.Unlock()
-	s.ledger.Leaves(r.ID, time.Now())
+	s.ledger.Departed(r.ID, time.Now())
 }
 
 // close ends all replicas.
--- a/internal/soak/steady.go
+++ b/internal/soak/steady.go
@@ -44,7 +44,7 @@
 )
 
 // steadyKinds are the faults that do not affect replicas, daemons and the store.
-var steadyKinds = []faultKind{callersLeave, addKey, moveRoute}
+var steadyKinds = []faultKind{callersDisconnect, addKey, moveRoute}
 
 // NewSteadyPlan generates the plan of a steady run with a number of daemons.
 func NewSteadyPlan(seed uint64, daemons int, s Shape) *Plan {
