--- a/internal/soak/crashing.go
+++ b/internal/soak/crashing.go
@@ -202,8 +202,8 @@
 	}
 }
 
-// judgeCrashing reports crashing requests that kept reaching replicas.
-func (j *judgement) judgeCrashing() {
+// checkCrashing reports crashing requests that kept reaching replicas.
+func (j *checker) checkCrashing() {
 	for number, ends := range j.crashes {
 		if len(ends) < j.bounds.Crashing.Crashes {
 			continue
@@ -227,11 +227,11 @@
 
 // lateArrivals returns when a request reached replicas after a time through a daemon that was up
 // to date.
-func (j *judgement) lateArrivals(r *record, after time.Time) []time.Time {
+func (j *checker) lateArrivals(r *record, after time.Time) []time.Time {
 	var out []time.Time
 	for _, a := range r.arrivals {
-		held := !calm(j.replicas[a.Replica], r.Sent, a.At)
-		if a.At.After(after) && !held && j.inTouch(r.Daemon, a.At, a.At) {
+		held := !noneOverlaps(j.replicas[a.Replica], r.Sent, a.At)
+		if a.At.After(after) && !held && j.upToDate(r.Daemon, a.At, a.At) {
 			out = append(out, a.At)
 		}
 	}
@@ -249,10 +249,10 @@
 	return n
 }
 
-// judgeInnocent reports ordinary requests that were quarantined as if they crashed replicas.
+// checkFalseQuarantine reports ordinary requests that were quarantined as if they crashed replicas.
 // A poll may have been in flight at three crashes in a row, for which it is quarantined;
 // by the end of the quiet time a complete response has cleared it.
-func (j *judgement) judgeInnocent(r *record) {
+func (j *checker) checkFalseQuarantine(r *record) {
 	isPoll := r.Target == pollTarget
 	if r.Crashing == 0 && r.answer.Quarantined && (!isPoll || r.Sent.After(j.recoveryCheckFrom) && !j.recoveryCheckFrom.IsZero()) {
 		j.add("HELD", r, r.answer.At, "daemon %d quarantined a request for %s, which crashes no replica", r.Daemon, r.Target)
--- a/internal/soak/crashing_test.go
+++ b/internal/soak/crashing_test.go
@@ -108,7 +108,7 @@
 		if c.play != nil {
 			c.play(l)
 		}
-		broken := slices.ContainsFunc(l.Judge(at(5000)), func(v Violation) bool {
+		broken := slices.ContainsFunc(l.Check(at(5000)), func(v Violation) bool {
 			return v.Promise == "BUDGET" && strings.HasPrefix(v.Subject, crashingPathPrefix)
 		})
 		if broken != c.broken {
@@ -139,7 +139,7 @@
 		l.BeginRecoveryCheck(at(110))
 		l.Sent(Request{ID: "q", Route: routes[1], Target: c.target, Key: "k", Sent: at(c.sent), Deadline: at(c.sent + 2), Crashing: c.crashing})
 		l.Answered("q", Answer{At: at(c.sent), Status: 503, Quarantined: c.held})
-		broken := slices.ContainsFunc(l.Judge(at(200)), func(v Violation) bool { return v.Promise == "HELD" })
+		broken := slices.ContainsFunc(l.Check(at(200)), func(v Violation) bool { return v.Promise == "HELD" })
 		if broken != c.broken {
 			t.Errorf("%s: broken %t, want %t", c.name, broken, c.broken)
 		}
--- a/internal/soak/departing.go
+++ b/internal/soak/departing.go
@@ -71,7 +71,7 @@
 // judgeLeavers looks for requests that reached a replica although it had said in an answer that
 // it leaves. The daemon that passed the answer on must know, in touch or not, unless it was
 // frozen or started again; so must others, in touch with the store and each other.
-func (j *judgement) judgeLeavers() {
+func (j *checker) judgeLeavers() {
 	told, first := j.leavings()
 	if len(first) == 0 {
 		return
@@ -79,14 +79,14 @@
 	for _, r := range j.order {
 		for _, a := range r.arrivals {
 			p, ok := first[a.Replica]
-			if !ok || j.isPrevious(r.by()) || !calm(j.replicas[a.Replica], r.Sent, a.At) {
+			if !ok || j.runsPreviousBuild(r.by()) || !noneOverlaps(j.replicas[a.Replica], r.Sent, a.At) {
 				continue
 			}
 			own, wasTold := told[path{a.Replica, r.by()}]
 			switch {
-			case wasTold && r.Sent.Sub(own) > j.bounds.Drain && calm(j.freezes[r.Daemon], own, a.At):
+			case wasTold && r.Sent.Sub(own) > j.bounds.Drain && noneOverlaps(j.freezes[r.Daemon], own, a.At):
 				j.add("DRAIN", r, a.At, "reached %s, which had said %v before that it leaves, by way of daemon %d, which had passed that on", a.Replica, r.Sent.Sub(own), r.Daemon)
-			case r.Sent.Sub(p.at) > j.bounds.Drain && j.inTouch(r.Daemon, p.at, a.At) && j.inTouch(p.daemon, p.at, a.At):
+			case r.Sent.Sub(p.at) > j.bounds.Drain && j.upToDate(r.Daemon, p.at, a.At) && j.upToDate(p.daemon, p.at, a.At):
 				j.add("DRAIN", r, a.At, "reached %s, which had said %v before by way of daemon %d that it leaves, by way of daemon %d", a.Replica, r.Sent.Sub(p.at), p.daemon, r.Daemon)
 			}
 		}
@@ -95,10 +95,10 @@
 
 // leavings returns when each daemon passed on first that a replica leaves, and who did so first
 // of all.
-func (j *judgement) leavings() (told map[path]time.Time, first map[string]passedOn) {
+func (j *checker) leavings() (told map[path]time.Time, first map[string]passedOn) {
 	told, first = make(map[path]time.Time), make(map[string]passedOn)
 	for _, r := range j.order {
-		if r.answer == nil || !slices.Contains(r.departing, r.answer.Seal) || j.isPrevious(r.by()) {
+		if r.answer == nil || !slices.Contains(r.departing, r.answer.Seal) || j.runsPreviousBuild(r.by()) {
 			continue
 		}
 		replica, at := r.answer.Seal, r.answer.Begun
--- a/internal/soak/evacuate.go
+++ b/internal/soak/evacuate.go
@@ -119,15 +119,15 @@
 }
 
 // judgeEvacuated looks for requests that reached an evacuated domain.
-func (j *judgement) judgeEvacuated(r *record) {
+func (j *checker) judgeEvacuated(r *record) {
 	for _, a := range r.arrivals {
 		for _, e := range j.evacuations[j.domains[a.Replica]] {
 			late := a.At.Sub(e.from)
 			if late <= j.bounds.Evacuate || !a.At.Before(e.to) {
 				continue
 			}
-			held := !calm(j.replicas[a.Replica], e.from, a.At) // a link may have held it up
-			if !held && j.inTouch(r.Daemon, e.from, a.At) {
+			held := !noneOverlaps(j.replicas[a.Replica], e.from, a.At) // a link may have held it up
+			if !held && j.upToDate(r.Daemon, e.from, a.At) {
 				j.add("EVAC", r, a.At, "reached %s %v after the store took the evacuation of %s, by way of daemon %d", a.Replica, late, j.domains[a.Replica], r.Daemon)
 			}
 		}
@@ -135,7 +135,7 @@
 }
 
 // judgeCold looks for seconds in which a cold replica got too much.
-func (j *judgement) judgeCold() {
+func (j *checker) judgeCold() {
 	arrivals := make(map[string][]time.Time)
 	for _, r := range j.order {
 		for _, a := range r.arrivals {
@@ -160,15 +160,15 @@
 }
 
 // countsWhileCold reports whether an arrival counts at a cold replica.
-func (j *judgement) countsWhileCold(r *record, a *Arrival) bool {
-	if !calm(j.replicas[a.Replica], a.At.Add(-time.Second), a.At) {
+func (j *checker) countsWhileCold(r *record, a *Arrival) bool {
+	if !noneOverlaps(j.replicas[a.Replica], a.At.Add(-time.Second), a.At) {
 		return false
 	}
 	return slices.ContainsFunc(j.cold[a.Replica], func(c coldSpan) bool {
 		if a.At.Before(c.from) || !a.At.Before(c.to) {
 			return false
 		}
-		return c.known.IsZero() || j.inTouch(r.Daemon, c.known, a.At)
+		return c.known.IsZero() || j.upToDate(r.Daemon, c.known, a.At)
 	})
 }
 
@@ -176,9 +176,9 @@
 // daemons can't know yet that it is warm (the store's watches may be silent for 1.7 s, and
 // daemons that learn late that it is cold count its cold time from then on); its domain was
 // evacuated, or it had been taken back so lately that daemons take its replicas for cold.
-func (j *judgement) heldBack(replica string, at time.Time) bool {
+func (j *checker) heldBack(replica string, at time.Time) bool {
 	isCold := slices.ContainsFunc(j.cold[replica], func(c coldSpan) bool {
 		return !at.Before(c.from) && at.Before(c.to.Add(j.bounds.Apply))
 	})
-	return isCold || !calm(j.evacuations[j.domains[replica]], at.Add(-coldStart-settling), at.Add(1))
+	return isCold || !noneOverlaps(j.evacuations[j.domains[replica]], at.Add(-coldStart-settling), at.Add(1))
 }
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -63,21 +63,21 @@
 	Detail  string    `json:"detail"`
 }
 
-// Judge checks everything recorded so far and returns the violations that it has not returned before.
-func (l *Ledger) Judge(now time.Time) []Violation {
+// Check checks everything recorded so far and returns the violations that it has not returned before.
+func (l *Ledger) Check(now time.Time) []Violation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	j := &judgement{Ledger: l, now: now}
+	j := &checker{Ledger: l, now: now}
 	for _, r := range l.order {
-		j.judge(r)
+		j.checkRequest(r)
 	}
-	j.judgeFew()
-	j.judgeRepeats()
-	j.judgeCrashing()
+	j.checkTolerated()
+	j.checkRetries()
+	j.checkCrashing()
 	j.judgeResting()
 	j.judgeLeavers()
-	j.judgeServing()
-	j.judgeLimit()
+	j.checkServing()
+	j.checkLimit()
 	j.judgeCold()
 	j.out = append(j.out, l.terminations...)
 	var fresh []Violation
@@ -91,56 +91,56 @@
 	return fresh
 }
 
-// judgement collects violations. tolerated holds those of rules with a tolerance.
-type judgement struct {
+// checker collects violations. tolerated holds those of rules with a tolerance.
+type checker struct {
 	*Ledger
 	now       time.Time
 	out       []Violation
 	tolerated []Violation
 }
 
-func (j *judgement) add(promise string, r *record, at time.Time, format string, args ...any) {
+func (j *checker) add(promise string, r *record, at time.Time, format string, args ...any) {
 	j.out = append(j.out, Violation{Promise: promise, Subject: r.ID, At: at, Detail: fmt.Sprintf(format, args...)})
 }
 
-func (j *judgement) addTolerated(promise string, r *record, at time.Time, format string, args ...any) {
+func (j *checker) addTolerated(promise string, r *record, at time.Time, format string, args ...any) {
 	j.tolerated = append(j.tolerated, Violation{Promise: promise, Subject: r.ID, At: at, Detail: fmt.Sprintf(format, args...)})
 }
 
-func (j *judgement) judge(r *record) {
+func (j *checker) checkRequest(r *record) {
 	if !r.known {
 		if len(r.runs) > 0 {
 			j.out = append(j.out, Violation{Promise: "UNASKED", Subject: r.runs[0].Target, At: r.runs[0].At, Detail: "no caller sent a request with this id"})
 		}
 		return
 	}
-	j.judgeRuns(r)
-	j.judgeRegress(r)
-	j.judgeArrivals(r)
+	j.checkRuns(r)
+	j.checkRegress(r)
+	j.checkDeadlinesSent(r)
 	j.judgeEvacuated(r)
-	j.judgeLeaving(r)
+	j.checkCancellation(r)
 	if r.answer != nil {
-		j.judgeAnswer(r)
-		j.judgeInnocent(r)
-		j.judgeDenial(r)
-		j.judgeLoss(r)
+		j.checkResponse(r)
+		j.checkFalseQuarantine(r)
+		j.checkDenial(r)
+		j.checkLoss(r)
 	}
-	j.judgeDeadline(r)
+	j.checkDeadline(r)
 }
 
-// inTouch reports whether a daemon was up to date from one time to another: it and
+// upToDate reports whether a daemon was up to date from one time to another: it and
 // the store were undisturbed, from SyncTime before the first on.
-func (j *judgement) inTouch(daemon int, from, to time.Time) bool {
+func (j *checker) upToDate(daemon int, from, to time.Time) bool {
 	from = from.Add(-j.bounds.SyncTime)
-	return calm(j.daemons[daemon], from, to) && calm(j.store, from, to) && calm(j.shutdowns[daemon], from, to)
+	return noneOverlaps(j.daemons[daemon], from, to) && noneOverlaps(j.store, from, to) && noneOverlaps(j.shutdowns[daemon], from, to)
 }
 
-// undisturbed is inTouch without regard to the store and to graceful shutdowns.
-func (j *judgement) undisturbed(daemon int, from, to time.Time) bool {
-	return calm(j.daemons[daemon], from.Add(-j.bounds.SyncTime), to)
+// undisturbed is upToDate without regard to the store and to graceful shutdowns.
+func (j *checker) undisturbed(daemon int, from, to time.Time) bool {
+	return noneOverlaps(j.daemons[daemon], from.Add(-j.bounds.SyncTime), to)
 }
 
-func (j *judgement) judgeRuns(r *record) {
+func (j *checker) checkRuns(r *record) {
 	if len(r.runs) > 1 && !r.Route.Repeatable {
 		j.add("TWICE", r, r.runs[1].At, "%s ran at %s and at %s", r.Route.Name, r.runs[0].Replica, r.runs[1].Replica)
 	}
@@ -159,17 +159,17 @@
 		if key.removed.IsZero() {
 			continue
 		}
-		if r.Sent.Sub(key.removed) > j.bounds.Apply && j.inTouch(r.Daemon, key.removed, run.At) && !j.missesEras(r) {
+		if r.Sent.Sub(key.removed) > j.bounds.Apply && j.upToDate(r.Daemon, key.removed, run.At) && !j.missesEras(r) {
 			j.add("CONFIG", r, run.At, "ran with a key that was revoked %v before it was sent, through daemon %d", r.Sent.Sub(key.removed), r.Daemon)
 		}
 	}
 	for _, run := range r.runs {
-		j.judgeService(r, run)
-		j.judgeDrain(r, run)
+		j.checkService(r, run)
+		j.checkDrain(r, run)
 	}
 }
 
-func (j *judgement) judgeService(r *record, run *Run) {
+func (j *checker) checkService(r *record, run *Run) {
 	list := j.routes[r.Route.Name]
 	ever, allowed := false, false
 	var since time.Time
@@ -191,32 +191,32 @@
 		j.add("ROUTE", r, run.At, "%s never goes to %s", r.Route.Name, run.Service)
 		return
 	}
-	if !allowed && j.inTouch(r.Daemon, since, run.At) && !j.missesEras(r) {
+	if !allowed && j.upToDate(r.Daemon, since, run.At) && !j.missesEras(r) {
 		j.add("CONFIG", r, run.At, "%s ran at %s %v after it had moved, by way of daemon %d", r.Route.Name, run.Service, r.Sent.Sub(since), r.Daemon)
 	}
 }
 
-func (j *judgement) judgeDrain(r *record, run *Run) {
+func (j *checker) checkDrain(r *record, run *Run) {
 	for _, left := range j.departures[run.Replica] {
 		late := run.At.Sub(left.from)
-		if late > j.bounds.Drain && run.At.Before(left.to) && j.inTouch(r.Daemon, left.from, run.At) && calm(j.replicas[run.Replica], left.from, run.At) && !j.missesEras(r) {
+		if late > j.bounds.Drain && run.At.Before(left.to) && j.upToDate(r.Daemon, left.from, run.At) && noneOverlaps(j.replicas[run.Replica], left.from, run.At) && !j.missesEras(r) {
 			j.add("DRAIN", r, run.At, "reached %s %v after the store accepted its departure, through daemon %d", run.Replica, late, r.Daemon)
 		}
 	}
 }
 
-func (j *judgement) judgeArrivals(r *record) {
+func (j *checker) checkDeadlinesSent(r *record) {
 	for _, a := range r.arrivals {
 		// A link that delayed the request makes its deadline look later than the
 		// daemon set it.
-		held := !calm(j.replicas[a.Replica], r.Sent, a.At)
+		held := !noneOverlaps(j.replicas[a.Replica], r.Sent, a.At)
 		if late := a.Deadline.Sub(r.Deadline); late > j.bounds.DeadlineSlack && !held && j.undisturbed(r.Daemon, a.At, a.At) {
 			j.addTolerated("BUDGET", r, a.At, "replica %s got a deadline %v later than the caller's", a.Replica, late)
 		}
 	}
 }
 
-func (j *judgement) judgeLeaving(r *record) {
+func (j *checker) checkCancellation(r *record) {
 	if r.disconnected.IsZero() || !j.undisturbed(r.Daemon, r.disconnected, r.disconnected.Add(j.bounds.Cancel)) {
 		return
 	}
@@ -225,7 +225,7 @@
 		if ended.IsZero() {
 			ended = j.now
 		}
-		reached := calm(j.replicas[run.Replica], run.At, ended)
+		reached := noneOverlaps(j.replicas[run.Replica], run.At, ended)
 		if reached && ended.Sub(r.disconnected) > j.bounds.Cancel {
 			j.addTolerated("GONE", r, ended, "%s worked for %v after its caller disconnected", run.Replica, ended.Sub(r.disconnected))
 		}
@@ -235,7 +235,7 @@
 // neverRunStatuses are the statuses that guarantee that a request has not run and never will.
 var neverRunStatuses = []int{http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest}
 
-func (j *judgement) judgeAnswer(r *record) {
+func (j *checker) checkResponse(r *record) {
 	a := r.answer
 	if slices.Contains(neverRunStatuses, a.Status) && !r.Route.Repeatable && len(r.runs) > 0 {
 		j.add("REFUSED", r, a.At, "status %d guarantees that it never runs, but it ran at %s", a.Status, r.runs[0].Replica)
@@ -249,13 +249,13 @@
 	case !slices.ContainsFunc(r.runs, func(run *Run) bool { return run.Replica == a.Seal }):
 		j.add("MIXED", r, a.At, "success carries seal %q, which is not of a replica that ran it", a.Seal)
 	case r.Route.Stream:
-		j.judgeStream(r)
+		j.checkStream(r)
 	case a.Complete && a.Body != plainBody(r.ID, a.Seal):
 		j.add("MIXED", r, a.At, "body of %d bytes differs from the replica's: %.60q", len(a.Body), a.Body)
 	}
 }
 
-func (j *judgement) judgeStream(r *record) {
+func (j *checker) checkStream(r *record) {
 	want, got := streamBody(r.ID, 0), r.answer.Body
 	if r.answer.Complete && got != want {
 		j.add("ORDER", r, r.answer.At, "stream of %d bytes ended as complete, but the replica's has %d", len(got), len(want))
@@ -265,7 +265,7 @@
 	}
 }
 
-func (j *judgement) judgeDenial(r *record) {
+func (j *checker) checkDenial(r *record) {
 	if r.answer.Seal != "" {
 		return
 	}
@@ -284,14 +284,14 @@
 		j.add("DENIED", r, r.answer.At, "daemon %d rejected a key that was always valid", r.Daemon)
 		return
 	}
-	if r.Sent.Sub(key.added) > j.bounds.Apply && j.inTouch(r.Daemon, key.added, r.answer.At) && !j.missesEras(r) {
+	if r.Sent.Sub(key.added) > j.bounds.Apply && j.upToDate(r.Daemon, key.added, r.answer.At) && !j.missesEras(r) {
 		j.add("CONFIG", r, r.answer.At, "daemon %d rejected a key that was added %v earlier", r.Daemon, r.Sent.Sub(key.added))
 	}
 }
 
-// judgeLoss reports connections that closed without a response although the daemon
+// checkLoss reports connections that closed without a response although the daemon
 // was undisturbed, or shut down gracefully, and the replica was undisturbed.
-func (j *judgement) judgeLoss(r *record) {
+func (j *checker) checkLoss(r *record) {
 	a := r.answer
 	if a.Status != 0 || a.Err == nil || len(r.runs) == 0 || !r.disconnected.IsZero() || a.At.After(r.Deadline) {
 		return
@@ -300,7 +300,7 @@
 	if j.cutByShutdown(r, run) {
 		return
 	}
-	if j.undisturbed(r.Daemon, r.Sent, a.At) && calm(j.replicas[run.Replica], run.At.Add(-j.bounds.SyncTime), a.At) {
+	if j.undisturbed(r.Daemon, r.Sent, a.At) && noneOverlaps(j.replicas[run.Replica], run.At.Add(-j.bounds.SyncTime), a.At) {
 		j.add("LOST", r, a.At, "daemon %d closed the connection without a response: %v", r.Daemon, a.Err)
 	}
 }
@@ -313,7 +313,7 @@
 )
 
 // cutByShutdown reports whether the end of a graceful shutdown cut a request, which is allowed.
-func (j *judgement) cutByShutdown(r *record, run *Run) bool {
+func (j *checker) cutByShutdown(r *record, run *Run) bool {
 	at := r.answer.At
 	// The cut itself stops the work, without a response, at about the moment that the caller observes.
 	atWork := run.Ended.IsZero() || run.Status == 0 && run.Ended.After(at.Add(-settling))
@@ -323,7 +323,7 @@
 	})
 }
 
-func (j *judgement) judgeDeadline(r *record) {
+func (j *checker) checkDeadline(r *record) {
 	at := j.now
 	if r.answer != nil {
 		at = r.answer.At
--- a/internal/soak/judge_counts.go
+++ b/internal/soak/judge_counts.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// judgeFew reports the violations of rules with a tolerance where there are more than it allows.
-func (j *judgement) judgeFew() {
+// checkTolerated reports the violations of rules with a tolerance where there are more than it allows.
+func (j *checker) checkTolerated() {
 	byPromise := make(map[string][]Violation)
 	for _, v := range j.tolerated {
 		byPromise[v.Promise] = append(byPromise[v.Promise], v)
@@ -22,9 +22,9 @@
 	}
 }
 
-// judgeRepeats counts the retries of each service, which are the arrivals after the
+// checkRetries counts the retries of each service, which are the arrivals after the
 // first of each request, in every window that ends with a retry.
-func (j *judgement) judgeRepeats() {
+func (j *checker) checkRetries() {
 	repeats, firsts := make(map[string][]time.Time), make(map[string][]time.Time)
 	for _, r := range j.order {
 		for i, a := range r.arrivals {
--- a/internal/soak/judge_limit.go
+++ b/internal/soak/judge_limit.go
@@ -25,8 +25,8 @@
 type loadEvent struct {
 	at      time.Time
 	replica string
-	change  int         // of its requests in flight; 0 is an arrival
-	from    processLife // the daemon that sent it
+	change  int       // of its requests in flight; 0 is an arrival
+	from    processID // the daemon that sent it
 	sent    time.Time
 }
 
@@ -61,15 +61,15 @@
 	return l.maxOverloadShare
 }
 
-// judgeLimit reports undisturbed windows with too many arrivals at overloaded replicas.
-func (j *judgement) judgeLimit() {
+// checkLimit reports undisturbed windows with too many arrivals at overloaded replicas.
+func (j *checker) checkLimit() {
 	for service, moments := range j.loadEvents() {
-		j.judgeWindows(service, j.countedArrivals(service, moments))
+		j.checkWindows(service, j.countedArrivals(service, moments))
 	}
 }
 
 // loadEvents returns the events at the replicas of each service, ordered by time.
-func (j *judgement) loadEvents() map[string][]loadEvent {
+func (j *checker) loadEvents() map[string][]loadEvent {
 	out := make(map[string][]loadEvent)
 	for _, r := range j.order {
 		for _, a := range r.arrivals {
@@ -93,13 +93,13 @@
 
 // countedArrivals returns the arrivals at a service that daemons that were up to date sent, and
 // whether the replica was over the bound.
-func (j *judgement) countedArrivals(service string, moments []loadEvent) []countedArrival {
+func (j *checker) countedArrivals(service string, moments []loadEvent) []countedArrival {
 	var out []countedArrival
 	held, total := make(map[string]int), 0
 	for _, m := range moments {
 		held[m.replica] += m.change
 		total += m.change
-		if m.change != 0 || !j.inTouch(m.from.daemon, m.sent, m.at) || m.at.Sub(j.ready) < j.bounds.SyncTime {
+		if m.change != 0 || !j.upToDate(m.from.daemon, m.sent, m.at) || m.at.Sub(j.ready) < j.bounds.SyncTime {
 			continue
 		}
 		mean := float64(total) / float64(max(1, j.eligible(service, m.from, m.at)))
@@ -111,10 +111,10 @@
 
 // eligible returns how many replicas of a service were eligible at a time for a full share of
 // a daemon's requests: not evacuated, not cold, and not backing off for that daemon.
-func (j *judgement) eligible(service string, by processLife, at time.Time) int {
+func (j *checker) eligible(service string, by processID, at time.Time) int {
 	n := 0
 	for replica, from := range j.joined[service] {
-		isThere := !from.After(at) && calm(j.departures[replica], at, at.Add(1))
+		isThere := !from.After(at) && noneOverlaps(j.departures[replica], at, at.Add(1))
 		if isThere && !j.heldBack(replica, at) && !j.rests(replica, by, at) {
 			n++
 		}
@@ -122,8 +122,8 @@
 	return n
 }
 
-// judgeWindows slides a window over the arrivals at a service.
-func (j *judgement) judgeWindows(service string, list []countedArrival) {
+// checkWindows slides a window over the arrivals at a service.
+func (j *checker) checkWindows(service string, list []countedArrival) {
 	b := j.bounds.Limit
 	first, over, broken := 0, 0, false
 	for i, a := range list {
@@ -151,9 +151,9 @@
 }
 
 // serviceUndisturbed reports whether no replica of a service was disturbed during a time.
-func (j *judgement) serviceUndisturbed(service string, from, to time.Time) bool {
+func (j *checker) serviceUndisturbed(service string, from, to time.Time) bool {
 	for replica := range j.joined[service] {
-		if !calm(j.replicas[replica], from, to) || !calm(j.setAside[replica], from, to) {
+		if !noneOverlaps(j.replicas[replica], from, to) || !noneOverlaps(j.setAside[replica], from, to) {
 			return false
 		}
 	}
--- a/internal/soak/judge_regress.go
+++ b/internal/soak/judge_regress.go
@@ -10,18 +10,18 @@
 
 // mustKnow reports whether the process that accepted a request must have received a change that the store
 // accepted at a time: it ran already, and it and the store were undisturbed until the bound had passed.
-func (j *judgement) mustKnow(r *record, since time.Time, bound time.Duration) bool {
+func (j *checker) mustKnow(r *record, since time.Time, bound time.Duration) bool {
 	begun, ok := j.begins[r.by()]
 	from, to := since.Add(-j.bounds.SyncTime), since.Add(bound)
-	return ok && begun.Before(from) && r.Sent.After(to) && !j.isPrevious(r.by()) &&
-		calm(j.daemons[r.Daemon], from, to) && calm(j.shutdowns[r.Daemon], from, to) && calm(j.store, from, to)
+	return ok && begun.Before(from) && r.Sent.After(to) && !j.runsPreviousBuild(r.by()) &&
+		noneOverlaps(j.daemons[r.Daemon], from, to) && noneOverlaps(j.shutdowns[r.Daemon], from, to) && noneOverlaps(j.store, from, to)
 }
 
 // missesEras reports whether the process that accepted a request is of the previous build, which does not
 // support eras of the store, and the store was restored from a backup: that build then mistakes changes
 // for older documents.
-func (j *judgement) missesEras(r *record) bool {
-	return j.isPrevious(r.by()) && !j.restored.IsZero() && r.Sent.After(j.restored)
+func (j *checker) missesEras(r *record) bool {
+	return j.runsPreviousBuild(r.by()) && !j.restored.IsZero() && r.Sent.After(j.restored)
 }
 
 // Restored records that the store was restored from a backup.
@@ -33,8 +33,8 @@
 	}
 }
 
-// judgeRegress reports what only an older configuration or an older entry allows.
-func (j *judgement) judgeRegress(r *record) {
+// checkRegress reports what only an older configuration or an older entry allows.
+func (j *checker) checkRegress(r *record) {
 	key := j.keys[r.Key]
 	for _, run := range r.runs {
 		if key != nil && !key.removed.IsZero() && j.mustKnow(r, key.removed, j.bounds.Apply) {
--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -167,14 +167,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := newScene(c.route)
 			c.play(s)
-			found := s.Judge(at(101))
+			found := s.Check(at(101))
 			switch {
 			case c.want == "" && len(found) > 0:
 				t.Errorf("found %+v, want no violation", found)
 			case c.want != "" && (len(found) == 0 || found[0].Promise != c.want):
 				t.Errorf("found %+v, want %s", found, c.want)
 			}
-			if again := s.Judge(at(101)); len(again) > 0 {
+			if again := s.Check(at(101)); len(again) > 0 {
 				t.Errorf("reported again: %+v", again)
 			}
 		})
@@ -209,7 +209,7 @@
 					s.Sent(q)
 					c.play(s.Ledger, q.ID, q)
 				}
-				found := s.Judge(at(110))
+				found := s.Check(at(110))
 				if broken := n > defaultBounds().Tolerance; broken != (len(found) > 0) {
 					t.Errorf("%d cases: found %+v", n, found)
 				}
@@ -235,7 +235,7 @@
 		s.Arrived(q.ID, Arrival{Replica: "r", Service: "gate", At: at(101.4), Deadline: q.Deadline.Add(time.Second)})
 		s.Answered(q.ID, Answer{At: at(101.5), Status: 502})
 	}
-	if found := s.Judge(at(110)); len(found) > 0 {
+	if found := s.Check(at(110)); len(found) > 0 {
 		t.Errorf("found %+v", found)
 	}
 }
@@ -255,7 +255,7 @@
 			}
 			s.Answered(q.ID, Answer{At: at(100.2), Status: 502})
 		}
-		if found := s.Judge(at(101)); c.broken != (len(found) > 0) {
+		if found := s.Check(at(101)); c.broken != (len(found) > 0) {
 			t.Errorf("%d repeats: found %+v", c.repeats, found)
 		}
 	}
@@ -286,7 +286,7 @@
 			l.Sent(Request{ID: id, Route: routes[1], Sent: at(100), Deadline: at(102)})
 			l.Arrived(id, Arrival{Replica: "r1", Service: "gate", At: at(100 + float64(i)*.01), Deadline: at(102)})
 		}
-		broken := slices.ContainsFunc(l.Judge(at(104)), func(v Violation) bool { return v.Promise == "FAILBACK" })
+		broken := slices.ContainsFunc(l.Check(at(104)), func(v Violation) bool { return v.Promise == "FAILBACK" })
 		if broken != c.broken {
 			t.Errorf("%s: broken %t, want %t", c.name, broken, c.broken)
 		}
@@ -401,7 +401,7 @@
 				}
 				s.Ended(arrive(replica, when), 200, at(when+0.005))
 			}
-			found := slices.ContainsFunc(s.Judge(at(102)), func(v Violation) bool { return v.Promise == "LIMIT" })
+			found := slices.ContainsFunc(s.Check(at(102)), func(v Violation) bool { return v.Promise == "LIMIT" })
 			if found != c.broken {
 				t.Errorf("found: %t, want %t", found, c.broken)
 			}
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -37,7 +37,7 @@
 }
 
 // by returns the process of a daemon that accepted the request.
-func (q *Request) by() processLife { return processLife{q.Daemon, q.Incarnation} }
+func (q *Request) by() processID { return processID{q.Daemon, q.Incarnation} }
 
 // Arrival records that a request reached a replica.
 type Arrival struct {
@@ -105,18 +105,18 @@
 	routes           map[string][]routeChange        // a route's service
 	keys             map[string]*keyHistory
 	found            map[string]Violation
-	domains          map[string]string                // of replicas
-	evacuations      map[string][]span                // evacuations of domains, as the store accepted them
-	cold             map[string][]coldSpan            // of replicas
-	maxOverloadShare float64                          // the largest fraction that LIMIT bounds
-	terminations     []Violation                      // daemons that terminated by themselves, or did not shut down in time
-	crashes          map[int][]crash                  // by number of the crashing request
-	backoffs         map[processLife][]backoffRequest // by the daemon process that got the request
-	builds           map[processLife]Build
-	begins           map[processLife]time.Time // of processes
-	restored         time.Time                 // when the store was first restored from a backup
-	freezes          map[int][]span            // of daemons
-	setAside         map[string][]span         // when replicas backed off, or announced their departure in responses alone
+	domains          map[string]string              // of replicas
+	evacuations      map[string][]span              // evacuations of domains, as the store accepted them
+	cold             map[string][]coldSpan          // of replicas
+	maxOverloadShare float64                        // the largest fraction that LIMIT bounds
+	terminations     []Violation                    // daemons that terminated by themselves, or did not shut down in time
+	crashes          map[int][]crash                // by number of the crashing request
+	backoffs         map[processID][]backoffRequest // by the daemon process that got the request
+	builds           map[processID]Build
+	begins           map[processID]time.Time // of processes
+	restored         time.Time               // when the store was first restored from a backup
+	freezes          map[int][]span          // of daemons
+	setAside         map[string][]span       // when replicas backed off, or announced their departure in responses alone
 	// recoveryCheckFrom is when the last part of the quiet time begins, in which requests must be served.
 	recoveryCheckFrom time.Time
 }
@@ -133,7 +133,7 @@
 		shutdowns: make(map[int][]span), departures: make(map[string][]span), joined: make(map[string]map[string]time.Time), routes: make(map[string][]routeChange),
 		keys: make(map[string]*keyHistory), found: make(map[string]Violation),
 		domains: make(map[string]string), evacuations: make(map[string][]span), cold: make(map[string][]coldSpan),
-		crashes: make(map[int][]crash), freezes: make(map[int][]span), setAside: make(map[string][]span), builds: make(map[processLife]Build), begins: make(map[processLife]time.Time), backoffs: make(map[processLife][]backoffRequest),
+		crashes: make(map[int][]crash), freezes: make(map[int][]span), setAside: make(map[string][]span), builds: make(map[processID]Build), begins: make(map[processID]time.Time), backoffs: make(map[processID][]backoffRequest),
 	}
 }
 
@@ -248,7 +248,7 @@
 func (l *Ledger) ShutdownTimedOut(i int, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if calm(l.daemons[i], from.Add(-l.bounds.SyncTime), to) {
+	if noneOverlaps(l.daemons[i], from.Add(-l.bounds.SyncTime), to) {
 		l.terminations = append(l.terminations, Violation{Promise: "LOST", Subject: "d" + itoa(i), At: to, Detail: "did not terminate within its grace period"})
 	}
 }
@@ -272,7 +272,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	far := at.Add(time.Hour)
-	if calm(l.departures[replica], at, far) {
+	if noneOverlaps(l.departures[replica], at, far) {
 		l.departures[replica] = append(l.departures[replica], span{at, far})
 	}
 }
@@ -319,8 +319,8 @@
 	l.terminations = append(l.terminations, Violation{Promise: "RUNS", Subject: daemon, At: at, Detail: "terminated by itself: " + why})
 }
 
-// calm reports whether no span of a list overlaps a period.
-func calm(list []span, from, to time.Time) bool {
+// noneOverlaps reports whether no span of a list overlaps a period.
+func noneOverlaps(list []span, from, to time.Time) bool {
 	for _, s := range list {
 		if s.from.Before(to) && s.to.After(from) {
 			return false
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -103,7 +103,7 @@
 	Crashing int
 	// ForeignPerSec is how often another client writes among the replicas' entries.
 	ForeignPerSec float64
-	// BackoffsPerSec is how often some replicas request a backoff, and LeavingsPerSec how often one
+	// BackoffsPerSec is how often some replicas request a backoff, and DeparturesPerSec how often one
 	// announces its departure in its responses alone.
 	BackoffsPerSec   float64
 	DeparturesPerSec float64
--- a/internal/soak/resting.go
+++ b/internal/soak/resting.go
@@ -160,19 +160,19 @@
 // path is a replica and a process of a daemon.
 type path struct {
 	replica string
-	by      processLife
+	by      processID
 }
 
 // judgeResting looks for rests in which too much reached the replica. Each counts for itself. A
 // daemon that starts knows nothing of what was asked before, and requests of one that was
 // frozen are on their way for as long; nothing else is an excuse.
-func (j *judgement) judgeResting() {
+func (j *checker) judgeResting() {
 	if len(j.backoffs) == 0 {
 		return
 	}
 	arrivals := j.arrivalsByPath()
 	for by, list := range j.backoffs {
-		if j.isPrevious(by) {
+		if j.runsPreviousBuild(by) {
 			continue
 		}
 		for i := range list {
@@ -182,7 +182,7 @@
 }
 
 // judgeRest judges one rest by the arrivals at the replica from the daemon that was asked.
-func (j *judgement) judgeRest(a *backoffRequest, by processLife, arrivals []time.Time) {
+func (j *checker) judgeRest(a *backoffRequest, by processID, arrivals []time.Time) {
 	from, to := a.at.Add(j.bounds.Backoffs.Grace), j.restEnds(a)
 	n, last := 0, from
 	for _, at := range arrivals {
@@ -190,7 +190,7 @@
 			n, last = n+1, at
 		}
 	}
-	if n > j.bounds.Backoffs.Most && calm(j.freezes[by.daemon], a.at, last) {
+	if n > j.bounds.Backoffs.Most && noneOverlaps(j.freezes[by.daemon], a.at, last) {
 		j.out = append(j.out, Violation{
 			Promise: "BUDGET", Subject: fmt.Sprintf("%s%s at daemon %d, %v", restSubject, a.replica, by.daemon, a.at.UnixMilli()), At: last,
 			Detail: fmt.Sprintf("%s had asked daemon %d for %v of rest and got %d requests from it in that time", a.replica, by.daemon, a.rest, n),
@@ -199,7 +199,7 @@
 }
 
 // restEnds returns when a rest is over: a replica that starts again under its id did not ask.
-func (j *judgement) restEnds(a *backoffRequest) time.Time {
+func (j *checker) restEnds(a *backoffRequest) time.Time {
 	to := a.at.Add(a.rest)
 	for _, of := range j.joined {
 		if began := of[a.replica]; began.After(a.at) && began.Before(to) {
@@ -210,7 +210,7 @@
 }
 
 // rests reports whether a replica wants nothing from a daemon at a time.
-func (j *judgement) rests(replica string, d processLife, at time.Time) bool {
+func (j *checker) rests(replica string, d processID, at time.Time) bool {
 	for i := range j.backoffs[d] {
 		a := &j.backoffs[d][i]
 		if a.replica == replica && !at.Before(a.at) && at.Before(a.at.Add(a.rest)) {
@@ -222,11 +222,11 @@
 
 // arrivalsByPath returns when requests reached replicas, those left out that a link may have
 // held up.
-func (j *judgement) arrivalsByPath() map[path][]time.Time {
+func (j *checker) arrivalsByPath() map[path][]time.Time {
 	out := make(map[path][]time.Time)
 	for _, r := range j.order {
 		for _, a := range r.arrivals {
-			if calm(j.replicas[a.Replica], r.Sent, a.At) {
+			if noneOverlaps(j.replicas[a.Replica], r.Sent, a.At) {
 				key := path{a.Replica, r.by()}
 				out[key] = append(out[key], a.At)
 			}
--- a/internal/soak/resting_test.go
+++ b/internal/soak/resting_test.go
@@ -71,7 +71,7 @@
 		if c.play != nil {
 			c.play(l)
 		}
-		broken := slices.ContainsFunc(l.Judge(at(200)), func(v Violation) bool { return v.Promise == "BUDGET" && strings.HasPrefix(v.Subject, restSubject) })
+		broken := slices.ContainsFunc(l.Check(at(200)), func(v Violation) bool { return v.Promise == "BUDGET" && strings.HasPrefix(v.Subject, restSubject) })
 		if broken != c.broken {
 			t.Errorf("%s: broken %t, want %t", c.name, broken, c.broken)
 		}
@@ -122,7 +122,7 @@
 		if c.play != nil {
 			c.play(l)
 		}
-		broken := slices.ContainsFunc(l.Judge(at(200)), func(v Violation) bool { return v.Promise == "DRAIN" })
+		broken := slices.ContainsFunc(l.Check(at(200)), func(v Violation) bool { return v.Promise == "DRAIN" })
 		if broken != c.broken {
 			t.Errorf("%s: broken %t, want %t", c.name, broken, c.broken)
 		}
--- a/internal/soak/restore_test.go
+++ b/internal/soak/restore_test.go
@@ -88,7 +88,7 @@
 		s.q.Incarnation = 1
 		s.Begins(0, 1, at(50))
 		c.play(s)
-		found := s.Judge(at(100.5))
+		found := s.Check(at(100.5))
 		switch {
 		case c.want == "" && len(found) > 0:
 			t.Errorf("%s: %s %s", c.name, found[0].Promise, found[0].Detail)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -44,7 +44,7 @@
 // Parameters of a run.
 const (
 	startTimeout        = 10 * time.Second
-	judgeInterval       = 2 * time.Second
+	checkInterval       = 2 * time.Second
 	recoveryWindow      = 4 * time.Second
 	minRecoveryRequests = 20
 )
@@ -192,8 +192,8 @@
 	defer endJudging()
 	judges.Go(func() {
 		for judging.Err() == nil {
-			pause(judging, judgeInterval)
-			r.judge()
+			pause(judging, checkInterval)
+			r.check()
 		}
 	})
 	s := &injector{site: r.site, ctx: ctx, endpoints: r.endpoints, note: r.note}
@@ -212,21 +212,21 @@
 	callers.Wait()
 	endJudging()
 	judges.Wait()
-	r.judge()
-	r.judgeEnd()
+	r.check()
+	r.checkRecovery()
 	return ctx.Err()
 }
 
-func (r *runner) judge() {
-	found := r.site.ledger.Judge(time.Now())
+func (r *runner) check() {
+	found := r.site.ledger.Check(time.Now())
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report.Violations = append(r.report.Violations, found...)
 }
 
-// judgeEnd checks the recovery: at the end of the quiet time requests are served again,
+// checkRecovery checks the recovery: at the end of the quiet time requests are served again,
 // and each daemon serves its metrics.
-func (r *runner) judgeEnd() {
+func (r *runner) checkRecovery() {
 	now := time.Now()
 	served, all := r.site.ledger.Served(now.Add(-recoveryWindow), now.Add(-time.Second/2))
 	totalServed, total := r.site.ledger.Served(r.begun, now)
--- a/internal/soak/serving.go
+++ b/internal/soak/serving.go
@@ -85,17 +85,17 @@
 // noReplicaReasons are the reasons of refusals by a daemon that found no replica to send to.
 var noReplicaReasons = []string{string(coordination.ReasonNoUpstream), string(coordination.ReasonCold), string(coordination.ReasonResting)}
 
-// judgeServing reports daemons that were up to date and refused all requests for a service for too
+// checkServing reports daemons that were up to date and refused all requests for a service for too
 // long because they found no replica, while one was live, undisturbed, warm and ready all the time.
-func (j *judgement) judgeServing() {
+func (j *checker) checkServing() {
 	type key struct {
-		by      processLife
+		by      processID
 		service string
 	}
 	refused := make(map[key][]*record) // since the last response of another kind
 	for _, r := range j.answeredInOrder() {
 		service, ok := j.serviceOf(r)
-		if !ok || j.isPrevious(r.by()) {
+		if !ok || j.runsPreviousBuild(r.by()) {
 			continue
 		}
 		k := key{r.by(), service}
@@ -105,7 +105,7 @@
 		}
 		refused[k] = append(refused[k], r)
 		first := refused[k][0].Sent
-		if took := r.answer.At.Sub(first); took > j.bounds.MaxRefusal && j.inTouch(r.Daemon, first, r.answer.At) && j.hasUsableReplica(service, first, r.answer.At) {
+		if took := r.answer.At.Sub(first); took > j.bounds.MaxRefusal && j.upToDate(r.Daemon, first, r.answer.At) && j.hasUsableReplica(service, first, r.answer.At) {
 			j.out = append(j.out, Violation{
 				Promise: "SERVES", Subject: fmt.Sprintf("%s at daemon %d, %v", service, r.Daemon, first.UnixMilli()), At: r.answer.At,
 				Detail: fmt.Sprintf("daemon %d refused %d requests in %v because it found no replica (%s), although one is live", r.Daemon, len(refused[k]), took, r.answer.Reason),
@@ -115,7 +115,7 @@
 }
 
 // answeredInOrder returns the requests that got a response, in the order of their responses.
-func (j *judgement) answeredInOrder() []*record {
+func (j *checker) answeredInOrder() []*record {
 	var out []*record
 	for _, r := range j.order {
 		if r.known && r.answer != nil && r.answer.Status != 0 {
@@ -128,7 +128,7 @@
 
 // serviceOf returns the service that a request was for, or false if the route moved at about that
 // time.
-func (j *judgement) serviceOf(r *record) (string, bool) {
+func (j *checker) serviceOf(r *record) (string, bool) {
 	service := ""
 	for _, c := range j.routes[r.Route.Name] {
 		if !c.at.After(r.Sent) {
@@ -142,10 +142,10 @@
 }
 
 // hasUsableReplica reports whether a replica of a service was usable throughout a period.
-func (j *judgement) hasUsableReplica(service string, from, to time.Time) bool {
+func (j *checker) hasUsableReplica(service string, from, to time.Time) bool {
 	for replica, joined := range j.joined[service] {
 		before := from.Add(-j.bounds.SyncTime)
-		well := calm(j.replicas[replica], before, to) && calm(j.setAside[replica], before, to) && calm(j.departures[replica], before, to)
+		well := noneOverlaps(j.replicas[replica], before, to) && noneOverlaps(j.setAside[replica], before, to) && noneOverlaps(j.departures[replica], before, to)
 		if well && joined.Before(before) && !j.heldBack(replica, from) && !j.heldBack(replica, to) {
 			return true
 		}
--- a/internal/soak/serving_test.go
+++ b/internal/soak/serving_test.go
@@ -69,7 +69,7 @@
 		l.RouteTo("safe", "gate", time.Time{})
 		l.Joined("r", "gate", at(50))
 		c.play(l)
-		broken := slices.ContainsFunc(l.Judge(at(200)), func(v Violation) bool { return v.Promise == "SERVES" })
+		broken := slices.ContainsFunc(l.Check(at(200)), func(v Violation) bool { return v.Promise == "SERVES" })
 		if broken != c.broken {
 			t.Errorf("%s: broken %t, want %t", c.name, broken, c.broken)
 		}
--- a/internal/soak/upgrade.go
+++ b/internal/soak/upgrade.go
@@ -81,23 +81,23 @@
 	return changed
 }
 
-// processLife identifies a process of a daemon.
-type processLife struct{ daemon, incarnation int }
+// processID identifies a process of a daemon.
+type processID struct{ daemon, incarnation int }
 
 // Runs records which build a process of a daemon runs.
 func (l *Ledger) Runs(daemon, incarnation int, b Build) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.builds[processLife{daemon, incarnation}] = b
+	l.builds[processID{daemon, incarnation}] = b
 }
 
 // Begins records when a process of a daemon started.
 func (l *Ledger) Begins(daemon, incarnation int, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.begins[processLife{daemon, incarnation}] = at
+	l.begins[processID{daemon, incarnation}] = at
 }
 
-// isPrevious reports whether a process of a daemon is of the previous build, which does not support
+// runsPreviousBuild reports whether a process of a daemon is of the previous build, which does not support
 // replicas' reports about themselves and crash reports that are disproved.
-func (j *judgement) isPrevious(d processLife) bool { return j.builds[d] == BuildPrevious }
+func (j *checker) runsPreviousBuild(d processID) bool { return j.builds[d] == BuildPrevious }
