--- a/internal/soak/crashing.go
+++ b/internal/soak/crashing.go
@@ -230,8 +230,8 @@
 func (j *checker) lateArrivals(r *record, after time.Time) []time.Time {
 	var out []time.Time
 	for _, a := range r.arrivals {
-		held := !noneOverlaps(j.replicas[a.Replica], r.Sent, a.At)
-		if a.At.After(after) && !held && j.upToDate(r.Daemon, a.At, a.At) {
+		delayed := !noneOverlaps(j.replicas[a.Replica], r.Sent, a.At)
+		if a.At.After(after) && !delayed && j.upToDate(r.Daemon, a.At, a.At) {
 			out = append(out, a.At)
 		}
 	}
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -209,8 +209,8 @@
 	for _, a := range r.arrivals {
 		// A link that delayed the request makes its deadline look later than the
 		// daemon set it.
-		held := !noneOverlaps(j.replicas[a.Replica], r.Sent, a.At)
-		if late := a.Deadline.Sub(r.Deadline); late > j.bounds.DeadlineSlack && !held && j.undisturbed(r.Daemon, a.At, a.At) {
+		delayed := !noneOverlaps(j.replicas[a.Replica], r.Sent, a.At)
+		if late := a.Deadline.Sub(r.Deadline); late > j.bounds.DeadlineSlack && !delayed && j.undisturbed(r.Daemon, a.At, a.At) {
 			j.addTolerated("BUDGET", r, a.At, "replica %s got a deadline %v later than the caller's", a.Replica, late)
 		}
 	}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -177,9 +177,9 @@
 func (r *runner) play(ctx context.Context) error {
 	r.begun = time.Now()
 	r.site.begun = r.begun
-	var callers, judges sync.WaitGroup
-	calling, hangUp := context.WithCancel(ctx)
-	defer hangUp()
+	var callers, checks sync.WaitGroup
+	calling, stopCallers := context.WithCancel(ctx)
+	defer stopCallers()
 	for i := range r.plan.Callers {
 		c := &caller{site: r.site, number: i}
 		callers.Go(func() { c.run(calling) })
@@ -188,11 +188,11 @@
 		c := &crasher{site: r.site, Crashing: r.plan.Crashing[i], number: i + 1}
 		callers.Go(func() { c.run(calling) })
 	}
-	judging, endJudging := context.WithCancel(ctx)
-	defer endJudging()
-	judges.Go(func() {
-		for judging.Err() == nil {
-			pause(judging, checkInterval)
+	checking, stopChecking := context.WithCancel(ctx)
+	defer stopChecking()
+	checks.Go(func() {
+		for checking.Err() == nil {
+			pause(checking, checkInterval)
 			r.check()
 		}
 	})
@@ -208,10 +208,10 @@
 	pause(ctx, r.plan.Quiet-recoveryWindow)
 	r.site.ledger.BeginRecoveryCheck(time.Now())
 	pause(ctx, min(r.plan.Quiet, recoveryWindow))
-	hangUp()
+	stopCallers()
 	callers.Wait()
-	endJudging()
-	judges.Wait()
+	stopChecking()
+	checks.Wait()
 	r.check()
 	r.checkRecovery()
 	return ctx.Err()
