--- a/internal/soak/departing.go
+++ b/internal/soak/departing.go
@@ -68,10 +68,10 @@
 	daemon int
 }
 
-// judgeLeavers looks for requests that reached a replica although it had said in an answer that
+// checkDepartures looks for requests that reached a replica although it had said in an answer that
 // it leaves. The daemon that passed the answer on must know, in touch or not, unless it was
 // frozen or started again; so must others, in touch with the store and each other.
-func (j *checker) judgeLeavers() {
+func (j *checker) checkDepartures() {
 	told, first := j.leavings()
 	if len(first) == 0 {
 		return
--- a/internal/soak/evacuate.go
+++ b/internal/soak/evacuate.go
@@ -118,8 +118,8 @@
 	l.cold[replica] = append(l.cold[replica], c)
 }
 
-// judgeEvacuated looks for requests that reached an evacuated domain.
-func (j *checker) judgeEvacuated(r *record) {
+// checkEvacuated looks for requests that reached an evacuated domain.
+func (j *checker) checkEvacuated(r *record) {
 	for _, a := range r.arrivals {
 		for _, e := range j.evacuations[j.domains[a.Replica]] {
 			late := a.At.Sub(e.from)
@@ -134,8 +134,8 @@
 	}
 }
 
-// judgeCold looks for seconds in which a cold replica got too much.
-func (j *checker) judgeCold() {
+// checkCold looks for seconds in which a cold replica got too much.
+func (j *checker) checkCold() {
 	arrivals := make(map[string][]time.Time)
 	for _, r := range j.order {
 		for _, a := range r.arrivals {
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -74,11 +74,11 @@
 	j.checkTolerated()
 	j.checkRetries()
 	j.checkCrashing()
-	j.judgeResting()
-	j.judgeLeavers()
+	j.checkBackoffs()
+	j.checkDepartures()
 	j.checkServing()
 	j.checkLimit()
-	j.judgeCold()
+	j.checkCold()
 	j.out = append(j.out, l.terminations...)
 	var fresh []Violation
 	for _, v := range j.out {
@@ -117,7 +117,7 @@
 	j.checkRuns(r)
 	j.checkRegress(r)
 	j.checkDeadlinesSent(r)
-	j.judgeEvacuated(r)
+	j.checkEvacuated(r)
 	j.checkCancellation(r)
 	if r.answer != nil {
 		j.checkResponse(r)
--- a/internal/soak/resting.go
+++ b/internal/soak/resting.go
@@ -163,10 +163,10 @@
 	by      processID
 }
 
-// judgeResting looks for rests in which too much reached the replica. Each counts for itself. A
+// checkBackoffs looks for rests in which too much reached the replica. Each counts for itself. A
 // daemon that starts knows nothing of what was asked before, and requests of one that was
 // frozen are on their way for as long; nothing else is an excuse.
-func (j *checker) judgeResting() {
+func (j *checker) checkBackoffs() {
 	if len(j.backoffs) == 0 {
 		return
 	}
@@ -176,13 +176,13 @@
 			continue
 		}
 		for i := range list {
-			j.judgeRest(&list[i], by, arrivals[path{list[i].replica, by}])
+			j.checkBackoff(&list[i], by, arrivals[path{list[i].replica, by}])
 		}
 	}
 }
 
-// judgeRest judges one rest by the arrivals at the replica from the daemon that was asked.
-func (j *checker) judgeRest(a *backoffRequest, by processID, arrivals []time.Time) {
+// checkBackoff judges one rest by the arrivals at the replica from the daemon that was asked.
+func (j *checker) checkBackoff(a *backoffRequest, by processID, arrivals []time.Time) {
 	from, to := a.at.Add(j.bounds.Backoffs.Grace), j.restEnds(a)
 	n, last := 0, from
 	for _, at := range arrivals {
