--- a/internal/soak/crashing_test.go
+++ b/internal/soak/crashing_test.go
@@ -61,9 +61,9 @@
 	return binary
 }
 
-// TestJudgeOfCrashingRequests records crashes and later arrivals of one crashing request, through
+// TestCheckCrashing records crashes and later arrivals of one crashing request, through
 // daemon 0 unless another one is named.
-func TestJudgeOfCrashingRequests(t *testing.T) {
+func TestCheckCrashing(t *testing.T) {
 	type arrival struct {
 		at     float64
 		daemon int
@@ -117,8 +117,8 @@
 	}
 }
 
-// TestJudgeOfInnocentRequests records refusals because a request is quarantined.
-func TestJudgeOfInnocentRequests(t *testing.T) {
+// TestCheckFalseQuarantine records refusals because a request is quarantined.
+func TestCheckFalseQuarantine(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		target   string
@@ -146,8 +146,8 @@
 	}
 }
 
-// TestCrashingRequestsAreNamedByTheirPath checks the number that replicas parse from a path.
-func TestCrashingRequestsAreNamedByTheirPath(t *testing.T) {
+// TestCrashingNumber checks the number that replicas parse from a path.
+func TestCrashingNumber(t *testing.T) {
 	for path, want := range map[string]int{"/reply/crashing-2": 2, "/once/crashing-31-late": 31, "/reply/7": 0, "/reply/crashing-": 0} {
 		if got := crashingNumber(path); got != want {
 			t.Errorf("%s: %d, want %d", path, got, want)
--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -48,8 +48,8 @@
 	return Answer{Status: 200, Seal: "r1", Body: plainBody("q", "r1"), Complete: true}
 }
 
-// TestJudge covers each guarantee with a case that breaks it and a similar one that does not.
-func TestJudge(t *testing.T) {
+// TestCheck covers each guarantee with a case that breaks it and a similar one that does not.
+func TestCheck(t *testing.T) {
 	once, safe, chat := routes[0], routes[1], routes[2]
 	for _, c := range []struct {
 		name, want string // want is empty if no guarantee is broken
@@ -181,9 +181,9 @@
 	}
 }
 
-// TestJudgeCountsWhatIsAllowedAFewTimes covers the rules that tolerate a few
+// TestCheckToleratesFewViolations covers the rules that tolerate a few
 // violations.
-func TestJudgeCountsWhatIsAllowedAFewTimes(t *testing.T) {
+func TestCheckToleratesFewViolations(t *testing.T) {
 	for _, c := range []struct {
 		promise string
 		play    func(l *Ledger, id string, q Request)
@@ -223,9 +223,9 @@
 	}
 }
 
-// TestJudgeKnowsLinksThatHoldRequestsUp covers requests that the link to the replica
+// TestCheckIgnoresDeadlinesDelayedByLinks covers requests that the link to the replica
 // delayed: their deadlines look late there although the daemon set them correctly.
-func TestJudgeKnowsLinksThatHoldRequestsUp(t *testing.T) {
+func TestCheckIgnoresDeadlinesDelayedByLinks(t *testing.T) {
 	s := newScene(routes[0])
 	s.DisturbReplica("r", at(99), at(101.5))
 	for i := range 2 * defaultBounds().Tolerance {
@@ -240,7 +240,7 @@
 	}
 }
 
-func TestJudgeCountsRepeats(t *testing.T) {
+func TestCheckCountsRetries(t *testing.T) {
 	for _, c := range []struct {
 		repeats int
 		broken  bool
@@ -261,8 +261,8 @@
 	}
 }
 
-// TestJudgeCountsWhatReachesAColdReplica sends requests to a replica within a second.
-func TestJudgeCountsWhatReachesAColdReplica(t *testing.T) {
+// TestCheckCountsRequestsToColdReplica sends requests to a replica within a second.
+func TestCheckCountsRequestsToColdReplica(t *testing.T) {
 	most := defaultBounds().Cold
 	for _, c := range []struct {
 		name   string
@@ -293,9 +293,9 @@
 	}
 }
 
-// TestEvacuationsLeaveTheOtherFaultsOfASeedAlone checks that seeds that were recorded before
+// TestEvacuationsKeepOtherFaultsOfSeed checks that seeds that were recorded before
 // evacuations existed can still be reproduced.
-func TestEvacuationsLeaveTheOtherFaultsOfASeedAlone(t *testing.T) {
+func TestEvacuationsKeepOtherFaultsOfSeed(t *testing.T) {
 	shape := DefaultShape()
 	with := NewPlan(5, shape)
 	shape.EvacuationsPerSec = 0
@@ -306,9 +306,9 @@
 	}
 }
 
-// TestPlanFollowsFromItsSeed checks that a seed determines the plan, and that all kinds
+// TestPlanIsDeterminedBySeed checks that a seed determines the plan, and that all kinds
 // of faults are drawn.
-func TestPlanFollowsFromItsSeed(t *testing.T) {
+func TestPlanIsDeterminedBySeed(t *testing.T) {
 	seen := make(map[faultKind]bool)
 	for seed := range uint64(100) {
 		a, b := NewPlan(seed, DefaultShape()), NewPlan(seed, DefaultShape())
@@ -326,9 +326,9 @@
 	}
 }
 
-// TestJudgeKnowsCrowdedReplicas covers a service of three replicas. The first has a number of
+// TestCheckFindsOverloadedReplicas covers a service of three replicas. The first has a number of
 // requests in flight when more requests reach it.
-func TestJudgeKnowsCrowdedReplicas(t *testing.T) {
+func TestCheckFindsOverloadedReplicas(t *testing.T) {
 	const sent, over = 100, 4
 	for _, c := range []struct {
 		name    string
@@ -409,9 +409,9 @@
 	}
 }
 
-// TestSteadyPlanFollowsFromItsSeed checks that a seed determines the plan, that no fault affects
+// TestSteadyPlanIsDeterminedBySeed checks that a seed determines the plan, that no fault affects
 // a replica, a daemon or the store, and that prompts become hot as planned.
-func TestSteadyPlanFollowsFromItsSeed(t *testing.T) {
+func TestSteadyPlanIsDeterminedBySeed(t *testing.T) {
 	for seed := range uint64(50) {
 		a, b := NewSteadyPlan(seed, 30, DefaultShape()), NewSteadyPlan(seed, 30, DefaultShape())
 		if !slices.Equal(a.Faults, b.Faults) || !slices.Equal(a.Steady.HotShares, b.Steady.HotShares) {
--- a/internal/soak/restore_test.go
+++ b/internal/soak/restore_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestJudgeKnowsProcessesThatGoBack covers changes that a process must have received: it may not
+// TestCheckRegress covers changes that a process must have received: it may not
 // revert them after a disturbance of the store.
-func TestJudgeKnowsProcessesThatGoBack(t *testing.T) {
+func TestCheckRegress(t *testing.T) {
 	removed := func(s *scene) {
 		s.KeyAdded("k", "w", at(10))
 		s.KeyRemoved("k", at(80))
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestRestoresLeaveTheOtherFaultsOfASeedAlone checks that recorded seeds can still be reproduced.
-func TestRestoresLeaveTheOtherFaultsOfASeedAlone(t *testing.T) {
+// TestRestoresKeepOtherFaultsOfSeed checks that recorded seeds can still be reproduced.
+func TestRestoresKeepOtherFaultsOfSeed(t *testing.T) {
 	shape := DefaultShape()
 	with := NewPlan(5, shape)
 	shape.RestoresPerSec = 0
@@ -120,8 +120,8 @@
 	}
 }
 
-// TestCopiesAreKeptForAWhile checks the selection of backups by age, and that old ones are dropped.
-func TestCopiesAreKeptForAWhile(t *testing.T) {
+// TestBackupSelection checks the selection of backups by age, and that old ones are dropped.
+func TestBackupSelection(t *testing.T) {
 	s := newSite(newLedger(defaultBounds()))
 	var c backups
 	for i := range 100 {
--- a/internal/soak/serving_test.go
+++ b/internal/soak/serving_test.go
@@ -9,9 +9,9 @@
 	"hingewinch.org/hingewinch/coordination"
 )
 
-// TestJudgeOfServing records refusals because no replica was found, one each tenth of a second from
+// TestCheckServing records refusals because no replica was found, one each tenth of a second from
 // 100 s on, by daemon 0 unless another one is named, while replica "r" of the service is live.
-func TestJudgeOfServing(t *testing.T) {
+func TestCheckServing(t *testing.T) {
 	none := string(coordination.ReasonNoUpstream)
 	refuse := func(l *Ledger, from, to float64, daemon int, reason string) {
 		for when := from; when < to; when += .1 {
@@ -76,10 +76,10 @@
 	}
 }
 
-// TestRepliesThoughReplicasAreSaidToHaveEnded reproduces the incident of transport/relay's
+// TestRequestsServedDespiteFalseCrashReports reproduces the incident of transport/relay's
 // TestResponseDisprovesReportedCrash over real processes: all daemons receive reports, as after
 // a cut (which is not simulated), that all replicas of each service have crashed.
-func TestRepliesThoughReplicasAreSaidToHaveEnded(t *testing.T) {
+func TestRequestsServedDespiteFalseCrashReports(t *testing.T) {
 	const daemons = 8
 	told := func(at time.Duration, target, variant int) Fault {
 		return Fault{At: at, For: 2 * time.Second, Kind: falseCrashes, Target: target, Variant: variant}
--- a/internal/soak/upgrade_test.go
+++ b/internal/soak/upgrade_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestUpgradesBeginAtTheLastBuildAndEndAtThisOne checks the plans of many seeds.
-func TestUpgradesBeginAtTheLastBuildAndEndAtThisOne(t *testing.T) {
+// TestUpgradesStartAtPreviousBuildAndEndAtCurrent checks the plans of many seeds.
+func TestUpgradesStartAtPreviousBuildAndEndAtCurrent(t *testing.T) {
 	shape := DefaultShape()
 	shape.Upgrades = true
 	var whole, half, back int
@@ -35,9 +35,9 @@
 	}
 }
 
-// TestUpgradesLeaveTheFaultsOfASeedAlone checks that a seed's faults are the same with and without
+// TestUpgradesKeepFaultsOfSeed checks that a seed's faults are the same with and without
 // upgrades.
-func TestUpgradesLeaveTheFaultsOfASeedAlone(t *testing.T) {
+func TestUpgradesKeepFaultsOfSeed(t *testing.T) {
 	shape := DefaultShape()
 	before := NewPlan(7, shape)
 	shape.Upgrades = true
