--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -178,21 +178,21 @@
 			continue
 		}
 		ever = true
-		ends := j.now.Add(time.Hour)
+		until := j.now.Add(time.Hour)
 		if i+1 < len(list) {
-			ends = list[i+1].at
+			until = list[i+1].at
 		}
-		if r.Sent.Sub(ends) <= j.bounds.Apply {
+		if r.Sent.Sub(until) <= j.bounds.Apply {
 			allowed = true
 		}
-		since = ends
+		since = until
 	}
 	if !ever {
-		j.add("ROUTE", r, run.At, "%s never goes to %s", r.Route.Name, run.Service)
+		j.add("ROUTE", r, run.At, "route %s never leads to %s", r.Route.Name, run.Service)
 		return
 	}
 	if !allowed && j.upToDate(r.Daemon, since, run.At) && !j.missesEras(r) {
-		j.add("CONFIG", r, run.At, "%s ran at %s %v after it had moved, by way of daemon %d", r.Route.Name, run.Service, r.Sent.Sub(since), r.Daemon)
+		j.add("CONFIG", r, run.At, "%s ran at %s %v after the route moved, through daemon %d", r.Route.Name, run.Service, r.Sent.Sub(since), r.Daemon)
 	}
 }
 
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -82,7 +82,7 @@
 // span is a period, usually one in which something was disturbed.
 type span struct{ from, to time.Time }
 
-// routeChange is a value that applies from a time on.
+// routeChange records that a route leads to a service from a time on.
 type routeChange struct {
 	at      time.Time
 	service string
--- a/internal/soak/serving_test.go
+++ b/internal/soak/serving_test.go
@@ -81,12 +81,12 @@
 // a cut (which is not simulated), that all replicas of each service have crashed.
 func TestRequestsServedDespiteFalseCrashReports(t *testing.T) {
 	const daemons = 8
-	told := func(at time.Duration, target, variant int) Fault {
+	reported := func(at time.Duration, target, variant int) Fault {
 		return Fault{At: at, For: 2 * time.Second, Kind: falseCrashes, Target: target, Variant: variant}
 	}
 	plan := &Plan{
 		Daemons: daemons, Domains: 3, Gate: 3, Chat: 6, Callers: 4 * daemons, Trouble: time.Second, Quiet: 8 * time.Second,
-		Faults: []Fault{told(4*time.Second, 0, 300), told(4*time.Second, 6, 900), told(7*time.Second, 0, 10), told(7*time.Second, 3, 500)},
+		Faults: []Fault{reported(4*time.Second, 0, 300), reported(4*time.Second, 6, 900), reported(7*time.Second, 0, 10), reported(7*time.Second, 3, 500)},
 	}
 	report := playPlan(t, plan)
 	if report.Share < 0.9 {
