--- a/cmd/hingesoak/main.go
+++ b/cmd/hingesoak/main.go
@@ -174,10 +174,10 @@
 // runSeed runs one seed and prints a summary, followed by the first violations, one per line.
 func (o *options) runSeed(ctx context.Context, seed uint64) (*soak.Report, error) {
 	shape := soak.DefaultShape()
-	shape.Trouble, shape.Quiet, shape.MostDaemons, shape.FaultsPerSec = o.Trouble, o.Quiet, o.Daemons, o.FaultRate
+	shape.Trouble, shape.Quiet, shape.MaxDaemons, shape.FaultsPerSec = o.Trouble, o.Quiet, o.Daemons, o.FaultRate
 	shape.EvacuationsPerSec, shape.Crashing, shape.ForeignPerSec = o.Evacuations, o.Crashing, o.Foreign
-	shape.RestsPerSec, shape.LeavingsPerSec = o.Backoffs, o.Departures
-	shape.FalseEndsPerSec, shape.RestoresPerSec, shape.Upgrades = o.FalseTerminations, o.Restores, o.Previous != ""
+	shape.BackoffsPerSec, shape.DeparturesPerSec = o.Backoffs, o.Departures
+	shape.FalseCrashesPerSec, shape.RestoresPerSec, shape.Upgrades = o.FalseTerminations, o.Restores, o.Previous != ""
 	plan := soak.NewPlan(seed, shape)
 	if o.Steady {
 		plan = soak.NewSteadyPlan(seed, o.Daemons, shape)
@@ -188,7 +188,7 @@
 		return nil, err
 	}
 	fmt.Printf("seed %d: %d daemons, %d faults, %d requests, %.3f served, %.3f at the end, %.3f at overloaded replicas, %d replicas crashed by requests, %d backoffs, %d departures announced in responses, %d violations\n",
-		seed, plan.Daemons, len(plan.Faults), report.Requests, report.Share, report.QuietShare, report.Crowded, report.Ended, report.Rests, report.Leavers, len(report.Violations))
+		seed, plan.Daemons, len(plan.Faults), report.Requests, report.Share, report.QuietShare, report.OverloadShare, report.Crashed, report.Backoffs, report.Departures, len(report.Violations))
 	for i, v := range report.Violations {
 		const maxShown = 12
 		if i == maxShown {
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -110,7 +110,7 @@
 		q = c.poll(q)
 	}
 	if s := c.site.steady; s != nil {
-		q.Subject, q.Tokens = s.subject(time.Since(c.site.begun))
+		q.Subject, q.Tokens = s.drawPrompt(time.Since(c.site.begun))
 	}
 	if route.Method == http.MethodPost {
 		q.Body = strings.Repeat("b", 1+rand.IntN(500))
@@ -161,9 +161,9 @@
 	}
 	begun := time.Now()
 	body, err := io.ReadAll(resp.Body)
-	a := Answer{At: time.Now(), Begun: begun, Status: resp.StatusCode, Seal: standin.SealOf(resp.Header), Body: string(body), Whole: err == nil, Err: err}
+	a := Answer{At: time.Now(), Begun: begun, Status: resp.StatusCode, Seal: standin.SealOf(resp.Header), Body: string(body), Complete: err == nil, Err: err}
 	a.Reason = resp.Header.Get(protocol.HeaderReason)
-	a.Held = a.Reason == string(coordination.ReasonQuarantined)
+	a.Quarantined = a.Reason == string(coordination.ReasonQuarantined)
 	c.site.ledger.Answered(q.ID, a)
 	if c.usesLeft--; err != nil || resp.Close || c.usesLeft <= 0 {
 		c.disconnect()
@@ -182,7 +182,7 @@
 func (c *caller) cancel(q *Request) Answer {
 	_, _ = c.conn.Write([]byte(q.encode()))
 	time.Sleep(rand.N(maxWork))
-	c.site.ledger.Left(q.ID, time.Now())
+	c.site.ledger.Disconnected(q.ID, time.Now())
 	c.disconnect()
 	return Answer{}
 }
--- a/internal/soak/crashing.go
+++ b/internal/soak/crashing.go
@@ -1,7 +1,7 @@
-// This file plays requests that crash the replicas that run them, and judges what becomes of
-// them: once such a request has ended three replicas, daemons in touch may let it reach three
-// more, ever. Beside them some callers ask for one thing over and over, which must be served
-// however many ends it was near.
+// This file sends requests that crash the replicas that run them, and checks that they are
+// quarantined: once such a request has crashed three replicas, daemons that are up to date may
+// let it reach three more, ever. Meanwhile some callers repeat one harmless request, which must
+// be served however many crashes it was in flight beside.
 
 package soak
 
@@ -17,48 +17,48 @@
 	"hingewinch.org/hingewinch/platform/standin"
 )
 
-// Crashing is a request that crashes each replica that begins to run it. It comes again and
-// again, with the same path, caller and body, at any daemon.
+// Crashing is a request that crashes each replica that begins to run it. It is sent repeatedly,
+// with the same path, caller and body, to any daemon.
 type Crashing struct {
-	Route int           `json:"route"` // number of its route
-	At    time.Duration `json:"at"`    // when it comes first
-	Every time.Duration `json:"every"` // mean pause between two tries
-	// Late says that the replica has sent a part of its answer when it ends.
-	Late bool `json:"late"`
+	Route    int           `json:"route"` // number of its route
+	At       time.Duration `json:"at"`    // when it is first sent
+	Interval time.Duration `json:"every"` // mean pause between two attempts
+	// MidResponse says that the replica has sent part of its response when it crashes.
+	MidResponse bool `json:"late"`
 }
 
-// Figures of crashing requests.
+// Parameters of crashing requests.
 const (
-	leastEvery      = 150 * time.Millisecond
-	mostEvery       = 500 * time.Millisecond
-	latestCrashing  = 6 * time.Second
-	crashWork       = 60 * time.Millisecond // at most, before the replica ends
-	shortestRestart = 400 * time.Millisecond
-	longestRestart  = 2 * time.Second
-	sameIDRestart   = time.Second // at most, for one that comes back under its id
+	minInterval           = 150 * time.Millisecond
+	maxInterval           = 500 * time.Millisecond
+	maxCrashingStart      = 6 * time.Second
+	maxCrashDelay         = 60 * time.Millisecond // at most, before the replica crashes
+	minRestartDelay       = 400 * time.Millisecond
+	maxRestartDelay       = 2 * time.Second
+	maxSameIDRestartDelay = time.Second // at most, for one that restarts under the same id
 
-	crashingPath = "crashing-"
-	latePath     = "-late"
+	crashingPathPrefix = "crashing-"
+	midResponseSuffix  = "-late"
 
-	// One request in pollOneIn is the same as all others of its kind.
+	// One request in pollOneIn is a poll; all polls are identical.
 	pollOneIn  = 40
 	pollTarget = prefixSafe + "status"
 	pollKey    = "first-0"
 )
 
-// crashingBounds bound what becomes of a crashing request.
+// crashingBounds limits how far a crashing request may spread.
 type crashingBounds struct {
-	Ends int // replicas that it may end before it is known
-	More int // arrivals at replicas later than Contact after the last of them
+	Crashes       int // replicas that it may crash before it must be quarantined
+	LaterArrivals int // arrivals at replicas later than SyncTime after the last of these crashes
 }
 
-// drawCrashing adds the crashing requests of a seed, with draws of their own.
+// drawCrashing adds the crashing requests of a seed, from a random source of their own.
 func (p *Plan) drawCrashing(seed uint64, s Shape) {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	for range s.Crashing {
 		p.Crashing = append(p.Crashing, Crashing{
-			Route: rng.IntN(len(routes)), At: time.Duration(rng.Int64N(int64(latestCrashing))),
-			Every: leastEvery + time.Duration(rng.Int64N(int64(mostEvery-leastEvery))), Late: rng.IntN(3) == 0,
+			Route: rng.IntN(len(routes)), At: time.Duration(rng.Int64N(int64(maxCrashingStart))),
+			Interval: minInterval + time.Duration(rng.Int64N(int64(maxInterval-minInterval))), MidResponse: rng.IntN(3) == 0,
 		})
 	}
 }
@@ -66,13 +66,13 @@
 // crasher is the caller of a crashing request.
 type crasher struct {
 	Crashing
-	site   *site
-	number int
-	tries  int
+	site     *site
+	number   int
+	attempts int
 }
 
-// run sends the request until ctx ends, each time on a new connection to a daemon that is
-// drawn. It does not wait as long as refusals ask it to.
+// run sends the request until ctx is done, each time on a new connection to a random
+// daemon. It ignores the backoff that refusals request.
 func (c *crasher) run(ctx context.Context) {
 	pause(ctx, c.At)
 	for ctx.Err() == nil {
@@ -83,19 +83,19 @@
 			out.roundTrip(&q)
 			out.disconnect()
 		}
-		pause(ctx, c.Every/2+rand.N(c.Every))
+		pause(ctx, c.Interval/2+rand.N(c.Interval))
 	}
 }
 
 func (c *crasher) request(out *caller) Request {
-	c.tries++
+	c.attempts++
 	route := routes[c.Route]
 	q := Request{
-		ID: fmt.Sprintf("x%d-%d", c.number, c.tries), Route: route, Key: pollKey, Crashing: c.number,
-		Target: route.Prefix + crashingPath + itoa(c.number), Daemon: out.daemon, Incarnation: out.incarnation, Tokens: shortTokens,
+		ID: fmt.Sprintf("x%d-%d", c.number, c.attempts), Route: route, Key: pollKey, Crashing: c.number,
+		Target: route.Prefix + crashingPathPrefix + itoa(c.number), Daemon: out.daemon, Incarnation: out.incarnation, Tokens: shortTokens,
 	}
-	if c.Late {
-		q.Target += latePath
+	if c.MidResponse {
+		q.Target += midResponseSuffix
 	}
 	if route.Method == "POST" {
 		q.Body = "crash"
@@ -103,31 +103,31 @@
 	return q
 }
 
-// crashingNumber returns the number of the crashing request that a path names; 0: none.
+// crashingNumber returns the number of the crashing request that a path names, or 0 for none.
 func crashingNumber(path string) int {
-	_, rest, ok := strings.Cut(path, crashingPath)
+	_, rest, ok := strings.Cut(path, crashingPathPrefix)
 	if !ok {
 		return 0
 	}
-	n, _ := strconv.Atoi(strings.TrimSuffix(rest, latePath)) // a path of another form names none
+	n, _ := strconv.Atoi(strings.TrimSuffix(rest, midResponseSuffix)) // a path of another form yields 0
 	return n
 }
 
-// poll makes a request one that is asked for over and over.
+// poll turns a request into one that is identical to all other polls.
 func (c *caller) poll(q Request) Request {
 	q.Route, q.Target, q.Key = routes[1], pollTarget, pollKey
 	return q
 }
 
-// crash ends the replica under a request.
+// crash crashes the replica while it runs a request.
 func (x *exchange) crash(number int) bool {
-	if !x.work(rand.N(crashWork)) {
+	if !x.work(rand.N(maxCrashDelay)) {
 		x.finish(0)
 		return false
 	}
-	if strings.HasSuffix(x.run.Target, latePath) {
+	if strings.HasSuffix(x.run.Target, midResponseSuffix) {
 		x.write(standin.StreamHead(x.id, x.ID, x.statementsWithLoad()))
-		x.work(rand.N(crashWork))
+		x.work(rand.N(maxCrashDelay))
 	}
 	x.finish(0)
 	x.ledger.Crashed(number, x.ID, time.Now())
@@ -135,49 +135,49 @@
 	return false
 }
 
-// crashedByRequest ends a replica, and starts another one at its place a while later, or the
-// same one again under its id.
-func (s *site) crashedByRequest(p *place, r *Replica) {
+// restartAfterCrash terminates a replica, and after a delay starts another one in its place, or
+// the same one again under its id.
+func (s *site) restartAfterCrash(p *place, r *Replica) {
 	if !s.tryMarkIdle(p, r) {
 		r.Terminate()
 		return
 	}
 	from := time.Now()
 	s.ledger.DisturbReplica(r.ID, from, from.Add(time.Hour))
-	s.endReplica(p, r)
+	s.terminateReplica(p, r)
 	go func() {
 		ctx := s.fleet.ctx
 		if rand.IntN(2) == 0 {
-			pause(ctx, shortestRestart+rand.N(sameIDRestart-shortestRestart))
-			s.ledger.CalmReplica(r.ID, from, time.Now())
+			pause(ctx, minRestartDelay+rand.N(maxSameIDRestartDelay-minRestartDelay))
+			s.ledger.EndReplicaDisturbance(r.ID, from, time.Now())
 			if ctx.Err() == nil && p.link.Reopen() == nil {
 				_ = s.startAs(r.ID, p, r.Service)
 			}
 			return
 		}
 		expiry := time.AfterFunc(expiryTime, func() { s.deleteEntry(r) })
-		pause(ctx, shortestRestart+rand.N(longestRestart-shortestRestart))
+		pause(ctx, minRestartDelay+rand.N(maxRestartDelay-minRestartDelay))
 		if expiry.Stop() {
 			s.deleteEntry(r)
 		}
-		s.ledger.CalmReplica(r.ID, from, time.Now())
+		s.ledger.EndReplicaDisturbance(r.ID, from, time.Now())
 		if ctx.Err() == nil {
-			_ = s.beginAgain(p, r.Service)
+			_ = s.startReplacement(p, r.Service)
 		}
 	}()
 }
 
-// endReplica ends a replica. Where the site's replicas refuse, new connections are refused
-// until another one begins at its place.
-func (s *site) endReplica(p *place, r *Replica) {
+// terminateReplica terminates a replica. Where the site's replicas refuse, new connections are refused
+// until another one starts in its place.
+func (s *site) terminateReplica(p *place, r *Replica) {
 	if s.refuses {
 		p.link.Close()
 	}
 	r.Terminate()
 }
 
-// beginAgain starts a replica at a place whose last one has ended.
-func (s *site) beginAgain(p *place, service string) error {
+// startReplacement starts a replica in a place whose previous one has terminated.
+func (s *site) startReplacement(p *place, service string) error {
 	if s.refuses {
 		if err := p.link.Reopen(); err != nil {
 			return err
@@ -186,59 +186,60 @@
 	return s.startNew(p, service)
 }
 
-// crash is the end of a replica under a crashing request.
+// crash is one crash of a replica that a crashing request caused.
 type crash struct {
 	replica string
 	at      time.Time
 }
 
-// Crashed notes that a crashing request ended a replica.
+// Crashed records that a crashing request crashed a replica.
 func (l *Ledger) Crashed(number int, replica string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	same := func(c crash) bool { return c.replica == replica && at.Sub(c.at) < shortestRestart }
+	same := func(c crash) bool { return c.replica == replica && at.Sub(c.at) < minRestartDelay }
 	if !slices.ContainsFunc(l.crashes[number], same) {
 		l.crashes[number] = append(l.crashes[number], crash{replica, at})
 	}
 }
 
-// judgeCrashing looks for crashing requests that went on reaching replicas.
-func (j *judgement) judgeCrashing() {
+// checkCrashing reports crashing requests that kept reaching replicas.
+func (j *checker) checkCrashing() {
 	for number, ends := range j.crashes {
-		if len(ends) < j.bounds.Crashing.Ends {
+		if len(ends) < j.bounds.Crashing.Crashes {
 			continue
 		}
-		third := ends[j.bounds.Crashing.Ends-1].at
+		third := ends[j.bounds.Crashing.Crashes-1].at
 		var late []time.Time
 		for _, r := range j.order {
 			if r.known && r.Crashing == number {
-				late = append(late, j.lateArrivals(r, third.Add(j.bounds.Contact))...)
+				late = append(late, j.lateArrivals(r, third.Add(j.bounds.SyncTime))...)
 			}
 		}
-		if len(late) > j.bounds.Crashing.More {
+		if len(late) > j.bounds.Crashing.LaterArrivals {
 			slices.SortFunc(late, time.Time.Compare)
 			j.out = append(j.out, Violation{
-				Promise: "BUDGET", Subject: crashingPath + itoa(number), At: late[j.bounds.Crashing.More],
-				Detail: fmt.Sprintf("reached replicas %d times more after it had ended the third, %d are allowed; it ended %d", len(late), j.bounds.Crashing.More, len(ends)),
+				Promise: "BUDGET", Subject: crashingPathPrefix + itoa(number), At: late[j.bounds.Crashing.LaterArrivals],
+				Detail: fmt.Sprintf("reached replicas %d more times after it had crashed the third, %d are allowed; it crashed %d", len(late), j.bounds.Crashing.LaterArrivals, len(ends)),
 			})
 		}
 	}
 }
 
-// lateArrivals returns when a request reached replicas after a time by way of a daemon in touch.
-func (j *judgement) lateArrivals(r *record, after time.Time) []time.Time {
+// lateArrivals returns when a request reached replicas after a time through a daemon that was up
+// to date.
+func (j *checker) lateArrivals(r *record, after time.Time) []time.Time {
 	var out []time.Time
 	for _, a := range r.arrivals {
-		held := !calm(j.replicas[a.Replica], r.Sent, a.At)
-		if a.At.After(after) && !held && j.inTouch(r.Daemon, a.At, a.At) {
+		delayed := !noneOverlaps(j.replicas[a.Replica], r.Sent, a.At)
+		if a.At.After(after) && !delayed && j.upToDate(r.Daemon, a.At, a.At) {
 			out = append(out, a.At)
 		}
 	}
 	return out
 }
 
-// Ends returns how many replicas crashing requests ended.
-func (l *Ledger) Ends() int {
+// Crashes returns how many replicas crashing requests crashed.
+func (l *Ledger) Crashes() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
@@ -248,19 +249,19 @@
 	return n
 }
 
-// judgeInnocent looks for ordinary requests that were refused as if replicas ended under them.
-// One that is the same as others may have been beside three ends in a row, for which it is
-// held back; at the end of the quiet time a whole answer has acquitted it.
-func (j *judgement) judgeInnocent(r *record) {
+// checkFalseQuarantine reports ordinary requests that were quarantined as if they crashed replicas.
+// A poll may have been in flight at three crashes in a row, for which it is quarantined;
+// by the end of the quiet time a complete response has cleared it.
+func (j *checker) checkFalseQuarantine(r *record) {
 	isPoll := r.Target == pollTarget
-	if r.Crashing == 0 && r.answer.Held && (!isPoll || r.Sent.After(j.quietFrom) && !j.quietFrom.IsZero()) {
-		j.add("HELD", r, r.answer.At, "daemon %d held back a request for %s, which crashes no replica", r.Daemon, r.Target)
+	if r.Crashing == 0 && r.answer.Quarantined && (!isPoll || r.Sent.After(j.recoveryCheckFrom) && !j.recoveryCheckFrom.IsZero()) {
+		j.add("HELD", r, r.answer.At, "daemon %d quarantined a request for %s, which crashes no replica", r.Daemon, r.Target)
 	}
 }
 
-// EndsSoon notes that requests sent from now on must be served.
-func (l *Ledger) EndsSoon(at time.Time) {
+// BeginRecoveryCheck records the time from which requests that are sent must be served.
+func (l *Ledger) BeginRecoveryCheck(at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.quietFrom = at
+	l.recoveryCheckFrom = at
 }
--- a/internal/soak/departing.go
+++ b/internal/soak/departing.go
@@ -46,7 +46,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.record(request)
-	r.leavers = append(r.leavers, replica)
+	r.departing = append(r.departing, replica)
 }
 
 // Departures returns the number of replicas that announced their departure in a response.
@@ -55,7 +55,7 @@
 	defer l.mu.Unlock()
 	seen := make(map[string]bool)
 	for _, r := range l.order {
-		for _, replica := range r.leavers {
+		for _, replica := range r.departing {
 			seen[replica] = true
 		}
 	}
@@ -69,11 +69,11 @@
 	daemon int
 }
 
-// judgeLeavers finds requests that reached a replica too long after it announced its departure
+// checkDepartures finds requests that reached a replica too long after it announced its departure
 // in a response. The daemon that forwarded the response must know of the departure even while
 // it is out of touch, unless it was frozen or restarted. Other daemons must know if they and the
 // forwarding daemon were in touch with the store and with each other.
-func (j *judgement) judgeLeavers() {
+func (j *checker) checkDepartures() {
 	forwarded, earliest := j.forwardedDepartures()
 	if len(earliest) == 0 {
 		return
@@ -81,14 +81,14 @@
 	for _, r := range j.order {
 		for _, a := range r.arrivals {
 			p, ok := earliest[a.Replica]
-			if !ok || j.isPrevious(r.by()) || !calm(j.replicas[a.Replica], r.Sent, a.At) {
+			if !ok || j.runsPreviousBuild(r.by()) || !noneOverlaps(j.replicas[a.Replica], r.Sent, a.At) {
 				continue
 			}
 			at, hasForwarded := forwarded[path{a.Replica, r.by()}]
 			switch {
-			case hasForwarded && r.Sent.Sub(at) > j.bounds.Drain && calm(j.freezes[r.Daemon], at, a.At):
+			case hasForwarded && r.Sent.Sub(at) > j.bounds.Drain && noneOverlaps(j.freezes[r.Daemon], at, a.At):
 				j.add("DRAIN", r, a.At, "reached %s, %v after the announcement of its departure, via daemon %d, which had forwarded the announcement", a.Replica, r.Sent.Sub(at), r.Daemon)
-			case r.Sent.Sub(p.at) > j.bounds.Drain && j.inTouch(r.Daemon, p.at, a.At) && j.inTouch(p.daemon, p.at, a.At):
+			case r.Sent.Sub(p.at) > j.bounds.Drain && j.upToDate(r.Daemon, p.at, a.At) && j.upToDate(p.daemon, p.at, a.At):
 				j.add("DRAIN", r, a.At, "reached %s, %v after daemon %d forwarded the announcement of its departure, via daemon %d", a.Replica, r.Sent.Sub(p.at), p.daemon, r.Daemon)
 			}
 		}
@@ -97,10 +97,10 @@
 
 // forwardedDepartures returns when each daemon first forwarded the announcement of a replica's
 // departure, and for each replica which daemon was the first to do so.
-func (j *judgement) forwardedDepartures() (forwarded map[path]time.Time, earliest map[string]forwardedDeparture) {
+func (j *checker) forwardedDepartures() (forwarded map[path]time.Time, earliest map[string]forwardedDeparture) {
 	forwarded, earliest = make(map[path]time.Time), make(map[string]forwardedDeparture)
 	for _, r := range j.order {
-		if r.answer == nil || !slices.Contains(r.leavers, r.answer.Seal) || j.isPrevious(r.by()) {
+		if r.answer == nil || !slices.Contains(r.departing, r.answer.Seal) || j.runsPreviousBuild(r.by()) {
 			continue
 		}
 		replica, at := r.answer.Seal, r.answer.Begun
--- a/internal/soak/evacuate.go
+++ b/internal/soak/evacuate.go
@@ -97,7 +97,7 @@
 func (l *Ledger) Evacuated(domain string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.emptied[domain] = append(l.emptied[domain], span{at, at.Add(time.Hour)})
+	l.evacuations[domain] = append(l.evacuations[domain], span{at, at.Add(time.Hour)})
 }
 
 // ReturnedToService records that a domain is returned to service at a time. It ends all
@@ -105,8 +105,8 @@
 func (l *Ledger) ReturnedToService(domain string, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for i := range l.emptied[domain] {
-		if e := &l.emptied[domain][i]; e.to.After(to) {
+	for i := range l.evacuations[domain] {
+		if e := &l.evacuations[domain][i]; e.to.After(to) {
 			e.to = to
 		}
 	}
@@ -119,24 +119,24 @@
 	l.cold[replica] = append(l.cold[replica], c)
 }
 
-// judgeEvacuated finds arrivals of a request in an evacuated domain.
-func (j *judgement) judgeEvacuated(r *record) {
+// checkEvacuated finds arrivals of a request in an evacuated domain.
+func (j *checker) checkEvacuated(r *record) {
 	for _, a := range r.arrivals {
-		for _, e := range j.emptied[j.domains[a.Replica]] {
+		for _, e := range j.evacuations[j.domains[a.Replica]] {
 			late := a.At.Sub(e.from)
 			if late <= j.bounds.Evacuate || !a.At.Before(e.to) {
 				continue
 			}
-			delayed := !calm(j.replicas[a.Replica], e.from, a.At) // a link fault may have delayed it
-			if !delayed && j.inTouch(r.Daemon, e.from, a.At) {
+			delayed := !noneOverlaps(j.replicas[a.Replica], e.from, a.At) // a link fault may have delayed it
+			if !delayed && j.upToDate(r.Daemon, e.from, a.At) {
 				j.add("EVAC", r, a.At, "reached %s %v after the store accepted the evacuation of domain %s, via daemon %d", a.Replica, late, j.domains[a.Replica], r.Daemon)
 			}
 		}
 	}
 }
 
-// judgeCold finds cold replicas that received more than bounds.Cold requests within one second.
-func (j *judgement) judgeCold() {
+// checkCold finds cold replicas that received more than bounds.Cold requests within one second.
+func (j *checker) checkCold() {
 	arrivals := make(map[string][]time.Time)
 	for _, r := range j.order {
 		for _, a := range r.arrivals {
@@ -161,15 +161,15 @@
 }
 
 // countsWhileCold reports whether an arrival counts toward the limit of a cold replica.
-func (j *judgement) countsWhileCold(r *record, a *Arrival) bool {
-	if !calm(j.replicas[a.Replica], a.At.Add(-time.Second), a.At) {
+func (j *checker) countsWhileCold(r *record, a *Arrival) bool {
+	if !noneOverlaps(j.replicas[a.Replica], a.At.Add(-time.Second), a.At) {
 		return false
 	}
 	return slices.ContainsFunc(j.cold[a.Replica], func(c coldSpan) bool {
 		if a.At.Before(c.from) || !a.At.Before(c.to) {
 			return false
 		}
-		return c.known.IsZero() || j.inTouch(r.Daemon, c.known, a.At)
+		return c.known.IsZero() || j.upToDate(r.Daemon, c.known, a.At)
 	})
 }
 
@@ -178,9 +178,9 @@
 // for 1.7 s, and a daemon that learns late that a replica is cold counts the cold time from then
 // on). It is also so while its domain is evacuated, and just after the domain returned to
 // service, when daemons treat its replicas as cold.
-func (j *judgement) isIneligible(replica string, at time.Time) bool {
+func (j *checker) isIneligible(replica string, at time.Time) bool {
 	isCold := slices.ContainsFunc(j.cold[replica], func(c coldSpan) bool {
 		return !at.Before(c.from) && at.Before(c.to.Add(j.bounds.Apply))
 	})
-	return isCold || !calm(j.emptied[j.domains[replica]], at.Add(-coldStart-settling), at.Add(1))
+	return isCold || !noneOverlaps(j.evacuations[j.domains[replica]], at.Add(-coldStart-settling), at.Add(1))
 }
--- a/internal/soak/inject_store.go
+++ b/internal/soak/inject_store.go
@@ -17,16 +17,16 @@
 	defer s.storeMu.Unlock()
 	mode := storeModes[f.Variant%len(storeModes)]
 	switch f.Kind {
-	case storeAway:
+	case storeUnreachable:
 		s.disturbStore(func() { s.setModes(s.endpoints, mode, f.For, nil) })
 	case storeExpires:
 		s.disturbStore(func() { s.setModes(s.endpoints, mode, f.For, s.expireEntries(f)) })
-	case storeTurns:
+	case storeRejects:
 		// Daemons whose endpoint refuses them learn from their peers. Their time bounds hold,
 		// so that the fault isn't recorded as a disturbance.
 		turned := 1 + f.Target%max(1, len(s.endpoints)/2)
 		s.setModes(s.endpoints[:turned], mode, f.For, nil)
-	case storeForgets:
+	case storeLosesHistory:
 		s.store.SilenceWatches()
 		s.changeConfig(&Fault{Kind: revokeKey, Target: f.Target})
 		pause(s.ctx, time.Second)
@@ -40,7 +40,7 @@
 	from := time.Now()
 	s.ledger.DisturbStore(from, from.Add(time.Hour))
 	inject()
-	s.ledger.CalmStore(from, time.Now().Add(settling))
+	s.ledger.EndStoreDisturbance(from, time.Now().Add(settling))
 }
 
 // setModes sets the mode of some endpoints for a time. It calls meanwhile, unless that is nil,
--- a/internal/soak/judge_counts.go
+++ b/internal/soak/judge_counts.go
@@ -1,5 +1,5 @@
-// This file judges what only counts can tell: findings that are allowed a few times, and
-// retries within a window.
+// This file checks the guarantees that depend on counts: rules that tolerate a few violations,
+// and retries within a window.
 
 package soak
 
@@ -9,22 +9,22 @@
 	"time"
 )
 
-// judgeFew takes the cases of which a few are allowed.
-func (j *judgement) judgeFew() {
+// checkTolerated reports the violations of rules with a tolerance where there are more than it allows.
+func (j *checker) checkTolerated() {
 	byPromise := make(map[string][]Violation)
-	for _, v := range j.few {
+	for _, v := range j.tolerated {
 		byPromise[v.Promise] = append(byPromise[v.Promise], v)
 	}
 	for _, list := range byPromise {
-		if len(list) > j.bounds.Few {
+		if len(list) > j.bounds.Tolerance {
 			j.out = append(j.out, list...)
 		}
 	}
 }
 
-// judgeRepeats counts, for each service, the arrivals beyond the first of each
-// request in every window that ends with one.
-func (j *judgement) judgeRepeats() {
+// checkRetries counts the retries of each service, which are the arrivals after the
+// first of each request, in every window that ends with a retry.
+func (j *checker) checkRetries() {
 	repeats, firsts := make(map[string][]time.Time), make(map[string][]time.Time)
 	for _, r := range j.order {
 		for i, a := range r.arrivals {
@@ -38,11 +38,11 @@
 	for service, list := range repeats {
 		slices.SortFunc(list, time.Time.Compare)
 		for i, end := range list {
-			n := countWithin(list[:i+1], end, j.bounds.Window)
-			// The users count the better of this window and the one before.
-			requests := max(countWithin(firsts[service], end, j.bounds.Window), countWithin(firsts[service], end.Add(-j.bounds.Window), j.bounds.Window))
-			if most := j.bounds.Ratio*float64(requests) + j.bounds.Extra; float64(n) > most {
-				j.out = append(j.out, Violation{Promise: "BUDGET", Subject: service, At: end, Detail: fmt.Sprintf("%d repeats in a window, allowed are %.0f", n, most)})
+			n := countWithin(list[:i+1], end, j.bounds.RetryWindow)
+			// Users count the larger of this window and the preceding one.
+			requests := max(countWithin(firsts[service], end, j.bounds.RetryWindow), countWithin(firsts[service], end.Add(-j.bounds.RetryWindow), j.bounds.RetryWindow))
+			if most := j.bounds.RetryRatio*float64(requests) + j.bounds.ExtraRetries; float64(n) > most {
+				j.out = append(j.out, Violation{Promise: "BUDGET", Subject: service, At: end, Detail: fmt.Sprintf("%d retries in a window, %.0f are allowed", n, most)})
 				break
 			}
 		}
@@ -60,17 +60,17 @@
 }
 
 // Served returns how many of the requests that were sent within a time, with a
-// key that held, got a success.
+// valid key, succeeded.
 func (l *Ledger) Served(from, to time.Time) (served, all int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range l.order {
 		key := l.keys[r.Key]
-		if !r.known || r.Sent.Before(from) || r.Sent.After(to) || !r.left.IsZero() || key == nil || !key.removed.IsZero() || r.Crashing > 0 {
+		if !r.known || r.Sent.Before(from) || r.Sent.After(to) || !r.disconnected.IsZero() || key == nil || !key.removed.IsZero() || r.Crashing > 0 {
 			continue
 		}
 		all++
-		if r.answer != nil && r.answer.Whole && r.answer.Status/100 == 2 {
+		if r.answer != nil && r.answer.Complete && r.answer.Status/100 == 2 {
 			served++
 		}
 	}
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -1,4 +1,4 @@
-// This file keeps what callers and replicas saw, and what was done to the fleet.
+// This file records what callers and replicas observed, and what was done to the fleet.
 
 package soak
 
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// Route is one route of a run.
+// Route is a configured route with the properties that the checks need.
 type Route struct {
 	Name   string
 	Prefix string
 	Method string
 	// Repeatable says whether a request may run more than once, Stream whether
-	// its answer is a stream.
+	// its response is a stream.
 	Repeatable bool
 	Stream     bool
 	Attempts   int
@@ -31,110 +31,109 @@
 	Incarnation int // of the daemon
 	Sent        time.Time
 	Deadline    time.Time
-	Subject     int // of a chat: requests with one subject share their prompt
+	Subject     int // of a chat: requests with the same subject share their prompt
 	Tokens      int // of that prompt
-	Crashing    int // number of the crashing request, from 1; 0: it is an ordinary one
+	Crashing    int // number of the crashing request, from 1; 0 for an ordinary request
 }
 
-// by returns the process of a daemon that took the request.
-func (q *Request) by() processLife { return processLife{q.Daemon, q.Incarnation} }
+// by returns the process of a daemon that accepted the request.
+func (q *Request) by() processID { return processID{q.Daemon, q.Incarnation} }
 
-// Arrival is a request as it reached a replica.
+// Arrival records that a request reached a replica.
 type Arrival struct {
 	Replica  string
 	Service  string
 	At       time.Time
-	Deadline time.Time // what the daemon gave the replica
+	Deadline time.Time // as the daemon sent it to the replica
 }
 
-// Run is the work of a replica on a request.
+// Run is the execution of a request by a replica.
 type Run struct {
 	Arrival
 	Method, Target, Body, Workspace string
-	Status                          int       // of the replica's answer; 0: none yet
-	Ended                           time.Time // zero: still at work
+	Status                          int       // of the replica's response; 0: none yet
+	Ended                           time.Time // zero: still running
 }
 
-// Answer is what a caller got.
+// Answer is the response that a caller received.
 type Answer struct {
-	At     time.Time // when it was over
-	Status int       // 0: none
-	Seal   string    // the replica that vouches for it; may be empty
-	Body   string
-	Begun  time.Time // when its header was read
-	Reason string    // of a refusal, as the daemon names it
-	Held   bool      // a refusal that says that replicas end under the request
-	Whole  bool      // it ended as complete
-	Err    error     // why it is not whole
-}
-
-// record is all that is known of a request.
+	At          time.Time // when it ended
+	Status      int       // 0: none
+	Seal        string    // the replica that sealed it; may be empty
+	Body        string
+	Begun       time.Time // when its header was read
+	Reason      string    // of a refusal, as the daemon reports it
+	Quarantined bool      // a refusal because the request is quarantined
+	Complete    bool      // it ended as complete
+	Err         error     // why it is not complete
+}
+
+// record is everything recorded about a request.
 type record struct {
 	Request
-	known    bool // a caller sent it
-	arrivals []Arrival
-	runs     []*Run
-	leavers  []string  // replicas that said in their answers to it that they leave
-	left     time.Time // the caller left before its answer
-	answer   *Answer
+	known        bool // a caller sent it
+	arrivals     []Arrival
+	runs         []*Run
+	departing    []string  // replicas that announced their departure in their responses to it
+	disconnected time.Time // when the caller disconnected before its response
+	answer       *Answer
 }
 
-// span is a time in which something was disturbed.
+// span is a period, usually one in which something was disturbed.
 type span struct{ from, to time.Time }
 
-// change is a fact that holds from a time on.
-type change struct {
-	at    time.Time
-	value string
+// routeChange records that a route leads to a service from a time on.
+type routeChange struct {
+	at      time.Time
+	service string
 }
 
-// Ledger is the memory of a run. It is safe for use by many goroutines.
+// Ledger records the events of a run. It is safe for concurrent use.
 type Ledger struct {
 	mu       sync.Mutex
 	bounds   bounds
 	requests map[string]*record
 	order    []*record
 
-	daemons  map[int][]span    // unplanned trouble of a daemon or its links
-	replicas map[string][]span // trouble of a replica or its link
-	store    []span
-	stops    map[int][]span                  // planned stops
-	leaving  map[string][]span               // from when the store took a replica's leaving, until it came back
-	joined   map[string]map[string]time.Time // when each replica of a service began
-	ready    time.Time                       // when all daemons were ready first
-	routes   map[string][]change             // a route's service
-	keys     map[string]*keyLife
-	found    map[string]Violation
-	domains  map[string]string           // of replicas
-	emptied  map[string][]span           // evacuations of domains, as the store took them
-	cold     map[string][]coldSpan       // of replicas
-	crowded  float64                     // the greatest share that LIMIT bounds
-	ended    []Violation                 // daemons that ended by themselves
-	crashes  map[int][]crash             // by number of the crashing request
-	restsBy  map[processLife][]restAsked // by the daemon that was asked
-	builds   map[processLife]Build
-	begins   map[processLife]time.Time // of processes
-	restored time.Time                 // when the store came back from a copy of itself first
-	freezes  map[int][]span            // of daemons
-	aside    map[string][]span         // when replicas rested, or left by their answers alone
-	// quietFrom is when the end of the quiet time begins, whose requests must be served.
-	quietFrom time.Time
-}
-
-type keyLife struct {
+	daemons          map[int][]span    // unplanned disturbances of a daemon or its links
+	replicas         map[string][]span // disturbances of a replica or its link
+	store            []span
+	shutdowns        map[int][]span                  // graceful shutdowns
+	departures       map[string][]span               // from when the store accepted a replica's departure, until it returned
+	joined           map[string]map[string]time.Time // when each replica of a service began to serve
+	ready            time.Time                       // when all daemons were first ready
+	routes           map[string][]routeChange        // a route's service
+	keys             map[string]*keyHistory
+	found            map[string]Violation
+	domains          map[string]string              // of replicas
+	evacuations      map[string][]span              // evacuations of domains, as the store accepted them
+	cold             map[string][]coldSpan          // of replicas
+	maxOverloadShare float64                        // the largest fraction that LIMIT bounds
+	terminations     []Violation                    // daemons that terminated by themselves, or did not shut down in time
+	crashes          map[int][]crash                // by number of the crashing request
+	backoffs         map[processID][]backoffRequest // by the daemon process that got the request
+	builds           map[processID]Build
+	begins           map[processID]time.Time // of processes
+	restored         time.Time               // when the store was first restored from a backup
+	freezes          map[int][]span          // of daemons
+	setAside         map[string][]span       // when replicas backed off, or announced their departure in responses alone
+	// recoveryCheckFrom is when the last part of the quiet time begins, in which requests must be served.
+	recoveryCheckFrom time.Time
+}
+
+type keyHistory struct {
 	workspace string
 	added     time.Time
 	removed   time.Time // zero: never
 }
 
-// newLedger returns an empty ledger.
 func newLedger(b bounds) *Ledger {
 	return &Ledger{
 		bounds: b, requests: make(map[string]*record), daemons: make(map[int][]span), replicas: make(map[string][]span),
-		stops: make(map[int][]span), leaving: make(map[string][]span), joined: make(map[string]map[string]time.Time), routes: make(map[string][]change),
-		keys: make(map[string]*keyLife), found: make(map[string]Violation),
-		domains: make(map[string]string), emptied: make(map[string][]span), cold: make(map[string][]coldSpan),
-		crashes: make(map[int][]crash), freezes: make(map[int][]span), aside: make(map[string][]span), builds: make(map[processLife]Build), begins: make(map[processLife]time.Time), restsBy: make(map[processLife][]restAsked),
+		shutdowns: make(map[int][]span), departures: make(map[string][]span), joined: make(map[string]map[string]time.Time), routes: make(map[string][]routeChange),
+		keys: make(map[string]*keyHistory), found: make(map[string]Violation),
+		domains: make(map[string]string), evacuations: make(map[string][]span), cold: make(map[string][]coldSpan),
+		crashes: make(map[int][]crash), freezes: make(map[int][]span), setAside: make(map[string][]span), builds: make(map[processID]Build), begins: make(map[processID]time.Time), backoffs: make(map[processID][]backoffRequest),
 	}
 }
 
@@ -148,7 +147,7 @@
 	return r
 }
 
-// Sent notes a request before its first byte is written.
+// Sent records a request before its first byte is written.
 func (l *Ledger) Sent(q Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -156,21 +155,21 @@
 	r.Request, r.known = q, true
 }
 
-// Left notes that the caller of a request closed its connection.
-func (l *Ledger) Left(id string, at time.Time) {
+// Disconnected records that the caller of a request closed its connection.
+func (l *Ledger) Disconnected(id string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.record(id).left = at
+	l.record(id).disconnected = at
 }
 
-// Answered notes what a caller got.
+// Answered records the response that a caller received.
 func (l *Ledger) Answered(id string, a Answer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.record(id).answer = &a
 }
 
-// Arrived notes a request that reached a replica, run or not.
+// Arrived records a request that reached a replica, whether or not it runs.
 func (l *Ledger) Arrived(id string, a Arrival) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -178,7 +177,7 @@
 	r.arrivals = append(r.arrivals, a)
 }
 
-// Began notes that a replica works on a request.
+// Began records that a replica began to run a request.
 func (l *Ledger) Began(id string, run Run) *Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -187,56 +186,56 @@
 	return &run
 }
 
-// Ended notes how a replica's work ended; status 0 is no answer.
+// Ended records the end of a run; status 0 is no response.
 func (l *Ledger) Ended(run *Run, status int, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	run.Status, run.Ended = status, at
 }
 
-// DisturbDaemon notes unplanned trouble of a daemon or its links.
+// DisturbDaemon records an unplanned disturbance of a daemon or its links.
 func (l *Ledger) DisturbDaemon(i int, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.daemons[i] = append(l.daemons[i], span{from, to})
 }
 
-// DisturbReplica notes trouble of a replica or its link.
+// DisturbReplica records a disturbance of a replica or its link.
 func (l *Ledger) DisturbReplica(id string, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.replicas[id] = append(l.replicas[id], span{from, to})
 }
 
-// Calm notes the end of a daemon's trouble that was noted with its beginning.
-func (l *Ledger) Calm(i int, from, to time.Time) {
+// EndDaemonDisturbance records the end of a daemon's disturbance that was recorded when it began.
+func (l *Ledger) EndDaemonDisturbance(i int, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	endSpan(l.daemons[i], from, to)
+	closeSpan(l.daemons[i], from, to)
 }
 
-// CalmReplica notes the end of a replica's trouble.
-func (l *Ledger) CalmReplica(id string, from, to time.Time) {
+// EndReplicaDisturbance records the end of a replica's disturbance.
+func (l *Ledger) EndReplicaDisturbance(id string, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	endSpan(l.replicas[id], from, to)
+	closeSpan(l.replicas[id], from, to)
 }
 
-// CalmStore notes the end of the store's trouble.
-func (l *Ledger) CalmStore(from, to time.Time) {
+// EndStoreDisturbance records the end of the store's disturbance.
+func (l *Ledger) EndStoreDisturbance(from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	endSpan(l.store, from, to)
+	closeSpan(l.store, from, to)
 }
 
-// StoppedUntil notes the end of a planned stop.
-func (l *Ledger) StoppedUntil(i int, from, to time.Time) {
+// ShutdownEnded records the end of a graceful shutdown.
+func (l *Ledger) ShutdownEnded(i int, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	endSpan(l.stops[i], from, to)
+	closeSpan(l.shutdowns[i], from, to)
 }
 
-func endSpan(list []span, from, to time.Time) {
+func closeSpan(list []span, from, to time.Time) {
 	for k := range list {
 		if list[k].from.Equal(from) {
 			list[k].to = to
@@ -244,67 +243,67 @@
 	}
 }
 
-// StopTooLong notes a planned stop that had to be ended by a kill. It breaks a
-// promise unless the daemon was disturbed meanwhile.
-func (l *Ledger) StopTooLong(i int, from, to time.Time) {
+// ShutdownTimedOut records a graceful shutdown that had to be ended by a kill. It breaks a
+// guarantee unless the daemon was disturbed meanwhile.
+func (l *Ledger) ShutdownTimedOut(i int, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if calm(l.daemons[i], from.Add(-l.bounds.Contact), to) {
-		l.ended = append(l.ended, Violation{Promise: "LOST", Subject: "d" + itoa(i), At: to, Detail: "did not end within its grace"})
+	if noneOverlaps(l.daemons[i], from.Add(-l.bounds.SyncTime), to) {
+		l.terminations = append(l.terminations, Violation{Promise: "LOST", Subject: "d" + itoa(i), At: to, Detail: "did not terminate within its grace period"})
 	}
 }
 
-// DisturbStore notes trouble of the store.
+// DisturbStore records a disturbance of the store.
 func (l *Ledger) DisturbStore(from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.store = append(l.store, span{from, to})
 }
 
-// Stopped notes a planned stop.
-func (l *Ledger) Stopped(i int, from, to time.Time) {
+// ShutdownBegan records a graceful shutdown.
+func (l *Ledger) ShutdownBegan(i int, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.stops[i] = append(l.stops[i], span{from, to})
+	l.shutdowns[i] = append(l.shutdowns[i], span{from, to})
 }
 
-// Leaves notes that the store took a replica's leaving, announced or not.
-func (l *Ledger) Leaves(replica string, at time.Time) {
+// Departed records that the store accepted a replica's departure, announced or not.
+func (l *Ledger) Departed(replica string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	far := at.Add(time.Hour)
-	if calm(l.leaving[replica], at, far) {
-		l.leaving[replica] = append(l.leaving[replica], span{at, far})
+	if noneOverlaps(l.departures[replica], at, far) {
+		l.departures[replica] = append(l.departures[replica], span{at, far})
 	}
 }
 
-// Returns notes that the store took an entry of a replica that had left, under the same id.
-func (l *Ledger) Returns(replica string, at time.Time) {
+// Returned records that the store accepted a new entry of a replica that had left, under the same id.
+func (l *Ledger) Returned(replica string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for i := range l.leaving[replica] {
-		if s := &l.leaving[replica][i]; s.to.After(at) {
+	for i := range l.departures[replica] {
+		if s := &l.departures[replica][i]; s.to.After(at) {
 			s.to = at
 		}
 	}
 }
 
-// RouteTo notes that the store took a configuration in which a route goes to a
+// RouteTo records that the store accepted a configuration in which a route leads to a
 // service.
 func (l *Ledger) RouteTo(route, service string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.routes[route] = append(l.routes[route], change{at, service})
+	l.routes[route] = append(l.routes[route], routeChange{at, service})
 }
 
-// KeyAdded notes that the store took a configuration with a new key.
+// KeyAdded records that the store accepted a configuration with a new key.
 func (l *Ledger) KeyAdded(key, workspace string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.keys[key] = &keyLife{workspace: workspace, added: at}
+	l.keys[key] = &keyHistory{workspace: workspace, added: at}
 }
 
-// KeyRemoved notes that the store took a configuration without a key.
+// KeyRemoved records that the store accepted a configuration without a key.
 func (l *Ledger) KeyRemoved(key string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -313,15 +312,15 @@
 	}
 }
 
-// EndedByItself notes that a daemon's process ended although nobody ended it.
-func (l *Ledger) EndedByItself(daemon string, at time.Time, why string) {
+// TerminatedUnexpectedly records that a daemon's process terminated although the run did not stop it.
+func (l *Ledger) TerminatedUnexpectedly(daemon string, at time.Time, why string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ended = append(l.ended, Violation{Promise: "RUNS", Subject: daemon, At: at, Detail: "ended by itself: " + why})
+	l.terminations = append(l.terminations, Violation{Promise: "RUNS", Subject: daemon, At: at, Detail: "terminated by itself: " + why})
 }
 
-// calm reports whether nothing of a list overlaps a time.
-func calm(list []span, from, to time.Time) bool {
+// noneOverlaps reports whether no span of a list overlaps a period.
+func noneOverlaps(list []span, from, to time.Time) bool {
 	for _, s := range list {
 		if s.from.Before(to) && s.to.After(from) {
 			return false
--- a/internal/soak/plants_test.go
+++ b/internal/soak/plants_test.go
@@ -115,7 +115,7 @@
 // storeAwayFromTheStart makes the store unavailable while requests crash replicas. Daemons then
 // don't see that replicas restarted under the same id, and still consider them warm.
 func storeAwayFromTheStart(int) []Fault {
-	return []Fault{{At: time.Second, For: 12 * time.Second, Kind: storeAway}}
+	return []Fault{{At: time.Second, For: 12 * time.Second, Kind: storeUnreachable}}
 }
 
 // restoresInSeries restores the store from a backup several times, each time shortly after a key
@@ -138,7 +138,7 @@
 func falseEndsInSeries(int) []Fault {
 	var out []Fault
 	for i := range 4 {
-		out = append(out, Fault{At: time.Duration(4+4*i) * time.Second, For: time.Second, Kind: falseEnds, Target: 3 * i, Variant: 20})
+		out = append(out, Fault{At: time.Duration(4+4*i) * time.Second, For: time.Second, Kind: falseCrashes, Target: 3 * i, Variant: 20})
 	}
 	return out
 }
--- a/internal/soak/resting.go
+++ b/internal/soak/resting.go
@@ -34,8 +34,8 @@
 	Max   int           // requests allowed from then until the end of the backoff
 }
 
-// restAsked is a refusal that requested a backoff from a daemon.
-type restAsked struct {
+// backoffRequest is a refusal that requested a backoff from a daemon.
+type backoffRequest struct {
 	replica  string
 	at       time.Time
 	duration time.Duration
@@ -46,15 +46,15 @@
 // other faults of a seed don't depend on them.
 func (p *Plan) drawStatements(seed uint64, s Shape) {
 	rng := rand.New(rand.NewPCG(seed, 6))
-	for range int(math.Ceil(s.RestsPerSec * s.Trouble.Seconds())) {
+	for range int(math.Ceil(s.BackoffsPerSec * s.Trouble.Seconds())) {
 		f := drawFault(rng, s.Trouble)
-		f.Kind = restReplicas
+		f.Kind = backoffReplicas
 		f.For += maxBackoff
 		p.Faults = append(p.Faults, f)
 	}
-	for range int(math.Ceil(s.LeavingsPerSec * s.Trouble.Seconds())) {
+	for range int(math.Ceil(s.DeparturesPerSec * s.Trouble.Seconds())) {
 		f := drawFault(rng, s.Trouble)
-		f.Kind = leaveByAnswers
+		f.Kind = departInResponses
 		f.For += minServeAfterDeparture
 		p.Faults = append(p.Faults, f)
 	}
@@ -128,7 +128,7 @@
 	defer l.mu.Unlock()
 	r := l.record(request)
 	d := r.by()
-	l.restsBy[d] = append(l.restsBy[d], restAsked{replica: replica, at: at, duration: backoff})
+	l.backoffs[d] = append(l.backoffs[d], backoffRequest{replica: replica, at: at, duration: backoff})
 }
 
 // SetAside records a period in which a replica refuses all requests, or announces its
@@ -136,7 +136,7 @@
 func (l *Ledger) SetAside(replica string, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.aside[replica] = append(l.aside[replica], span{from, to})
+	l.setAside[replica] = append(l.setAside[replica], span{from, to})
 }
 
 // Froze records a period in which a daemon's process was suspended.
@@ -151,7 +151,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
-	for _, list := range l.restsBy {
+	for _, list := range l.backoffs {
 		n += len(list)
 	}
 	return n
@@ -163,38 +163,38 @@
 // path identifies the requests from one process of a daemon to a replica.
 type path struct {
 	replica string
-	by      processLife
+	by      processID
 }
 
-// judgeResting finds backoffs during which the daemon sent the replica too many requests. Each
+// checkBackoffs finds backoffs during which the daemon sent the replica too many requests. Each
 // backoff is checked on its own. A restarted daemon doesn't know of backoffs that were requested
 // before, and requests from a frozen daemon may be in flight for as long as it is frozen. No
 // other disturbance of a daemon or of the store is an excuse.
-func (j *judgement) judgeResting() {
-	if len(j.restsBy) == 0 {
+func (j *checker) checkBackoffs() {
+	if len(j.backoffs) == 0 {
 		return
 	}
 	arrivals := j.arrivalsByPath()
-	for by, list := range j.restsBy {
-		if j.isPrevious(by) {
+	for by, list := range j.backoffs {
+		if j.runsPreviousBuild(by) {
 			continue
 		}
 		for i := range list {
-			j.judgeRest(&list[i], by, arrivals[path{list[i].replica, by}])
+			j.checkBackoff(&list[i], by, arrivals[path{list[i].replica, by}])
 		}
 	}
 }
 
-// judgeRest checks one backoff, given the arrivals at the replica from the daemon it asked.
-func (j *judgement) judgeRest(a *restAsked, by processLife, arrivals []time.Time) {
-	from, to := a.at.Add(j.bounds.Resting.Grace), j.backoffEnd(a)
+// checkBackoff checks one backoff, given the arrivals at the replica from the daemon it asked.
+func (j *checker) checkBackoff(a *backoffRequest, by processID, arrivals []time.Time) {
+	from, to := a.at.Add(j.bounds.Backoffs.Grace), j.backoffEnd(a)
 	n, last := 0, from
 	for _, at := range arrivals {
 		if at.After(from) && at.Before(to) {
 			n, last = n+1, at
 		}
 	}
-	if n > j.bounds.Resting.Max && calm(j.freezes[by.daemon], a.at, last) {
+	if n > j.bounds.Backoffs.Max && noneOverlaps(j.freezes[by.daemon], a.at, last) {
 		j.out = append(j.out, Violation{
 			Promise: "BUDGET", Subject: fmt.Sprintf("%s%s at daemon %d, %v", backoffSubject, a.replica, by.daemon, a.at.UnixMilli()), At: last,
 			Detail: fmt.Sprintf("%s had asked daemon %d for a backoff of %v and received %d requests from it meanwhile", a.replica, by.daemon, a.duration, n),
@@ -204,7 +204,7 @@
 
 // backoffEnd returns when a backoff ends: after the requested time, or when the replica restarts
 // under the same id, because the new process didn't request it.
-func (j *judgement) backoffEnd(a *restAsked) time.Time {
+func (j *checker) backoffEnd(a *backoffRequest) time.Time {
 	to := a.at.Add(a.duration)
 	for _, of := range j.joined {
 		if began := of[a.replica]; began.After(a.at) && began.Before(to) {
@@ -215,9 +215,9 @@
 }
 
 // mustBackOff reports whether a daemon must back off from a replica at a time.
-func (j *judgement) mustBackOff(replica string, d processLife, at time.Time) bool {
-	for i := range j.restsBy[d] {
-		a := &j.restsBy[d][i]
+func (j *checker) mustBackOff(replica string, d processID, at time.Time) bool {
+	for i := range j.backoffs[d] {
+		a := &j.backoffs[d][i]
 		if a.replica == replica && !at.Before(a.at) && at.Before(a.at.Add(a.duration)) {
 			return true
 		}
@@ -227,11 +227,11 @@
 
 // arrivalsByPath returns the arrival times of requests by replica and daemon process, without
 // those that a fault of the replica or its link may have delayed.
-func (j *judgement) arrivalsByPath() map[path][]time.Time {
+func (j *checker) arrivalsByPath() map[path][]time.Time {
 	out := make(map[path][]time.Time)
 	for _, r := range j.order {
 		for _, a := range r.arrivals {
-			if calm(j.replicas[a.Replica], r.Sent, a.At) {
+			if noneOverlaps(j.replicas[a.Replica], r.Sent, a.At) {
 				key := path{a.Replica, r.by()}
 				out[key] = append(out[key], a.At)
 			}
--- a/internal/soak/resting_test.go
+++ b/internal/soak/resting_test.go
@@ -56,12 +56,12 @@
 		{"three while the store is disturbed", true, 3, []float64{101, 102, 102.9}, func(l *Ledger) { l.DisturbStore(at(100), at(104)) }},
 		{"three while the daemon's links are disturbed", true, 3, []float64{101, 102, 102.9}, func(l *Ledger) { l.DisturbDaemon(0, at(100), at(104)) }},
 		{"three after the entry was deleted and written again", true, 3, []float64{101, 102, 102.9}, func(l *Ledger) {
-			l.Leaves("r", at(100.5))
-			l.Returns("r", at(100.8))
+			l.Departed("r", at(100.5))
+			l.Returned("r", at(100.8))
 		}},
 		{"three that a fault of the replica's link may have delayed", false, 3, []float64{101, 102, 102.9}, func(l *Ledger) { l.DisturbReplica("r", at(99), at(104)) }},
-		{"three after the replica restarted", false, 3, []float64{101, 102, 102.9}, func(l *Ledger) { l.Joins("r", "s", at(100.7)) }},
-		{"three at a replica that had started before the backoff", true, 3, []float64{101, 102, 102.9}, func(l *Ledger) { l.Joins("r", "s", at(99)) }},
+		{"three after the replica restarted", false, 3, []float64{101, 102, 102.9}, func(l *Ledger) { l.Joined("r", "s", at(100.7)) }},
+		{"three at a replica that had started before the backoff", true, 3, []float64{101, 102, 102.9}, func(l *Ledger) { l.Joined("r", "s", at(99)) }},
 	} {
 		l := newLedger(defaultBounds())
 		send(l, 0, 1, 100)
@@ -72,7 +72,7 @@
 		if c.play != nil {
 			c.play(l)
 		}
-		broken := slices.ContainsFunc(l.Judge(at(200)), func(v Violation) bool { return v.Promise == "BUDGET" && strings.HasPrefix(v.Subject, backoffSubject) })
+		broken := slices.ContainsFunc(l.Check(at(200)), func(v Violation) bool { return v.Promise == "BUDGET" && strings.HasPrefix(v.Subject, backoffSubject) })
 		if broken != c.broken {
 			t.Errorf("%s: broken %t, want %t", c.name, broken, c.broken)
 		}
@@ -124,7 +124,7 @@
 		if c.play != nil {
 			c.play(l)
 		}
-		broken := slices.ContainsFunc(l.Judge(at(200)), func(v Violation) bool { return v.Promise == "DRAIN" })
+		broken := slices.ContainsFunc(l.Check(at(200)), func(v Violation) bool { return v.Promise == "DRAIN" })
 		if broken != c.broken {
 			t.Errorf("%s: broken %t, want %t", c.name, broken, c.broken)
 		}
@@ -141,22 +141,22 @@
 func TestDaemonsHonorRequestedBackoffs(t *testing.T) {
 	const daemons = 8
 	some := func(at time.Duration, target int) Fault {
-		return Fault{At: at, For: 4 * time.Second, Kind: restReplicas, Target: target, Variant: 81}
+		return Fault{At: at, For: 4 * time.Second, Kind: backoffReplicas, Target: target, Variant: 81}
 	}
 	whole := func(at time.Duration, target int) Fault {
-		return Fault{At: at, For: 3500 * time.Millisecond, Kind: restReplicas, Target: target, Variant: 80}
+		return Fault{At: at, For: 3500 * time.Millisecond, Kind: backoffReplicas, Target: target, Variant: 80}
 	}
 	plan := &Plan{
 		Daemons: daemons, Domains: 3, Gate: 4, Chat: 16, Callers: 4 * daemons, Trouble: time.Second, Quiet: 6 * time.Second,
 		Faults: []Fault{
 			some(0, 9), some(time.Second, 12), some(2*time.Second, 15), some(3*time.Second, 18),
 			whole(5*time.Second, 9), whole(6*time.Second, 0),
-			{At: 6 * time.Second, Kind: hangupDaemon, Target: 3}, {At: 7 * time.Second, Kind: hangupDaemon, Target: 4},
+			{At: 6 * time.Second, Kind: reloadDaemon, Target: 3}, {At: 7 * time.Second, Kind: reloadDaemon, Target: 4},
 		},
 	}
 	report := playPlan(t, plan)
-	if report.Rests < 50 {
-		t.Errorf("only %d backoffs were requested, want at least 50; the faults did not take effect", report.Rests)
+	if report.Backoffs < 50 {
+		t.Errorf("only %d backoffs were requested, want at least 50; the faults did not take effect", report.Backoffs)
 	}
 }
 
@@ -166,15 +166,15 @@
 func TestDaemonsHonorAnnouncedDepartures(t *testing.T) {
 	const daemons = 8
 	leave := func(at time.Duration, target int) Fault {
-		return Fault{At: at, For: 6 * time.Second, Kind: leaveByAnswers, Target: target, Variant: target}
+		return Fault{At: at, For: 6 * time.Second, Kind: departInResponses, Target: target, Variant: target}
 	}
 	plan := &Plan{
 		Daemons: daemons, Domains: 3, Gate: 4, Chat: 16, Callers: 4 * daemons, Trouble: time.Second, Quiet: 6 * time.Second,
 		Faults: []Fault{leave(0, 9), leave(0, 12), leave(time.Second, 15), leave(time.Second, 0)},
 	}
 	report := playPlan(t, plan)
-	if report.Leavers < len(plan.Faults)/2 {
-		t.Errorf("only %d replicas announced their departure in responses; the faults did not take effect", report.Leavers)
+	if report.Departures < len(plan.Faults)/2 {
+		t.Errorf("only %d replicas announced their departure in responses; the faults did not take effect", report.Departures)
 	}
 }
 
@@ -191,7 +191,7 @@
 		t.Fatal(err)
 	}
 	t.Logf("%d requests, %.3f served, %.3f at the end; %d backoffs requested, %d replicas that announced their departure, %d violations",
-		report.Requests, report.Share, report.QuietShare, report.Rests, report.Leavers, len(report.Violations))
+		report.Requests, report.Share, report.QuietShare, report.Backoffs, report.Departures, len(report.Violations))
 	const shown = 10
 	for _, v := range report.Violations[:min(shown, len(report.Violations))] {
 		t.Errorf("%s %s: %s", v.Promise, v.Subject, v.Detail)
--- a/internal/soak/restore.go
+++ b/internal/soak/restore.go
@@ -1,6 +1,6 @@
-// This file has the store come back from a copy of itself. What was written since the copy was made
-// is gone, its revisions are given out again, and the operator and the replicas write again what
-// was lost. Some time later, when the store counts as calm, something changes that is judged.
+// This file restores the store from a backup. What was written since the backup was made is lost,
+// its revisions are assigned again, and the operator and the replicas rewrite what was lost. Some
+// time later, when the store counts as undisturbed, a change follows whose effects are checked.
 
 package soak
 
@@ -12,63 +12,63 @@
 	"hingewinch.org/hingewinch/platform/standin"
 )
 
-// Figures of restores.
+// Parameters of restores.
 const (
-	copyInterval = 250 * time.Millisecond
-	oldestCopy   = 8 * time.Second
-	// shortestAway and moreAway bound how long the store is away.
-	shortestAway = 100 * time.Millisecond
-	moreAway     = 2 * time.Second
-	// rewriteTime is how long after the store's return what was lost is written again.
-	rewriteTime = 200 * time.Millisecond
-	// changesLost are written to one document shortly before the store goes away: one of them is written
-	// again, so that daemons stand above the store's revision when it is back.
-	changesLost = 8
-	lostBefore  = 300 * time.Millisecond
-	// changesAtOnce are written at once after that in half of the restores, so that the revisions of
-	// before are soon given out again. In the other half they stay unused for long.
-	changesAtOnce = 6
+	backupInterval = 250 * time.Millisecond
+	maxBackupAge   = 8 * time.Second
+	// minOutage and outageRange limit how long the store is unreachable.
+	minOutage   = 100 * time.Millisecond
+	outageRange = 2 * time.Second
+	// rewriteDelay is how long after the store is restored the lost documents are rewritten.
+	rewriteDelay = 200 * time.Millisecond
+	// lostChanges changes are written to one document shortly before the store becomes unreachable. Only
+	// one of them is rewritten, so that daemons are ahead of the store's revision when it is restored.
+	lostChanges     = 8
+	lostChangesLead = 300 * time.Millisecond
+	// immediateChanges changes are written immediately after that in half of the restores, so that the lost
+	// revisions are soon assigned again. In the other half they stay unassigned for long.
+	immediateChanges = 6
 )
 
-// drawRestores adds the restores of a seed, with draws of their own.
+// drawRestores adds the restores of a seed, from a random source of their own.
 func (p *Plan) drawRestores(seed uint64, s Shape) {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	for range int(math.Ceil(s.RestoresPerSec * s.Trouble.Seconds())) {
 		f := drawFault(rng, s.Trouble)
 		f.Kind = restoreStore
-		f.For = shortestAway + time.Duration(rng.Int64N(int64(moreAway)))
+		f.For = minOutage + time.Duration(rng.Int64N(int64(outageRange)))
 		p.Faults = append(p.Faults, f)
 	}
 }
 
-// copies are the newest copies of the store.
-type copies struct{ list []datedCopy }
+// backups holds the most recent backups of the store, oldest first.
+type backups struct{ list []backup }
 
-type datedCopy struct {
+type backup struct {
 	at    time.Time
 	store *standin.StoreBackup
 }
 
-// keepCopies copies the store over and over.
-func (s *injector) keepCopies() {
+// backUpPeriodically backs up the store periodically.
+func (s *injector) backUpPeriodically() {
 	for s.ctx.Err() == nil {
 		now := time.Now()
 		s.mu.Lock()
-		s.copies.add(datedCopy{now, s.store.Backup()})
+		s.copies.add(backup{now, s.store.Backup()})
 		s.mu.Unlock()
-		pause(s.ctx, copyInterval)
+		pause(s.ctx, backupInterval)
 	}
 }
 
-func (c *copies) add(d datedCopy) {
+func (c *backups) add(d backup) {
 	c.list = append(c.list, d)
-	for d.at.Sub(c.list[0].at) > oldestCopy {
+	for d.at.Sub(c.list[0].at) > maxBackupAge {
 		c.list = c.list[1:]
 	}
 }
 
-// of returns the newest copy of at least an age, or the oldest one.
-func (c *copies) of(age time.Duration, now time.Time) *standin.StoreBackup {
+// atLeastAsOldAs returns the newest backup that has at least the given age, or the oldest one.
+func (c *backups) atLeastAsOldAs(age time.Duration, now time.Time) *standin.StoreBackup {
 	found := c.list[0]
 	for _, d := range c.list {
 		if now.Sub(d.at) >= age {
@@ -78,40 +78,40 @@
 	return found.store
 }
 
-// restore takes the store away, and brings it back from a copy. What follows its return is judged.
+// restore makes the store unreachable and restores it from a backup. The changes that follow are checked.
 func (s *injector) restore(f *Fault) {
-	age := time.Second + time.Duration(f.Variant%int(oldestCopy/time.Millisecond))*time.Millisecond
+	age := time.Second + time.Duration(f.Variant%int(maxBackupAge/time.Millisecond))*time.Millisecond
 	s.storeMu.Lock()
-	for range changesLost {
+	for range lostChanges {
 		s.addKey()
 	}
-	pause(s.ctx, lostBefore)
+	pause(s.ctx, lostChangesLead)
 	s.disturbStore(func() {
 		mode := storeModes[f.Variant%len(storeModes)]
 		s.setModes(s.endpoints, mode, f.For, func() {
 			s.mu.Lock()
-			copied := s.copies.of(age, time.Now())
+			copied := s.copies.atLeastAsOldAs(age, time.Now())
 			s.mu.Unlock()
 			s.store.Restore(copied)
 			s.ledger.Restored(time.Now())
 		})
-		pause(s.ctx, rewriteTime)
+		pause(s.ctx, rewriteDelay)
 		s.rewrite()
 		if f.Target%2 == 0 {
-			for range changesAtOnce {
+			for range immediateChanges {
 				s.addKey()
 			}
 		}
 	})
 	s.storeMu.Unlock()
-	pause(s.ctx, s.ledger.bounds.Contact+2*settling)
+	pause(s.ctx, s.ledger.bounds.SyncTime+2*settling)
 	s.revokeKey(f.Target)
 	p, r := s.pickPlace(f.Target)
 	s.drain(p, r, f.Variant%2 == 0)
 }
 
-// rewrite writes what the operator and the replicas have written and the copy lacks. Entries of
-// replicas that have gone since expire.
+// rewrite writes what the operator and the replicas have written and the backup lacks. Entries of
+// replicas that have terminated since then expire.
 func (s *injector) rewrite() {
 	s.mu.Lock()
 	c := s.config()
@@ -137,7 +137,7 @@
 	if len(gone) == 0 {
 		return
 	}
-	time.AfterFunc(expiryTime-rewriteTime, func() {
+	time.AfterFunc(expiryTime-rewriteDelay, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for _, id := range gone {
--- a/internal/soak/upgrade_test.go
+++ b/internal/soak/upgrade_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestUpgradesBeginAtTheLastBuildAndEndAtThisOne draws the plans of many seeds.
-func TestUpgradesBeginAtTheLastBuildAndEndAtThisOne(t *testing.T) {
+// TestUpgradesStartAtPreviousBuildAndEndAtCurrent checks the plans of many seeds.
+func TestUpgradesStartAtPreviousBuildAndEndAtCurrent(t *testing.T) {
 	shape := DefaultShape()
 	shape.Upgrades = true
 	var whole, half, back int
@@ -31,12 +31,13 @@
 		}
 	}
 	if whole < 15 || half < 15 || back < 20 {
-		t.Errorf("%d whole, %d half-way and %d there and back of 60", whole, half, back)
+		t.Errorf("%d whole, %d half and %d with a downgrade, of 60", whole, half, back)
 	}
 }
 
-// TestUpgradesLeaveTheFaultsOfASeedAlone holds that a seed's faults are the same with and without.
-func TestUpgradesLeaveTheFaultsOfASeedAlone(t *testing.T) {
+// TestUpgradesKeepFaultsOfSeed checks that a seed's faults are the same with and without
+// upgrades.
+func TestUpgradesKeepFaultsOfSeed(t *testing.T) {
 	shape := DefaultShape()
 	before := NewPlan(7, shape)
 	shape.Upgrades = true
