--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -50,7 +50,7 @@
 		Limit:    limitBounds{Window: 5 * time.Second, Factor: 2, Slack: 3, MinRequests: 20, MaxShare: 0.03},
 		Evacuate: 2500 * time.Millisecond, Cold: coldOverage*coldPerSecond + coldSlack,
 		Crashing:   crashingBounds{Crashes: 3, LaterArrivals: 3},
-		Backoffs:  backoffBounds{Grace: 500 * time.Millisecond, Max: 2},
+		Backoffs:   backoffBounds{Grace: 500 * time.Millisecond, Max: 2},
 		MaxRefusal: time.Second,
 	}
 }
