--- a/transport/relay/replica_test.go
+++ b/transport/relay/replica_test.go
@@ -117,9 +117,11 @@
 // crash simulates a crash: connections are reset, and new ones are refused. It returns false, for
 // use as the result of a script.
 func (r *replica) crash() bool {
-	_ = r.listener.Close()
+	// Under the lock: if several requests call this at once, none may reset connections while
+	// another call is still closing the listener, which would accept the daemon's check.
 	r.mu.Lock()
 	defer r.mu.Unlock()
+	_ = r.listener.Close()
 	for _, c := range r.openConns {
 		reset(c)
 	}
