--- a/coordination/routing/eject.go
+++ b/coordination/routing/eject.go
@@ -31,7 +31,7 @@
 
 const (
 	// minFailures and minFailureRatio: a replica that fails a few responses in a hundred stays
-	// below them. The two were not varied one at a time.
+	// below them.
 	minFailures     = 4
 	minFailureRatio = 0.3
 	// initialEjection and maxEjection bound the duration of one ejection.
