--- a/coordination/membership/roster.go
+++ b/coordination/membership/roster.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// Self returns the daemon's own member.
+// Self returns the member that represents this daemon.
 func (r *Roster) Self() Member { return r.self }
 
 // NextHeartbeat counts a heartbeat and returns the daemon's own member to send in it.
--- a/coordination/routing/backoffs.go
+++ b/coordination/routing/backoffs.go
@@ -124,8 +124,8 @@
 	return max(0, t.until.Sub(now))
 }
 
-// RequestedBy returns the request whose response last requested the current backoff of a replica,
-// or "" if there is none.
+// RequestedBy returns the id of the request in whose response a replica asked for its current
+// backoff or last extended it, or "" if the replica is not backing off.
 func (s *Backoffs) RequestedBy(r *Replica, now time.Time) RequestID {
 	if s.Remaining(r, now) == 0 {
 		return ""
--- a/coordination/routing/cache.go
+++ b/coordination/routing/cache.go
@@ -43,8 +43,8 @@
 	// announceCount is how many heartbeats carry a location that this daemon has found itself,
 	// since datagrams may be lost.
 	announceCount = 2
-	// maxPendingLocations bounds the locations that wait to be announced: ten heartbeats' worth
-	// in a large fleet.
+	// maxPendingLocations bounds the cache locations that wait to be announced. In a large fleet
+	// that is as many as ten heartbeats carry.
 	maxPendingLocations = 200
 )
 
--- a/coordination/routing/candidates.go
+++ b/coordination/routing/candidates.go
@@ -14,7 +14,8 @@
 	"hingewinch.org/hingewinch/state"
 )
 
-// candidates is the ready replicas as of one choice. Each slice has one element for each replica.
+// candidates describes the ready replicas for one choice. Each slice has one element for each of
+// them.
 type candidates struct {
 	ready       []Replica
 	coldUntil   time.Time  // when the last of them becomes warm
--- a/coordination/routing/crash.go
+++ b/coordination/routing/crash.go
@@ -50,7 +50,8 @@
 // NewCallerKey returns the key of a workspace.
 func NewCallerKey(w WorkspaceName) CallerKey { return CallerKey(xxhash.Sum64String(string(w))) }
 
-// CrashReport says that a replica crashed while serving a request, or that a request is cleared.
+// CrashReport says that a replica crashed while serving a request, or that a request is cleared:
+// it got a complete response or an operator released it, so its earlier crashes no longer count.
 type CrashReport struct {
 	Content ContentKey
 	Caller  CallerKey
@@ -62,8 +63,8 @@
 }
 
 const (
-	// crashesToQuarantine is the number of crashes after which a content is quarantined. Callers
-	// are promised this number.
+	// crashesToQuarantine is the number of crashes after which a content is quarantined. It is part
+	// of what callers are promised.
 	crashesToQuarantine = 3
 	// maxCrashesKept bounds the crashes that are kept of one content; more have no effect.
 	maxCrashesKept = 6
--- a/coordination/routing/cutoff.go
+++ b/coordination/routing/cutoff.go
@@ -62,8 +62,8 @@
 	return h.markNotUnreachable(usable, skip, p, now)
 }
 
-// markDespiteEjections marks all replicas, ejected or not, except those in skip and those in
-// domains that are cut off and in which a connection failed.
+// markDespiteEjections marks replicas as usable whether they are ejected or not, except those in
+// skip and those in domains that are both cut off and had a failed connection.
 func (h *Health) markDespiteEjections(usable []bool, skip replicaSet, p *Pool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/coordination/routing/dial.go
+++ b/coordination/routing/dial.go
@@ -2,8 +2,9 @@
 //
 // The input is how long recent connections took. The timeout is their mean plus four times their
 // mean deviation, as for TCP's retransmission timeout, between minDialTimeout and maxDialTimeout.
-// A lost SYN is retransmitted only after a second, so a longer timeout gains nothing, and a
-// request that waits for a replica behind a network partition misses its latency target.
+// A lost SYN is retransmitted only after a second, so a timeout between maxDialTimeout and that
+// gains nothing, and a request that waits for a replica behind a network partition misses its
+// latency target.
 
 package routing
 
--- a/coordination/routing/eject.go
+++ b/coordination/routing/eject.go
@@ -57,7 +57,7 @@
 	records map[LoadKey]*record
 	ejected map[LoadKey]*record // subset of records: ejected replicas
 	peers   map[PeerID]*peerEvidence
-	// domainSeen is when a daemon of each domain was last seen.
+	// domainSeen is the time of the newest known heartbeat of any daemon of each domain.
 	domainSeen    map[state.FailureDomain]time.Time
 	domainTimeout time.Duration
 	// unreachable is until when a domain that is cut off gets no requests because a connection to
--- a/coordination/routing/overload.go
+++ b/coordination/routing/overload.go
@@ -63,7 +63,8 @@
 	// to the bound, every second request would find the replica overloaded again.
 	minHomesFactor = 2
 	homesMargin    = 2
-	// homesHalfLife is the time after which the number of homes that a prompt needs is halved.
+	// homesHalfLife is the half-life of the number of homes that a prompt needs, which decays
+	// while no report raises it.
 	homesHalfLife = 4 * time.Second
 	// A report is forwarded only if it asks for at least forwardFactor times as many homes as are
 	// known, or has a replica avoided for more than forwardAge longer.
--- a/coordination/routing/transfer.go
+++ b/coordination/routing/transfer.go
@@ -44,8 +44,8 @@
 	return max(0, 1-transfer-max(0, b.remaining(w)))
 }
 
-// GrantTransfer grants another daemon as much as possible of the amount that it lacks, counts
-// that as spent and returns it.
+// GrantTransfer grants another daemon as much of the missing retries as this daemon has left. It
+// returns the granted amount, which counts as spent here.
 func (b *RetryBudgets) GrantTransfer(s ServiceName, missing Retries, now time.Time) Retries {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/daemon/routes/control.go
+++ b/daemon/routes/control.go
@@ -319,8 +319,9 @@
 // applyPage applies one page of a list that is still being read. The first page contains the
 // configuration, and with ten thousand replicas the last page follows seconds later. A daemon
 // without documents waits for the whole list, because otherwise it would accept callers before it
-// knows most replicas. So does a daemon in another era, because entering the era turns all of its
-// documents into documents from before the restore.
+// knows most replicas. So does a daemon whose documents are of another era of the store than the
+// list: it has to enter the list's era first, and from then on counts every document that it holds
+// as one from before the store was restored, until the complete list has been merged.
 func (c *control) applyPage(p *storePageRead, now time.Time) {
 	f := c.catalog.feed
 	if f.Revision() > 0 && f.Position().Era == p.at.Era {
--- a/daemon/routes/settings.go
+++ b/daemon/routes/settings.go
@@ -17,8 +17,8 @@
 	ID     state.DaemonID      `yaml:"id"`
 	Domain state.FailureDomain `yaml:"domain"`
 	Listen Listeners           `yaml:"listen"`
-	// PeerAddress is the address at which peers reach listen.peers, if it is another one, as
-	// behind NAT. If empty, it is listen.peers itself.
+	// PeerAddress is the address at which peers reach this daemon if it differs from
+	// listen.peers, as behind NAT. If empty, it is listen.peers.
 	PeerAddress string        `yaml:"peer_address"`
 	Store       string        `yaml:"store"` // IP:PORT of the operators' store
 	Seeds       []string      `yaml:"seeds"` // IP:PORT of other daemons; the port is ignored
--- a/daemon/routes/store.go
+++ b/daemon/routes/store.go
@@ -56,8 +56,9 @@
 		e.At.Era, e.At.Revision, e.Known.Era, e.Known.Revision)
 }
 
-// partialList is a list in progress. When a whole fleet starts, the store rejects calls. The pages
-// that have been read are kept, and the list is resumed after them.
+// partialList is a list of the store's documents of which some pages have been read. When a whole
+// fleet starts, the store is overloaded and rejects some calls; the list is then resumed after the
+// pages that were read.
 type partialList struct {
 	items []feed.Item
 	at    feed.Position // of the first page
--- a/daemon/routes/sync.go
+++ b/daemon/routes/sync.go
@@ -91,8 +91,9 @@
 	snapshot  *encodedSnapshot
 }
 
-// encodedSnapshot holds all documents of a daemon and their encoding. They are encoded once for all
-// requests until something changes: when a whole fleet starts, hundreds of daemons ask the same few.
+// encodedSnapshot holds all documents of a daemon and their encoding, which is shared by all
+// requests until a document changes: when a whole fleet starts, hundreds of daemons fetch the
+// documents from the same few peers.
 type encodedSnapshot struct {
 	at        feed.Position
 	documents gossip.Documents
--- a/state/feed/era.go
+++ b/state/feed/era.go
@@ -41,7 +41,7 @@
 	IsRetained(key string) bool
 }
 
-// noVersions is the Versioner of a feed that can't read its documents.
+// noVersions is the Versioner of a feed that was given none: the version of every document is unknown.
 type noVersions struct{}
 
 var _ Versioner = noVersions{}
--- a/state/feed/feed.go
+++ b/state/feed/feed.go
@@ -135,8 +135,8 @@
 	return true
 }
 
-// put stores an item. A removal keeps the last content of its document. If there are too many tombstones,
-// the oldest is dropped.
+// put stores an item. The tombstone of a deleted document keeps the document's last content. If there are
+// too many tombstones, the oldest is dropped.
 func (f *Feed) put(it Item) {
 	if it.Deleted && len(it.Value) == 0 {
 		it.Value = f.items[it.Key].Value
--- a/state/feed/parts.go
+++ b/state/feed/parts.go
@@ -90,8 +90,8 @@
 	return out
 }
 
-// SinceWith returns the items that changed after a revision, like [Feed.Since], and all documents in the
-// given parts, which may be nil.
+// SinceWith returns the items that changed after a revision, like [Feed.Since], and in addition all documents
+// in the given parts; parts may be nil.
 func (f *Feed) SinceWith(after Revision, parts Parts) (items []Item, complete bool) {
 	items, complete = f.Since(after)
 	if complete || len(parts) == 0 {
--- a/transport/relay/exchange.go
+++ b/transport/relay/exchange.go
@@ -240,8 +240,8 @@
 	x.connReleased = true
 	callerConnected := x.stopCancelWatch == nil || x.stopCancelWatch()
 	if !x.requestWritten && complete && callerConnected {
-		// The request's body may still be being written. It is waited for only for
-		// a moment: a replica that responded early may never read the rest.
+		// The request's body may not be written completely yet. Wait only briefly for
+		// that: a replica that responded early may never read the rest.
 		complete = x.bodyWritten()
 	}
 	if !complete || !callerConnected || x.conn.idleTimeout < 0 || x.response.Close || x.conn.reader.Buffered() > 0 {
